--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -45,7 +45,7 @@
             // Its zone and cell are not known, so nor is who would drop a repeat.
             request.effect = Effect::Unsafe;
         }
-        if state != AttemptState::Out {
+        if state != AttemptState::InFlight {
             return;
         }
         let (size, slots) = (request.size, request.slots);
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -90,7 +90,7 @@
         let end = start + self.run_time(at, size, now);
         let cold = self.warmth(at, now) < 1.0;
         let attempt = self.requests[&id].attempts.len() as u32;
-        let made = Attempt { worker: at, sent: now, state: AttemptState::Out };
+        let made = Attempt { worker: at, sent: now, state: AttemptState::InFlight };
         self.requests.entry(id).and_modify(|request| request.attempts.push(made));
         let worker = &mut self.workers[at];
         let (clean, awaits_start, progress) = (start <= now, self.settings.tells_start, None);
@@ -138,7 +138,8 @@
     /// Calls off what is out for a request, where that is allowed.
     fn call_off(&mut self, id: RequestId) {
         let attempts = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
-        let running = attempts.filter(|(_, at)| at.state == AttemptState::Out && self.settings.limits.cancel);
+        let running =
+            attempts.filter(|(_, at)| at.state == AttemptState::InFlight && self.settings.limits.cancel);
         self.out.extend(running.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
     }
 
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -260,7 +260,8 @@
 impl Request {
     /// An attempt of these may still be running at this worker.
     pub(crate) fn may_run(attempts: &[Attempt], at: usize) -> bool {
-        let there = |attempt: &Attempt| matches!(attempt.state, AttemptState::Out | AttemptState::MayRun);
+        let there =
+            |attempt: &Attempt| matches!(attempt.state, AttemptState::InFlight | AttemptState::MayRun);
         attempts.iter().any(|attempt| attempt.worker == at && there(attempt))
     }
 
@@ -277,7 +278,7 @@
 
     /// An attempt of it is out.
     pub(crate) fn out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.state == AttemptState::Out)
+        self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 }
 
--- a/crates/hollow/src/schedulers/end_of_process.rs
+++ b/crates/hollow/src/schedulers/end_of_process.rs
@@ -1,9 +1,9 @@
 //! A process that ends and the one that takes over: what was learned, and what is owed to open requests by the rule that the
-//! program keeps too ([`calicolb_shutdown::duty`]).
+//! program keeps too ([`calicolb_shutdown::shutdown_action`]).
 
 use super::*;
 use calicolb_shutdown as shutdown;
-use calicolb_shutdown::{Duty, Phase};
+use calicolb_shutdown::{Phase, ShutdownAction};
 
 /// A request on its way to the process that takes over.
 pub(crate) struct Moved {
@@ -17,9 +17,9 @@
     /// How far it has come.
     fn progress(&self) -> shutdown::Attempt {
         match self.ending {
-            Some(ending) => shutdown::Attempt::Over(ending.state(self.loose)),
-            None if self.unwanted => shutdown::Attempt::CallingOff { written: self.written.is_some() },
-            None if self.taken => shutdown::Attempt::Taken,
+            Some(ending) => shutdown::Attempt::Ended(ending.state(self.loose)),
+            None if self.unwanted => shutdown::Attempt::Cancelling { written: self.written.is_some() },
+            None if self.taken => shutdown::Attempt::Accepted,
             None if self.written.is_some() => shutdown::Attempt::Written,
             None => shutdown::Attempt::Connecting,
         }
@@ -28,7 +28,7 @@
     /// One that another process sent.
     fn past(past: &PastAttempt) -> Self {
         let ending = match past.state {
-            AttemptState::Out => None,
+            AttemptState::InFlight => None,
             AttemptState::NeverRan => Some(Ending::Unreachable),
             AttemptState::MayHaveRan | AttemptState::MayRun => Some(Ending::Cancelled),
         };
@@ -54,9 +54,9 @@
         let mut moved = Vec::new();
         for number in numbers {
             match self.duty(number, phase, successor) {
-                Duty::Wait => {}
-                Duty::Move => moved.extend(self.move_away(number)),
-                Duty::Answer(_) => self.events.push_back(Event::Conclude(RequestId(number))),
+                ShutdownAction::Wait => {}
+                ShutdownAction::Transfer => moved.extend(self.move_away(number)),
+                ShutdownAction::Answer(_) => self.events.push_back(Event::Conclude(RequestId(number))),
             }
         }
         moved
@@ -77,16 +77,16 @@
         if self.limited { self.ends } else { Micros::MAX }
     }
 
-    fn duty(&self, number: u32, phase: Phase, successor: bool) -> Duty {
-        let Some(entry) = self.entries.get(&number) else { return Duty::Wait };
+    fn duty(&self, number: u32, phase: Phase, successor: bool) -> ShutdownAction {
+        let Some(entry) = self.entries.get(&number) else { return ShutdownAction::Wait };
         let attempts: Vec<shutdown::Attempt> = entry.attempts.iter().map(Attempt::progress).collect();
         let request = shutdown::Request {
             answered: entry.concluded,
-            movable: true,
+            transferable: true,
             repeatable: self.effect(number).repeatable(),
             attempts: &attempts,
         };
-        shutdown::duty(request, phase, successor)
+        shutdown::shutdown_action(request, phase, successor)
     }
 
     fn effect(&self, number: u32) -> Effect {
--- a/crates/hollow/src/troubles.rs
+++ b/crates/hollow/src/troubles.rs
@@ -212,8 +212,8 @@
         self.begin_learning(successor);
         self.settle(predecessor);
         let (term, grace) = (self.now, self.grace());
-        let kill = grace.kill;
-        self.processes[predecessor as usize].stop(term + grace.last_answer());
+        let kill = grace.kill_after;
+        self.processes[predecessor as usize].stop(term + grace.final_answer_at());
         for look in 0..kill / LOOK {
             let settles = Step::Settles { process: predecessor, term };
             self.lay(term + look * LOOK, Happening::Trouble(settles));
--- a/src/net/core/desk/end_of_process.rs
+++ b/src/net/core/desk/end_of_process.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use calicolb_shutdown as shutdown;
-use calicolb_shutdown::{Duty, Phase};
+use calicolb_shutdown::{Phase, ShutdownAction};
 use serde::{Deserialize, Serialize};
 
 /// What is known of a request that goes on at another process, beside what its worker gets of it.
@@ -58,9 +58,9 @@
     /// How far it has come.
     fn progress(&self) -> shutdown::Attempt {
         match self.ending {
-            Some(ending) => shutdown::Attempt::Over(ending.state(self.loose)),
-            None if self.unwanted => shutdown::Attempt::CallingOff { written: self.written_at.is_some() },
-            None if self.taken => shutdown::Attempt::Taken,
+            Some(ending) => shutdown::Attempt::Ended(ending.state(self.loose)),
+            None if self.unwanted => shutdown::Attempt::Cancelling { written: self.written_at.is_some() },
+            None if self.taken => shutdown::Attempt::Accepted,
             None if self.written_at.is_some() => shutdown::Attempt::Written,
             None => shutdown::Attempt::Connecting,
         }
@@ -76,7 +76,7 @@
             ..Attempt::new(past.worker, past.sent)
         };
         attempt.ending = match past.state {
-            AttemptState::Out => None,
+            AttemptState::InFlight => None,
             AttemptState::NeverRan => Some(Ending::Unreachable),
             AttemptState::MayHaveRan | AttemptState::MayRun => Some(Ending::Cancelled),
         };
@@ -115,16 +115,16 @@
     }
 
     /// What is owed to a request in this phase. `movable`: a successor takes it, and its client's connection can be passed on.
-    pub fn duty(&self, number: u32, phase: Phase, movable: bool) -> Duty {
-        let Some(entry) = self.entries.get(&number) else { return Duty::Wait };
+    pub fn duty(&self, number: u32, phase: Phase, movable: bool) -> ShutdownAction {
+        let Some(entry) = self.entries.get(&number) else { return ShutdownAction::Wait };
         let attempts: Vec<shutdown::Attempt> = entry.attempts.iter().map(Attempt::progress).collect();
         let request = shutdown::Request {
             answered: entry.concluded,
-            movable: movable && !entry.streaming,
+            transferable: movable && !entry.streaming,
             repeatable: self.effect(number, entry).repeatable(),
             attempts: &attempts,
         };
-        shutdown::duty(request, phase, movable)
+        shutdown::shutdown_action(request, phase, movable)
     }
 
     fn effect(&self, number: u32, entry: &Entry<P>) -> Effect {
--- a/src/net/core/transfer.rs
+++ b/src/net/core/transfer.rs
@@ -57,7 +57,7 @@
 impl From<TakenAttempt> for Transfer {
     fn from(taken: TakenAttempt) -> Self {
         let TakenAttempt { envelope, keep_alive, hop, sent, expires } = taken;
-        let attempt = PastSend { worker: WorkerId(hop), sent, state: AttemptState::Out, ended_by: None };
+        let attempt = PastSend { worker: WorkerId(hop), sent, state: AttemptState::InFlight, ended_by: None };
         let history = History { arrived: sent, expires, effect: None, attempts: vec![attempt] };
         Transfer { envelope, keep_alive, unread: Vec::new(), history, clock: 0 }
     }
--- a/src/net/core/transfer/tests.rs
+++ b/src/net/core/transfer/tests.rs
@@ -46,6 +46,6 @@
     let (received, answers) = read.received(0);
     assert!(!answers, "it does not wait for an answer");
     assert_eq!(received.envelope.body, b"hi");
-    let attempt = PastSend { worker: WorkerId(7), sent: 50, state: AttemptState::Out, ended_by: None };
+    let attempt = PastSend { worker: WorkerId(7), sent: 50, state: AttemptState::InFlight, ended_by: None };
     assert_eq!(received.history, History { arrived: 50, expires: 60, effect: None, attempts: vec![attempt] });
 }
--- a/src/net/turn/shutdown.rs
+++ b/src/net/turn/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: sending clients away, the end after SIGTERM, and the return from a drain.
 
 use super::*;
-use calicolb_shutdown::{Duty, Phase};
+use calicolb_shutdown::{Phase, ShutdownAction};
 
 /// What is owed to open requests is looked at so often after SIGTERM.
 const LOOK: Micros = 50_000;
@@ -20,7 +20,7 @@
         note!("the program ends when {} requests are answered", self.desk.owed());
         self.patient = !self.drain.ending();
         if self.drain.begin(Why::Ending) {
-            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
+            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill_after * 3 / 5));
         }
     }
 
@@ -31,7 +31,7 @@
             self.patient = false;
             note!("SIGTERM: {} requests are open", self.desk.owed());
             self.ending = Some(Ending { since: now, limited: false });
-            self.desk.stop(now + self.grace.last_answer());
+            self.desk.stop(now + self.grace.final_answer_at());
         }
         if why == Why::Ending && self.retired && !self.drain.ending() {
             // Clients were parted with when the successor took over.
@@ -40,7 +40,7 @@
         self.upgrade.say(Side::Predecessor, &Word::Drain(true));
         if self.drain.begin(why) {
             note!("clients are sent away: {} requests are open", self.desk.owed());
-            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
+            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill_after * 3 / 5));
         }
         self.http.clients.open = self.begun && self.welcome();
         self.settle_open_requests(now);
@@ -58,9 +58,9 @@
         for (number, client) in self.desk.open_requests() {
             let movable = successor && self.can_transfer(number, client);
             match self.desk.duty(number, phase, movable) {
-                Duty::Wait => {}
-                Duty::Move => self.transfer(now, number, client),
-                Duty::Answer(_) => self.desk.conclude_at_end(number),
+                ShutdownAction::Wait => {}
+                ShutdownAction::Transfer => self.transfer(now, number, client),
+                ShutdownAction::Answer(_) => self.desk.conclude_at_end(number),
             }
         }
         self.deadlines.set(Due::OpenRequests, now + LOOK);
--- a/tests/handed_on.rs
+++ b/tests/handed_on.rs
@@ -5,7 +5,7 @@
 use calicolb::api::*;
 use common::*;
 
-const OUT: AttemptState = AttemptState::Out;
+const OUT: AttemptState = AttemptState::InFlight;
 
 /// A request with this history, as a successor gets it.
 fn handed_on(bench: &Bench, id: u32, effect: Effect, attempts: &[(u32, AttemptState)]) -> Arrival {
