--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -9,7 +9,7 @@
 impl Dispatcher {
     /// What was learned, for the process that takes over.
     pub fn knowledge(&self) -> serde_json::Value {
-        serde_json::json!([self.workers, self.maps, self.know])
+        serde_json::json!([self.workers, self.size_maps, self.knowledge])
     }
 
     /// What was learned, with classes and tenants at other places: for each place where it was before, if anywhere. What
@@ -48,18 +48,18 @@
     pub(crate) fn on_handed(&mut self, handed: serde_json::Value) {
         let fits = |(workers, maps, know): &(Vec<Worker>, Vec<SizeMap>, Knowledge)| {
             let covered = workers.iter().all(|worker| know.covers(worker));
-            covered && know.like(&self.know) && maps.len() == self.maps.len()
+            covered && know.like(&self.knowledge) && maps.len() == self.size_maps.len()
         };
         match serde_json::from_value(handed).ok().filter(fits) {
             Some((workers, maps, know)) => {
-                self.index = workers.iter().enumerate().map(|(at, worker)| (worker.id, at)).collect();
-                (self.workers, self.maps, self.know) = (workers, maps, know);
-                let ranks = self.know.zones.len().max(self.company.size() as usize);
-                self.know.zones.resize(ranks, None);
+                self.worker_index = workers.iter().enumerate().map(|(at, worker)| (worker.id, at)).collect();
+                (self.workers, self.size_maps, self.knowledge) = (workers, maps, know);
+                let ranks = self.knowledge.zones.len().max(self.company.size() as usize);
+                self.knowledge.zones.resize(ranks, None);
             }
-            None => self.out.push(Action::Log("what another process handed on does not fit".to_owned())),
+            None => self.actions.push(Action::Log("what another process handed on does not fit".to_owned())),
         }
-        self.ask_list(); // at once: whatever the list has to tell will soon count as told
+        self.subscribe_to_list(); // at once: whatever the list has to tell will soon count as told
     }
 }
 
--- a/crates/decisions/src/renewal.rs
+++ b/crates/decisions/src/renewal.rs
@@ -117,31 +117,33 @@
     /// Takes up new settings whole, or, with a line for the log, not at all.
     pub(crate) fn on_settings(&mut self, now: Micros, new: Settings) {
         if let Err(Refused { field, why }) = self.could_take(&new) {
-            return self.out.push(Action::Log(format!("the settings stay as they are: '{field}': {why}")));
+            return self
+                .actions
+                .push(Action::Log(format!("the settings stay as they are: '{field}': {why}")));
         }
         if new == self.settings {
             return;
         }
         self.renew_buckets(now, &new);
         self.renew_effects(&new);
-        self.know.classes.resize_with(new.classes.len(), Default::default);
+        self.knowledge.classes.resize_with(new.classes.len(), Default::default);
         let needs =
             |settings: &Settings| -> Vec<_> { settings.classes.iter().map(|class| class.kind).collect() };
-        self.maps_stale |= needs(&new) != needs(&self.settings);
+        self.size_maps_stale |= needs(&new) != needs(&self.settings);
         let old = std::mem::replace(&mut self.settings, new);
         self.renew_warmth(now, &old.rules);
         self.renew_held(now);
-        self.pump(now);
+        self.process_hold_queue(now);
     }
 
     /// Tokens come by the old quotas up to now; what is saved is cut to what the new ones let be saved.
     fn renew_buckets(&mut self, now: Micros, new: &Settings) {
         let part = f64::from(self.company.size());
         let both = self.settings.tenants.iter().zip(&new.tenants);
-        for (bucket, (old, new)) in self.know.buckets.iter_mut().zip(both) {
+        for (bucket, (old, new)) in self.knowledge.buckets.iter_mut().zip(both) {
             bucket.renew(now, old.quota_per_s / part, new.quota_per_s / part);
         }
-        self.know.buckets.resize_with(new.tenants.len(), || Bucket::new(now));
+        self.knowledge.buckets.resize_with(new.tenants.len(), || Bucket::new(now));
     }
 
     /// Open requests keep the tightest effect that was in force since they came.
@@ -180,7 +182,7 @@
             let risky = request.may_have_run();
             request.attempts.len() >= tries || (risky && request.effect == Effect::Unsafe)
         };
-        let held = self.queue.held.iter().map(|&(_, id)| id);
+        let held = self.hold_queue.held.iter().map(|&(_, id)| id);
         let over: Vec<RequestId> = held.filter(|id| self.requests.get(id).is_some_and(&over)).collect();
         over.into_iter().for_each(|id| self.finish(now, id, Rejection::SettingsChanged));
     }
--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -58,12 +58,12 @@
     /// Nothing is sent there for now: it does not run, failed lately, or the way to its zone is cut.
     pub(super) fn avoids(&self, now: Micros, at: usize) -> bool {
         let worker = &self.workers[at];
-        let cut = self.know.cuts[worker.zone.0].1 > now;
+        let cut = self.knowledge.cuts[worker.zone.0].1 > now;
         worker.standing != Standing::On || worker.trust.avoided(now) || cut
     }
 
     /// Listed workers that nothing is sent to for now.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn avoided_worker_count(&self, now: Micros) -> usize {
         let shunned = |&at: &usize| self.workers[at].standing != Standing::Gone && self.avoids(now, at);
         (0..self.workers.len()).filter(shunned).count()
     }
@@ -84,7 +84,7 @@
     pub(super) fn choose(&self, now: Micros, id: RequestId) -> Option<Choice> {
         let request = &self.requests[&id];
         let (need, range) = self.range_of(request)?;
-        let ranges = &self.maps[need].ranges;
+        let ranges = &self.size_maps[need].ranges;
         let (mut scratch, mut most, mut seen) = (Vec::new(), f64::NEG_INFINITY, 0);
         let (mut best, mut soonest): (Option<Choice>, Option<Choice>) = (None, None);
         let alone = if self.settings.reports == ReportSource::Nowhere { usize::MAX } else { PROBES };
@@ -141,7 +141,7 @@
     /// The map and the range in it that a job's size names.
     pub(super) fn range_of(&self, request: &Request) -> Option<(usize, usize)> {
         let need = self.settings.classes[request.class].kind.map_or(0, |kind| kind.0 + 1);
-        let ranges = &self.maps[need].ranges;
+        let ranges = &self.size_maps[need].ranges;
         let size = request.size * request.slots as f64;
         let range = ranges.iter().position(|range| size <= range.upper);
         Some((need, range.or(ranges.len().checked_sub(1))?))
@@ -151,6 +151,6 @@
     pub(super) fn over_share(&mut self, now: Micros, tenant: Option<TenantIx>) -> bool {
         let quota = tenant.and_then(|TenantIx(nr)| Some((nr, self.settings.tenants.get(nr)?.quota_per_s)));
         let Some((nr, quota)) = quota.filter(|of| of.1 > 0.0) else { return false };
-        !self.know.buckets[nr].take(now, quota / f64::from(self.company.size()))
+        !self.knowledge.buckets[nr].take(now, quota / f64::from(self.company.size()))
     }
 }
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -36,7 +36,7 @@
 
     fn adopt_attempt(&mut self, now: Micros, id: RequestId, past: PastAttempt) {
         let PastAttempt { worker, sent, state } = past;
-        let known = self.index.get(&worker).copied();
+        let known = self.worker_index.get(&worker).copied();
         let at = known.unwrap_or_else(|| self.add_unlisted(worker));
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.len() as u32;
@@ -61,7 +61,7 @@
     fn add_unlisted(&mut self, id: WorkerId) -> usize {
         let at = self.workers.len();
         self.workers.push(Worker { id, standing: Standing::Gone, ..Worker::default() });
-        self.index.insert(id, at);
+        self.worker_index.insert(id, at);
         at
     }
 }
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -12,7 +12,7 @@
         let apart = size < 2 * self.settings.zones;
         let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| apart);
         for zone in zones.chain([None]) {
-            let here = |rank: &u32| !apart || self.know.zones[*rank as usize] == zone;
+            let here = |rank: &u32| !apart || self.knowledge.zones[*rank as usize] == zone;
             let ranks: Vec<u32> = (0..self.company.size()).filter(here).collect();
             let count = (ranks.len() / size).max(usize::from(!ranks.is_empty()));
             let part = |nr: usize| ranks[nr * ranks.len() / count..(nr + 1) * ranks.len() / count].to_vec();
@@ -58,7 +58,7 @@
 
     /// Ranges over the workers by (speed of their kind, id), small jobs to the slow; in each every cohort has a share.
     pub(super) fn rebuild_maps(&mut self) {
-        self.maps_stale = false;
+        self.size_maps_stale = false;
         if self.settings.limits.peers {
             self.deal_cohorts();
             self.deal_workers();
@@ -70,7 +70,7 @@
         if self.settings.weights {
             self.seed_speeds();
         }
-        for need in 0..self.maps.len() {
+        for need in 0..self.size_maps.len() {
             let wanted = need.checked_sub(1);
             let used = self.settings.classes.iter().any(|class| class.kind.map(|kind| kind.0) == wanted);
             if used {
@@ -87,8 +87,8 @@
             weights.clone().sum::<f64>() / weights.count() as f64
         };
         let all = mean(None);
-        let means: Vec<f64> = (0..self.know.kinds.len()).map(|kind| mean(Some(kind))).collect();
-        let kinds = self.know.kinds.iter_mut().zip(means);
+        let means: Vec<f64> = (0..self.knowledge.kinds.len()).map(|kind| mean(Some(kind))).collect();
+        let kinds = self.knowledge.kinds.iter_mut().zip(means);
         for (kind, mean) in kinds.filter(|(kind, mean)| kind.speed.seen == 0.0 && !mean.is_nan()) {
             kind.speed.ln = (mean / all).ln();
         }
@@ -97,14 +97,14 @@
     pub(super) fn rebuild_map(&mut self, need: usize, wanted: Option<usize>) {
         let on = |of: &Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
         let mut order: Vec<usize> = (0..self.workers.len()).filter(|&at| on(&self.workers[at])).collect();
-        let speed = |at: usize| self.know.kinds[self.workers[at].kind].speed.ln;
+        let speed = |at: usize| self.knowledge.kinds[self.workers[at].kind].speed.ln;
         let key = |at: usize| (self.workers[at].kind, self.workers[at].id);
         order.sort_by(|&a, &b| speed(a).total_cmp(&speed(b)).then(key(a).cmp(&key(b))));
-        let known = self.maps[need].sizes.len() / RANGE_SIZES;
+        let known = self.size_maps[need].sizes.len() / RANGE_SIZES;
         let count = (order.len() / RANGE_WORKERS).min(known).clamp(1, RANGES);
         let part = |nr: usize| &order[nr * order.len() / count..(nr + 1) * order.len() / count];
         let power = |nr: usize| part(nr).iter().map(|&at| speed(at).exp()).sum();
-        let bounds = self.maps[need].sizes.bounds(&(0..count).map(power).collect::<Vec<f64>>());
+        let bounds = self.size_maps[need].sizes.bounds(&(0..count).map(power).collect::<Vec<f64>>());
         let rank = self.settings.rank;
         let mut ranges = Vec::with_capacity(count);
         for (nr, &upper) in bounds.iter().enumerate() {
@@ -127,7 +127,7 @@
             far.sort_by_key(draw);
             ranges.push(Range { upper, home, near, far });
         }
-        self.maps[need].ranges = ranges;
+        self.size_maps[need].ranges = ranges;
     }
 }
 
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -6,7 +6,7 @@
 impl Dispatcher {
     /// What was decided of an attempt holds still. Asked right before its first byte: its connection may have come up
     /// after its client left, its worker began to drain, or an earlier attempt's repeats ceased to be dropped.
-    pub fn may_begin(&self, now: Micros, id: RequestId, attempt: u32) -> bool {
+    pub fn may_start_attempt(&self, now: Micros, id: RequestId, attempt: u32) -> bool {
         let (request, nr) = (self.requests.get(&id), attempt as usize);
         let at = request.and_then(|request| request.attempts.get(nr)).map(|own| own.worker);
         request.zip(at).is_some_and(|(request, at)| self.may_go(now, request, nr, at))
@@ -34,7 +34,7 @@
         // Rule 3: nothing at all after being told, so the grace is never needed; nor by a list that is too old.
         harmless
             && !twice
-            && !self.list.stale(now)
+            && !self.worker_list.stale(now)
             && worker.standing == Standing::On
             && !worker.refuses(request.skill)
     }
@@ -46,7 +46,8 @@
         }
         // Rule 4. What a cold worker was sent counts on in the process that took over.
         let work = request.size * request.slots as f64;
-        self.warmth(at, now) >= 1.0 || (!self.succeeded && self.cold_allows(now, at, work) == Allowance::Yes)
+        self.warmth(at, now) >= 1.0
+            || (!self.has_successor && self.cold_allows(now, at, work) == Allowance::Yes)
     }
 
     /// Work sent to a worker in the last window of the fourth rule.
@@ -61,20 +62,20 @@
         let (worker, rules) = (&self.workers[at], &self.settings.rules);
         let (power, window) = (self.lanes(at) as f64 * self.speed(at), rules.fall_window as f64);
         let budget = COLD_SHARE * rules.fall_multiple * self.warmth(at, now) * power * window;
-        let usual = (self.know.work.per_s() / SECOND as f64 * window).max(self.know.mean_time);
+        let usual = (self.knowledge.work.per_s() / SECOND as f64 * window).max(self.knowledge.mean_time);
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
         let (rank, sent) = (self.settings.rank, self.cold_sent(now, at));
         if !self.settings.limits.peers {
             let rota = Rota::new(budget, usual, self.company.size(), self.settings.zones);
             let (near, turn) = (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
-            return self.spent.looked(rota.allows(near, turn, rank, sent, work));
+            return self.shared_spending.looked(rota.allows(near, turn, rank, sent, work));
         }
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
         let share = ColdShare::new(budget, members, usual, self.company.size());
         let sender = Sender::of(worker.home, share.warden(draw, rank, self.company.size()));
         let fresh = |peer: &&PeerLoad| peer.told + rules.fall_window > now && peer.from != rank;
         let told = worker.peers.iter().filter(fresh).map(|peer| peer.cold).sum();
-        self.spent.looked(share.allows(sender, sent, told, work))
+        self.shared_spending.looked(share.allows(sender, sent, told, work))
     }
 
     pub(super) fn send(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
@@ -98,12 +99,12 @@
         worker.own.push(own);
         if cold {
             worker.cold_sent.push_back((now, size * slots as f64));
-            self.spent.cold_jobs += 1;
+            self.shared_spending.cold_jobs += 1;
         }
-        self.out.push(Action::Send { request: id, worker: worker.id, timeout: None });
+        self.actions.push(Action::Send { request: id, worker: worker.id, timeout: None });
         let repeats = effect != Effect::Unsafe;
         if repeats && self.settings.limits.cancel && self.settings.tells_start {
-            self.queue.unstarted.insert((now + START_NEWS, id));
+            self.hold_queue.unstarted.insert((now + START_NEWS, id));
             self.wake_at(now, now + START_NEWS);
         }
         self.tell_peers(now, at, None);
@@ -120,11 +121,11 @@
         if final_answer(request.effect.repeatable(), states) == FinalAnswer::Refused {
             let limits = &self.settings.limits;
             let left = request.expires.saturating_sub(now);
-            let pause = (self.know.mean_time / 4.0) as Micros;
+            let pause = (self.knowledge.mean_time / 4.0) as Micros;
             let come_back = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
-            self.out.push(Action::Refuse { request: id, come_back, why });
+            self.actions.push(Action::Refuse { request: id, come_back, why });
         } else {
-            self.out.push(Action::Fail(id));
+            self.actions.push(Action::Fail(id));
         }
         self.forget(id);
     }
@@ -140,13 +141,13 @@
         let attempts = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
         let running =
             attempts.filter(|(_, at)| at.state == AttemptState::InFlight && self.settings.limits.cancel);
-        self.out.extend(running.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+        self.actions.extend(running.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
     }
 
     /// The process ends before any attempt has brought the result.
     pub(super) fn on_conclude(&mut self, now: Micros, id: RequestId) {
         if !self.requests.contains_key(&id) {
-            return self.out.push(Action::Fail(id));
+            return self.actions.push(Action::Fail(id));
         }
         self.finish(now, id, Rejection::ShuttingDown);
         self.call_off(id);
@@ -197,7 +198,7 @@
                 self.workers[at].own[nr].awaits_start = false;
                 self.strike(now, at, 1);
                 if self.requests[&id].effect == Effect::Safe && self.settings.limits.cancel {
-                    self.out.push(Action::Cancel { request: id, attempt });
+                    self.actions.push(Action::Cancel { request: id, attempt });
                 }
             }
             Note::Progress(done) if done > 0.0 && done <= 1.0 => {
@@ -206,7 +207,7 @@
                 let pace = match own.progress {
                     Some((then, before)) if done > before => (done - before) / (now - then).max(1) as f64,
                     _ if own.clean => done / (now - own.start.min(now)).max(1) as f64,
-                    _ => 1.0 / self.know.mean_time,
+                    _ => 1.0 / self.knowledge.mean_time,
                 };
                 own.progress = Some((now, done));
                 own.end = now + ((1.0 - done) / pace).min(3600.0 * SECOND as f64) as Micros;
@@ -279,7 +280,7 @@
         };
         if rejection == Some(Rejection::Unusable) {
             self.rejections.count(Rejection::Unusable);
-            self.out.push(Action::Fail(id));
+            self.actions.push(Action::Fail(id));
             self.close(id);
         } else if let Some(why) = rejection {
             self.finish(now, id, why);
--- a/crates/decisions/src/rules/estimates.rs
+++ b/crates/decisions/src/rules/estimates.rs
@@ -5,7 +5,7 @@
 impl Dispatcher {
     pub(super) fn speed(&self, at: usize) -> f64 {
         let worker = &self.workers[at];
-        (self.know.kinds[worker.kind].speed.ln + worker.speed.ln).exp()
+        (self.knowledge.kinds[worker.kind].speed.ln + worker.speed.ln).exp()
     }
 
     /// How long a job of this size would run there.
@@ -20,8 +20,8 @@
             return None;
         }
         let speed = self.speed(at);
-        self.know.mean_time += (time as f64 - self.know.mean_time) * 0.05;
-        let error = self.know.classes[of.0].learn(time as f64 * speed, of.1)?;
+        self.knowledge.mean_time += (time as f64 - self.knowledge.mean_time) * 0.05;
+        let error = self.knowledge.classes[of.0].learn(time as f64 * speed, of.1)?;
         self.learn_speed(at, error);
         Some(speed.ln() - error)
     }
@@ -29,7 +29,7 @@
     /// A worker took so much longer, in logarithms, than its speed says.
     pub(super) fn learn_speed(&mut self, at: usize, error: f64) {
         let worker = &mut self.workers[at];
-        self.know.kinds[worker.kind].speed.learn(error, 6.0, 50.0);
+        self.knowledge.kinds[worker.kind].speed.learn(error, 6.0, 50.0);
         worker.speed.learn(error, 4.0, 10.0);
         worker.speed.ln = worker.speed.ln.clamp(-0.7, 0.7);
     }
@@ -41,7 +41,7 @@
 
     pub(super) fn on_report(&mut self, now: Micros, at: usize, report: Option<Report>) {
         let Some(report) = report else { return };
-        let errors = report.errors_per_s.unwrap_or(0.0) * self.know.mean_time / SECOND as f64;
+        let errors = report.errors_per_s.unwrap_or(0.0) * self.knowledge.mean_time / SECOND as f64;
         let share = errors / self.lanes(at) as f64;
         self.workers[at].trust.reported(now, share);
         let guessed = self.workers[at].exact.is_none();
@@ -54,7 +54,7 @@
         // A worker is seldom seen idle: without what runs there of ours, one of two lanes would seem to be all.
         let ran = |own: &&Own| !own.awaits_start && own.start + REPORT_OLDEST < now;
         let ours: usize = worker.own.iter().filter(ran).map(|own| own.slots).sum();
-        let kind = &mut self.know.kinds[worker.kind];
+        let kind = &mut self.knowledge.kinds[worker.kind];
         let lanes = kind.lanes.unwrap_or(0.0).max((free + ours as f64).round());
         kind.lanes = Some(lanes);
         worker.lanes = Some(lanes);
@@ -68,6 +68,6 @@
     pub(super) fn on_zone_load(&mut self, at: usize, lanes: f64) {
         // In shares: lanes of large workers, taken for those of a small one, would make it seem full for ever.
         let (zone, share) = (self.workers[at].zone.0, lanes / self.lanes(at) as f64);
-        self.know.mean_foreign[zone] += (share - self.know.mean_foreign[zone]) * 0.1;
+        self.knowledge.mean_foreign[zone] += (share - self.knowledge.mean_foreign[zone]) * 0.1;
     }
 }
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -69,25 +69,25 @@
 pub struct Dispatcher {
     pub(crate) settings: Settings,
     /// What is to be done.
-    pub(crate) out: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
     pub(crate) rng: fastrand::Rng,
     pub(crate) workers: Vec<Worker>,
-    pub(crate) index: Table<WorkerId, usize>,
-    pub(crate) know: Knowledge,
-    pub(crate) maps: Vec<SizeMap>,
-    pub(crate) maps_stale: bool,
+    pub(crate) worker_index: Table<WorkerId, usize>,
+    pub(crate) knowledge: Knowledge,
+    pub(crate) size_maps: Vec<SizeMap>,
+    pub(crate) size_maps_stale: bool,
     pub(crate) requests: Table<RequestId, Request>,
-    pub(crate) queue: Queue,
+    pub(crate) hold_queue: Queue,
     /// Another process has taken over: this one ends its work, and that one alone speaks for both.
-    pub(crate) succeeded: bool,
-    pub(crate) list: Listing,
+    pub(crate) has_successor: bool,
+    pub(crate) worker_list: Listing,
     pub(crate) spill_from: usize,
     /// The zone, if it is known, and the ranks of each cohort.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
     /// The other dispatchers, and what is assumed of them.
     pub(crate) company: Company,
     /// What has been spent of what all dispatchers share, for operators.
-    pub spent: Spending,
+    pub shared_spending: Spending,
     /// Why requests got no result, for operators.
     pub rejections: Rejections,
 }
@@ -97,21 +97,21 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let company = Company::new(settings.instances, settings.rank, settings.limits.peers);
         Dispatcher {
-            out: Vec::new(),
+            actions: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             workers: Vec::new(),
-            index: Table::default(),
-            know: Knowledge::new(&settings, company.size(), now),
-            maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
-            maps_stale: true,
+            worker_index: Table::default(),
+            knowledge: Knowledge::new(&settings, company.size(), now),
+            size_maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
+            size_maps_stale: true,
             requests: Table::default(),
-            queue: Queue::default(),
-            succeeded: false,
-            list: Listing::default(),
+            hold_queue: Queue::default(),
+            has_successor: false,
+            worker_list: Listing::default(),
             spill_from: 0,
             cohorts: Vec::new(),
             company,
-            spent: Spending::default(),
+            shared_spending: Spending::default(),
             rejections: Rejections::default(),
             settings,
         }
@@ -120,7 +120,7 @@
     /// Takes in one event and adds what is to be done to `out`.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.on(now, event);
-        out.append(&mut self.out);
+        out.append(&mut self.actions);
     }
 
     fn on(&mut self, now: Micros, event: Event) {
@@ -129,24 +129,24 @@
             Event::Arrival(arrival) => self.on_arrival(now, arrival),
             // Timers cannot be withdrawn: one that an earlier one has overtaken is passed over.
             Event::Timer(TIMER_PUMP) => {
-                if self.queue.wake.is_some_and(|at| at <= now) {
-                    self.queue.wake = None;
-                    self.pump(now);
+                if self.hold_queue.wake.is_some_and(|at| at <= now) {
+                    self.hold_queue.wake = None;
+                    self.process_hold_queue(now);
                 }
             }
-            Event::Timer(_) => self.ask_list(),
+            Event::Timer(_) => self.subscribe_to_list(),
             Event::ListUntil(until) => {
-                self.list.until = until;
-                self.pump(now);
+                self.worker_list.until = until;
+                self.process_hold_queue(now);
             }
             Event::ListMoved => {
-                self.list.subscribed = false;
-                self.ask_list();
+                self.worker_list.subscribed = false;
+                self.subscribe_to_list();
             }
             Event::Settings(settings) => self.on_settings(now, *settings),
             Event::Handed(knowledge) => self.on_handed(knowledge),
             Event::Succeeded(succeeded) => {
-                self.succeeded = succeeded;
+                self.has_successor = succeeded;
                 (0..self.workers.len()).for_each(|at| self.tell_peers(now, at, None));
             }
             Event::Streaming { request, attempt } => {
@@ -155,13 +155,13 @@
             }
             Event::Note { request, attempt, note } => self.on_note(now, request, attempt, note),
             Event::Outcome(outcome) => {
-                if let Some(&at) = self.index.get(&outcome.worker) {
+                if let Some(&at) = self.worker_index.get(&outcome.worker) {
                     self.on_report(now, at, outcome.report);
                 }
                 self.on_outcome(now, outcome);
             }
             Event::Probed { worker, ending, report, .. } => {
-                let Some(&at) = self.index.get(&worker) else { return };
+                let Some(&at) = self.worker_index.get(&worker) else { return };
                 self.on_report(now, at, report);
                 if ending == Ending::Unreachable {
                     self.strike(now, at, 1);
--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -10,23 +10,23 @@
         }
         let over = self.over_share(now, arrival.tenant);
         let spec = &self.settings.classes[class];
-        let size = self.know.classes[class].estimate(arrival.hint, spec.aim as f64);
+        let size = self.knowledge.classes[class].estimate(arrival.hint, spec.aim as f64);
         let slots = arrival.slots.clamp(1, 1024) as usize;
-        self.know.most_slots = self.know.most_slots.max(slots);
+        self.knowledge.most_slots = self.knowledge.most_slots.max(slots);
         // A client's retry belongs to its first try, whose aim has been running since.
         let came = arrival.handed_on.as_ref().map_or(now, |handed| handed.arrived.min(now));
         let origin =
             if arrival.retry { arrival.expires.saturating_sub(spec.deadline).min(came) } else { came };
-        let doubt = self.know.classes[class].doubt();
+        let doubt = self.knowledge.classes[class].doubt();
         let aim = origin + spec.aim + (spec.stretch.max(0.0) * size * doubt) as Micros;
         let deadline = aim.min(arrival.expires);
         let order = if over { arrival.expires } else { deadline };
         let work = size * slots as f64;
         let worth = spec.worth * if over { self.settings.over_share_worth } else { 1.0 };
         let value = if self.settings.worth_by_work { worth } else { worth / work };
-        self.know.work.add(now, work);
-        let map = &mut self.maps[spec.kind.map_or(0, |kind| kind.0 + 1)];
-        self.maps_stale |= map.sizes.add(work, RANGE_SIZES * 2);
+        self.knowledge.work.add(now, work);
+        let map = &mut self.size_maps[spec.kind.map_or(0, |kind| kind.0 + 1)];
+        self.size_maps_stale |= map.sizes.add(work, RANGE_SIZES * 2);
         let Arrival { hint, expires, skill, .. } = arrival;
         let told =
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
@@ -47,7 +47,7 @@
 
     /// A lane of this worker may have come free: the held jobs are tried there, earliest deadline first.
     pub(super) fn offer(&mut self, now: Micros, at: usize) {
-        let first: Vec<RequestId> = self.queue.held.iter().take(LOOK).map(|&(_, id)| id).collect();
+        let first: Vec<RequestId> = self.hold_queue.held.iter().take(LOOK).map(|&(_, id)| id).collect();
         let mut scratch = Vec::new();
         for id in first {
             let fits = self.usable(at, now, &self.requests[&id])
@@ -63,16 +63,16 @@
         let free = |request: &&mut Request| !request.held && !request.done;
         let Some(request) = self.requests.get_mut(&id).filter(free) else { return };
         request.held = true;
-        self.queue.held.insert((request.order, id));
-        self.queue.expiries.insert((request.expires, id));
+        self.hold_queue.held.insert((request.order, id));
+        self.hold_queue.expiries.insert((request.expires, id));
     }
 
     pub(super) fn unhold(&mut self, id: RequestId) {
         self.plan(id, None);
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.held) else { return };
         request.held = false;
-        self.queue.held.remove(&(request.order, id));
-        self.queue.expiries.remove(&(request.expires, id));
+        self.hold_queue.held.remove(&(request.order, id));
+        self.hold_queue.expiries.remove(&(request.expires, id));
     }
 
     /// Nobody is answered after this time: held jobs are sent or turned away by it, and go on in its order.
@@ -92,7 +92,7 @@
                 self.hold(id);
             }
         }
-        self.pump(now);
+        self.process_hold_queue(now);
     }
 
     pub(super) fn plan(&mut self, id: RequestId, at: Option<usize>) {
@@ -113,15 +113,15 @@
 
     /// Goes through the held jobs, earliest deadline first: sends what can start, plans what can wait,
     /// turns to the later deadline what has missed its aim, and drops what is hopeless.
-    pub(crate) fn pump(&mut self, now: Micros) {
+    pub(crate) fn process_hold_queue(&mut self, now: Micros) {
         let soon = now + 2 * self.settings.tick;
-        while let Some(&(_, id)) = self.queue.expiries.first().filter(|first| first.0 <= soon) {
+        while let Some(&(_, id)) = self.hold_queue.expiries.first().filter(|first| first.0 <= soon) {
             self.finish(now, id, Rejection::Expired);
         }
         self.move_on(now);
         let (mut wake, mut misses, mut from) = (Micros::MAX, 0, (0, RequestId(0)));
         while misses < LOOK {
-            let Some(&(order, id)) = self.queue.held.range(from..).next() else { break };
+            let Some(&(order, id)) = self.hold_queue.held.range(from..).next() else { break };
             from = (order, RequestId(id.0.wrapping_add(1)));
             misses += usize::from(!self.release(now, id, &mut wake));
         }
@@ -131,9 +131,9 @@
     /// Jobs that wait at a worker though their start was due go to one that has a lane free, if there is one and they may
     /// run twice; the last try is kept for what may go wrong.
     fn move_on(&mut self, now: Micros) {
-        while let Some((due, id)) = self.queue.unstarted.pop_first() {
+        while let Some((due, id)) = self.hold_queue.unstarted.pop_first() {
             if due > now {
-                self.queue.unstarted.insert((due, id));
+                self.hold_queue.unstarted.insert((due, id));
                 return self.wake_at(now, due);
             }
             let open = self.requests.get(&id).filter(|request| !request.done);
@@ -148,31 +148,31 @@
             if (urgent || !self.settings.limits.peers) && self.choose(now, id).is_some_and(better) {
                 let running = self.workers[at].running();
                 self.workers[at].foreign = Some((now, self.lanes(at).saturating_sub(running) as f64));
-                self.out.push(Action::Cancel { request: id, attempt: last as u32 });
+                self.actions.push(Action::Cancel { request: id, attempt: last as u32 });
             } else {
-                self.queue.unstarted.insert((now + START_NEWS, id));
+                self.hold_queue.unstarted.insert((now + START_NEWS, id));
             }
         }
     }
 
     /// Wakes at this time, or before the first client of a held job leaves.
     pub(super) fn wake_for_held(&mut self, now: Micros, wake: Micros) {
-        if let Some(&(expires, _)) = self.queue.expiries.first() {
+        if let Some(&(expires, _)) = self.hold_queue.expiries.first() {
             self.wake_at(now, wake.min(expires.saturating_sub(self.settings.tick)));
         }
     }
 
     pub(super) fn wake_at(&mut self, now: Micros, at: Micros) {
         let at = at.max(now + 1);
-        if self.queue.wake.is_none_or(|set| at < set) {
-            self.queue.wake = Some(at);
-            self.out.push(Action::SetTimer { timer: TIMER_PUMP, after: at - now });
+        if self.hold_queue.wake.is_none_or(|set| at < set) {
+            self.hold_queue.wake = Some(at);
+            self.actions.push(Action::SetTimer { timer: TIMER_PUMP, after: at - now });
         }
     }
 
     /// Deals with one held job; tells whether it has left the queue.
     pub(super) fn release(&mut self, now: Micros, id: RequestId, wake: &mut Micros) -> bool {
-        if self.maps_stale {
+        if self.size_maps_stale {
             self.rebuild_maps();
         }
         match self.choose(now, id) {
@@ -198,7 +198,11 @@
                         (true, request.expires, request.expires);
                     self.hold(id);
                 } else if !request.late || now + request.size as Micros > request.expires {
-                    let why = if self.list.stale(now) { Rejection::StaleList } else { Rejection::NoCapacity };
+                    let why = if self.worker_list.stale(now) {
+                        Rejection::StaleList
+                    } else {
+                        Rejection::NoCapacity
+                    };
                     self.finish(now, id, why);
                     return true;
                 }
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -7,9 +7,9 @@
     /// the zone is left alone for a while, and the next job after that is a trial.
     pub(super) fn on_connection(&mut self, now: Micros, at: usize, made: bool) {
         let (zone, own) = (self.workers[at].zone, self.settings.zone);
-        let (failed, until) = self.know.cuts[zone.0];
+        let (failed, until) = self.knowledge.cuts[zone.0];
         let until = if zone != own && failed >= 2 { now + SECOND } else { until };
-        self.know.cuts[zone.0] = if made { (0, 0) } else { (failed + 1, until) };
+        self.knowledge.cuts[zone.0] = if made { (0, 0) } else { (failed + 1, until) };
     }
 
     /// Probes bring reports: no job goes to another cohort's worker on a guess.
@@ -25,7 +25,7 @@
             among.iter().filter(due).take(if self.asks() { most } else { 0 }).copied().collect();
         for at in due {
             self.workers[at].probed = now;
-            self.out.push(Action::Probe(self.workers[at].id));
+            self.actions.push(Action::Probe(self.workers[at].id));
         }
     }
 
@@ -38,7 +38,7 @@
     /// Probes for a job: of its own share of the range, and, if that has no lane for it now, a few others.
     pub(super) fn probe_for(&mut self, now: Micros, id: RequestId, spill: bool) {
         let Some((need, range)) = self.range_of(&self.requests[&id]) else { return };
-        let range = &self.maps[need].ranges[range];
+        let range = &self.size_maps[need].ranges[range];
         let (home, few) = (range.home[..range.home.len().min(2)].to_vec(), self.window(range));
         self.probe_home(now, &home, 1);
         self.probe(now, &few, if spill { PROBES } else { 0 });
@@ -55,7 +55,7 @@
     pub(super) fn tell_trust(&mut self, now: Micros, at: usize, before: u32) {
         let news = self.workers[at].trust.news(now, before);
         if let Some(strikes) = news.filter(|_| self.company.speaks()) {
-            self.out.push(Action::Tell { to: None, body: peer::trouble(self.workers[at].id, strikes) });
+            self.actions.push(Action::Tell { to: None, body: peer::trouble(self.workers[at].id, strikes) });
         }
     }
 
@@ -64,30 +64,30 @@
         let said = peer::read(body).filter(|_| from < MOST_RANKS);
         // There are as many dispatchers as that at least.
         if said.is_some() && !own_rank && self.company.hear(now, from) {
-            self.know.zones.resize(self.company.size() as usize, None);
-            self.maps_stale = true;
+            self.knowledge.zones.resize(self.company.size() as usize, None);
+            self.size_maps_stale = true;
         }
         let load = match said {
             Some(Said::Greeting { zone, asks }) if usize::from(zone) < self.settings.zones && !own_rank => {
-                self.maps_stale |= self.know.zones[from as usize].replace(zone) != Some(zone);
+                self.size_maps_stale |= self.knowledge.zones[from as usize].replace(zone) != Some(zone);
                 // One that has just started does not know where this one stands.
                 if asks {
                     let body = peer::greeting(self.settings.zone.0, false);
-                    self.out.push(Action::Tell { to: Some(from), body });
+                    self.actions.push(Action::Tell { to: Some(from), body });
                 }
                 return;
             }
             Some(Said::Trouble { worker, strikes }) => {
                 // What is heard may keep a part of the workers idle, not most of them.
                 let on = self.workers.iter().filter(|worker| worker.standing == Standing::On).count();
-                let heard = strikes == 0 || self.avoided(now) * 4 <= on;
-                let Some(&at) = self.index.get(&worker).filter(|_| heard && !own_rank) else { return };
+                let heard = strikes == 0 || self.avoided_worker_count(now) * 4 <= on;
+                let Some(&at) = self.worker_index.get(&worker).filter(|_| heard && !own_rank) else { return };
                 return self.workers[at].trust.hear(now, from, strikes, self.rng.f64());
             }
             Some(Said::Load(load)) => load,
             _ => return,
         };
-        let Some(&at) = self.index.get(&load.worker) else { return };
+        let Some(&at) = self.worker_index.get(&load.worker) else { return };
         if let Some(speed) = load.ln_speed.filter(|_| !own_rank) {
             self.learn_speed(at, self.speed(at).ln() - speed);
         }
@@ -108,7 +108,7 @@
     /// Tells the worker's cohort what this dispatcher has there now, both its processes if there are two; the
     /// one that was succeeded tells the other.
     pub(super) fn tell_peers(&mut self, now: Micros, at: usize, ln_speed: Option<f64>) {
-        if !self.succeeded && !self.company.speaks() {
+        if !self.has_successor && !self.company.speaks() {
             return;
         }
         let (worker, rank) = (&self.workers[at], self.settings.rank);
@@ -120,11 +120,11 @@
         let latest = span(ends.chain(own_rank.map(|own_rank| own_rank.latest)).max());
         let cold = self.cold_sent(now, at) + own_rank.map_or(0.0, |own_rank| own_rank.cold);
         let body = peer::load(&Load { worker: worker.id, lanes, soonest, latest, cold, ln_speed });
-        if self.succeeded {
-            return self.out.push(Action::Tell { to: Some(rank), body });
+        if self.has_successor {
+            return self.actions.push(Action::Tell { to: Some(rank), body });
         }
         let others = self.cohorts.get(worker.cohort).into_iter().flat_map(|cohort| &cohort.1);
         let others = others.filter(|&&other| other != rank);
-        self.out.extend(others.map(|&other| Action::Tell { to: Some(other), body: body.clone() }));
+        self.actions.extend(others.map(|&other| Action::Tell { to: Some(other), body: body.clone() }));
     }
 }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -16,7 +16,7 @@
 impl Dispatcher {
     /// Requests of a tenant with a quota since this process started, and how many of them counted as within its share.
     pub fn counted(&self, tenant: TenantIx) -> Option<(u64, u64)> {
-        self.know.buckets.get(tenant.0).map(|bucket| (bucket.asked, bucket.given))
+        self.knowledge.buckets.get(tenant.0).map(|bucket| (bucket.asked, bucket.given))
     }
 }
 
--- a/crates/hollow/src/schedulers.rs
+++ b/crates/hollow/src/schedulers.rs
@@ -216,7 +216,7 @@
         let open = entry.is_some_and(|entry| !entry.concluded && now < entry.answer_by(last_answer));
         if !open {
             self.end(now, id, Ending::Moot, false, None);
-        } else if !self.dispatcher.may_begin(now, RequestId(id.request), id.number) {
+        } else if !self.dispatcher.may_start_attempt(now, RequestId(id.request), id.number) {
             self.end(now, id, Ending::Unreachable, false, None);
         } else {
             return true;
--- a/src/net/core/desk.rs
+++ b/src/net/core/desk.rs
@@ -251,7 +251,7 @@
 
     /// What was spent since the start of what all schedulers share, by the names that operators see.
     pub fn spent(&self) -> [(&'static str, u64); 6] {
-        self.dispatcher.spent.figures()
+        self.dispatcher.shared_spending.figures()
     }
 
     /// Why requests got no result, by the names that operators see.
@@ -261,7 +261,7 @@
 
     /// Listed next hops that the module does not send to at present.
     pub fn avoided(&self, now: Micros) -> usize {
-        self.dispatcher.avoided(now)
+        self.dispatcher.avoided_worker_count(now)
     }
 
     /// Requests that are still owed an answer.
--- a/src/net/core/desk/actions.rs
+++ b/src/net/core/desk/actions.rs
@@ -34,19 +34,19 @@
                 deadlines.set(Due::Timer(timer.0, self.next_timer), now + after);
             }
             Action::Probe(hop) => {
-                self.dispatcher.spent.probes += 1;
+                self.dispatcher.shared_spending.probes += 1;
                 self.work.push(Work::Probe(hop));
             }
             Action::Tell { to, body } => {
-                self.dispatcher.spent.messages += 1;
+                self.dispatcher.shared_spending.messages += 1;
                 self.work.push(Work::Tell { to, body });
             }
             Action::FetchList => {
-                self.dispatcher.spent.list_calls += 1;
+                self.dispatcher.shared_spending.list_calls += 1;
                 self.work.push(Work::FetchList);
             }
             Action::Subscribe(want) => {
-                self.dispatcher.spent.list_calls += u64::from(want);
+                self.dispatcher.shared_spending.list_calls += u64::from(want);
                 self.work.push(Work::Watch(want));
             }
             Action::CloseIdle(hop) => self.work.push(Work::CloseIdle(hop)),
--- a/src/net/core/desk/attempts.rs
+++ b/src/net/core/desk/attempts.rs
@@ -11,7 +11,7 @@
         if entry.is_none() {
             return Err(Ending::Moot);
         }
-        let may = self.dispatcher.may_begin(now, RequestId(id.request), id.number);
+        let may = self.dispatcher.may_start_attempt(now, RequestId(id.request), id.number);
         if may { Ok(()) } else { Err(Ending::Unreachable) }
     }
 
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -261,7 +261,7 @@
         let job = self.jobs.get_mut(&id)?;
         let nr = job.unbegun.remove(step.size as usize % job.unbegun.len());
         let (worker, sent, _) = job.attempts[nr];
-        if !job.answered && dispatcher.may_begin(self.now, RequestId(id), nr as u32) {
+        if !job.answered && dispatcher.may_start_attempt(self.now, RequestId(id), nr as u32) {
             job.check_repeat(id, nr, worker, self.now);
             job.check_ended(id, nr, worker);
             assert!(nr < self.settings.limits.tries as usize, "attempt {nr} of {id} is one too many");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -195,11 +195,15 @@
             let [a, b, c, d] = id.to_le_bytes();
             bench.tell(Event::Peer { from: 3, body: vec![1, a, b, c, d, 255] });
         }
-        assert!(bench.dispatcher.avoided(bench.now) <= 4, "{} avoided", bench.dispatcher.avoided(bench.now));
+        assert!(
+            bench.dispatcher.avoided_worker_count(bench.now) <= 4,
+            "{} avoided",
+            bench.dispatcher.avoided_worker_count(bench.now)
+        );
         bench.now += 2 * SECOND;
     }
     // Its word alone counts for a second, and twice that by the draw.
-    assert_eq!(bench.dispatcher.avoided(bench.now), 0);
+    assert_eq!(bench.dispatcher.avoided_worker_count(bench.now), 0);
     assert_eq!(sends(&bench.arrive(1, 1, 10 * MS)).len(), 1);
 }
 
--- a/tests/handed_on.rs
+++ b/tests/handed_on.rs
@@ -163,13 +163,13 @@
         let mut predecessor = Bench::with_workers(settings(), &[11]);
         predecessor.arrive(1, 0, 50 * MS);
         predecessor.outcome(1, 0, WorkerId(11), Ending::Error);
-        assert_eq!(predecessor.dispatcher.avoided(predecessor.now), 1);
+        assert_eq!(predecessor.dispatcher.avoided_worker_count(predecessor.now), 1);
         let knowledge = calicolb::rules::Dispatcher::on_clock(predecessor.dispatcher.knowledge(), ahead);
         let mut successor = Bench::with_workers(settings(), &[11]);
         let now = predecessor.now.saturating_add_signed(ahead);
         successor.dispatcher.on_event(now, Event::Handed(knowledge), &mut Vec::new());
-        assert_eq!(successor.dispatcher.avoided(now), 1, "{ahead} us ahead");
-        assert_eq!(successor.dispatcher.avoided(now + 10 * SECOND), 0, "{ahead} us ahead");
+        assert_eq!(successor.dispatcher.avoided_worker_count(now), 1, "{ahead} us ahead");
+        assert_eq!(successor.dispatcher.avoided_worker_count(now + 10 * SECOND), 0, "{ahead} us ahead");
     }
     let odd = serde_json::json!("no knowledge");
     assert_eq!(calicolb::rules::Dispatcher::on_clock(odd.clone(), 5), odd);
--- a/tests/renewal.rs
+++ b/tests/renewal.rs
@@ -218,9 +218,9 @@
     let mut done = bench.outcome(1, 0, sent[0].1, Ending::Unreachable);
     done.extend(bench.wait(20 * MS));
     assert_eq!(sends(&done).len(), 1);
-    assert!(bench.dispatcher.may_begin(bench.now, RequestId(1), 1));
+    assert!(bench.dispatcher.may_start_attempt(bench.now, RequestId(1), 1));
     renew(&mut bench, |new| new.limits.tries = 1);
-    assert!(!bench.dispatcher.may_begin(bench.now, RequestId(1), 1), "it would be one too many");
+    assert!(!bench.dispatcher.may_start_attempt(bench.now, RequestId(1), 1), "it would be one too many");
     // A job that waits for its second try, which is no longer to be had, is answered there and then.
     let mut settings = settings();
     settings.classes[0].late_worth = 0.5;
