--- a/crates/hollow/src/agreed.rs
+++ b/crates/hollow/src/agreed.rs
@@ -101,7 +101,7 @@
         root.insert(list.to_owned(), each.collect());
     }
     let text = Value::Object(root).to_string();
-    wire::settings(&text).map_err(|error| Fault { key: String::new(), why: error.to_string() })
+    wire::parse_settings(&text).map_err(|error| Fault { key: String::new(), why: error.to_string() })
 }
 
 /// What a version is checked by, and which way its keys tighten.
--- a/crates/hollow/src/discovery.rs
+++ b/crates/hollow/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::encode::{self, Line, Listing};
 use crate::plan::{MILLI, SECOND};
 use calicolb::api::{KindIx, ListKind, Member, Standing, ZoneIx};
-use calicolb::wire::hop_id;
+use calicolb::wire::worker_id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -197,7 +197,7 @@
 
 fn member(line: &Line, zone: usize, kind: usize) -> Member {
     Member {
-        worker: hop_id(&line.host),
+        worker: worker_id(&line.host),
         zone: ZoneIx(zone),
         kind: KindIx(kind),
         cell: line.block,
--- a/crates/hollow/src/plan.rs
+++ b/crates/hollow/src/plan.rs
@@ -254,7 +254,7 @@
 
     /// The same as the decision module has them.
     pub(crate) fn settings(&self) -> Settings {
-        match wire::settings(&self.settings_json().to_string()) {
+        match wire::parse_settings(&self.settings_json().to_string()) {
             Ok((settings, _)) => settings,
             Err(error) => unreachable!("the plan's own settings are sound: {error}"),
         }
--- a/crates/hollow/src/world.rs
+++ b/crates/hollow/src/world.rs
@@ -20,7 +20,7 @@
 use crate::workers::{Life, Origin, Task, Worker};
 use agreement::{Agreement, Word};
 use calicolb::api::*;
-use calicolb::wire::hop_id;
+use calicolb::wire::worker_id;
 
 use happenings::Next;
 pub(crate) use happenings::{Happening, News};
@@ -139,13 +139,13 @@
             draw = (draw ^ draw >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
             let name = format!("s-{:08x}", draw >> 32);
             // Schedulers know a worker by a number that is drawn from its name.
-            if !self.by_id.contains_key(&hop_id(&name)) {
+            if !self.by_id.contains_key(&worker_id(&name)) {
                 break name;
             }
         };
         let spread = LogNormal::new(0.0, SPEED_SPREAD).map_or(1.0, |spread| spread.sample(&mut self.rng));
         let slots = if kind == 0 { SLOTS } else { UNITS };
-        self.by_id.insert(hop_id(&name), nr);
+        self.by_id.insert(worker_id(&name), nr);
         let mut worker = Worker::new(name, zone, kind, cell, slots, spread);
         worker.born = born;
         self.workers.push(worker);
--- a/crates/hollow/src/world/agreement.rs
+++ b/crates/hollow/src/world/agreement.rs
@@ -135,7 +135,7 @@
         let rank = self.processes[process as usize].rank;
         let seed = self.plan.seed ^ u64::from(process) << 20;
         let settings = self.settings_of(rank);
-        let Ok((_, names)) = wire::settings(&self.plan.settings_json().to_string()) else { return };
+        let Ok((_, names)) = wire::parse_settings(&self.plan.settings_json().to_string()) else { return };
         let study = Study::new(settings, names, agreement.first.clone(), seed);
         self.processes[process as usize].study = Some(Box::new(study));
         self.learn(process, |study, now| study.start(now));
--- a/crates/hollow/src/world/tasks.rs
+++ b/crates/hollow/src/world/tasks.rs
@@ -24,7 +24,7 @@
         }
         let run = Run { number: self.tasks, worker: nr, at: self.now, ran: false, over: false };
         self.jobs[job as usize].runs.push(run);
-        let worker = hop_id(&self.workers[nr as usize].name);
+        let worker = worker_id(&self.workers[nr as usize].name);
         self.lay(back, Happening::Taken { process, id, worker, incarnation });
         self.start_tasks(nr);
     }
@@ -171,7 +171,7 @@
 
     pub(super) fn probe_at(&mut self, process: u32, nr: u32, sent: Micros) {
         let worker = &self.workers[nr as usize];
-        let (report, id, zone) = (worker.report(self.now), hop_id(&worker.name), worker.zone);
+        let (report, id, zone) = (worker.report(self.now), worker_id(&worker.name), worker.zone);
         let (inflight, queue, free) = worker.load(self.now);
         let up = worker.life == Life::Up;
         let bytes = if up { encode::probe_answer(inflight, queue, free).len() } else { 0 };
--- a/crates/rig/src/calibrate/direct.rs
+++ b/crates/rig/src/calibrate/direct.rs
@@ -7,7 +7,7 @@
 use super::process::{Process, Usage};
 use super::scenario;
 use super::stage::{Change, Stage};
-use calicolb::wire::hop_id;
+use calicolb::wire::worker_id;
 use calicolb_hollow::Plan;
 use serde::Serialize;
 use std::path::Path;
@@ -223,7 +223,7 @@
     })?;
     let whole_list = scene.cost(direct, idle, (Flow::WatchWhole, 1), |stage, _| stage.renew())?;
     let ids: Vec<[u8; 4]> =
-        scene.stage.discovery().hosts().iter().map(|host| hop_id(&host.host).0.to_le_bytes()).collect();
+        scene.stage.discovery().hosts().iter().map(|host| worker_id(&host.host).0.to_le_bytes()).collect();
     let others = sizes.schedulers.max(2) - 1;
     let from = |nr: u32| 1 + (nr % others) as usize;
     let id = |nr: u32| ids[nr as usize % ids.len()];
--- a/examples/renewal.rs
+++ b/examples/renewal.rs
@@ -6,7 +6,7 @@
 use calicolb::api::*;
 use calicolb::renewal::merge;
 use calicolb::rules::Dispatcher;
-use calicolb::wire::{Names, settings_of};
+use calicolb::wire::{Names, settings_from_json};
 use serde_json::{Value, json};
 use std::time::Instant;
 
@@ -74,7 +74,7 @@
 
 fn main() {
     let now = 1_000 * SECOND;
-    let read = |site: &Value| settings_of(site).unwrap_or_else(|fault| panic!("{fault}"));
+    let read = |site: &Value| settings_from_json(site).unwrap_or_else(|fault| panic!("{fault}"));
     let first = site(TENANTS);
     let text = first.to_string();
     println!(
--- a/src/bin/calicolb-drill.rs
+++ b/src/bin/calicolb-drill.rs
@@ -40,7 +40,7 @@
         if lines.text.is_empty() {
             continue;
         }
-        let now = match wire::line(&lines.text).map_err(|error| lines.wrong(error))? {
+        let now = match wire::parse_line(&lines.text).map_err(|error| lines.wrong(error))? {
             Line::Turn(now) => now,
             _ => return Err(lines.wrong("a batch must begin with TURN")),
         };
@@ -84,17 +84,17 @@
     fn batch<R: BufRead>(&mut self, now: Micros, lines: &mut Lines<'_, R>) -> Result<(), String> {
         loop {
             lines.within_batch()?;
-            match wire::line(&lines.text).map_err(|error| lines.wrong(error))? {
+            match wire::parse_line(&lines.text).map_err(|error| lines.wrong(error))? {
                 Line::Turn(_) => return Err(lines.wrong("TURN inside a batch")),
                 Line::End => return Ok(()),
                 Line::Up(name, seed, info) => {
-                    let (settings, names) = wire::settings(info).map_err(|error| lines.wrong(error))?;
+                    let (settings, names) = wire::parse_settings(info).map_err(|error| lines.wrong(error))?;
                     let made = guard(|| Dispatcher::new(settings, seed, now));
                     match made {
                         Ok(dispatcher) => {
                             self.instances.insert(name.to_owned(), Instance { dispatcher, names });
                         }
-                        Err(why) => wire::write_give_up(&mut self.reply, name, &why),
+                        Err(why) => wire::write_panic(&mut self.reply, name, &why),
                     }
                 }
                 Line::Exit(name) => {
@@ -108,7 +108,7 @@
                     let mut members = Vec::new();
                     for _ in 0..count {
                         lines.within_batch()?;
-                        let member = wire::entry(&lines.text, &instance.names);
+                        let member = wire::parse_member(&lines.text, &instance.names);
                         members.push(member.map_err(|error| lines.wrong(error))?);
                     }
                     self.tell(now, &name, Event::Members(kind, members));
@@ -117,7 +117,8 @@
                     let Some(instance) = self.instances.get(name) else {
                         return Err(lines.wrong(format!("instance '{name}' is not up")));
                     };
-                    let event = wire::event(fields, &instance.names).map_err(|error| lines.wrong(error))?;
+                    let event =
+                        wire::parse_event(fields, &instance.names).map_err(|error| lines.wrong(error))?;
                     self.tell(now, name, event);
                 }
             }
@@ -129,11 +130,11 @@
         self.actions.clear();
         let actions = &mut self.actions;
         if let Err(why) = guard(|| instance.dispatcher.on_event(now, event, actions)) {
-            wire::write_give_up(&mut self.reply, name, &why);
+            wire::write_panic(&mut self.reply, name, &why);
             return;
         }
         for action in &self.actions {
-            wire::write(&mut self.reply, name, action);
+            wire::write_action(&mut self.reply, name, action);
         }
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -326,7 +326,7 @@
                 }
             }
             let (Some(name), Some(dial)) = (name, dial) else { continue };
-            let worker = calicolb::wire::hop_id(name);
+            let worker = calicolb::wire::worker_id(name);
             if let Some((other, _)) = fixed.iter().find(|(_, other)| other.member.worker == worker) {
                 let message = format!("\"{name}\" and \"{other}\" have the same number");
                 self.reading.fault(sheet.at(), message, "rename one of them");
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -107,7 +107,7 @@
         let told = section.whole(key).map_err(|_| Fault::new(at, "is not a number from 0 on"))?;
         Ok(told.unwrap_or(default))
     };
-    let (mut module, names) = wire::settings_of(settings)?;
+    let (mut module, names) = wire::settings_from_json(settings)?;
     if module.classes.is_empty() {
         return Err(Fault::new("request_classes", "is missing or empty"));
     }
--- a/src/net/core/desk/tests.rs
+++ b/src/net/core/desk/tests.rs
@@ -24,7 +24,7 @@
             "request_classes":[{"name":"look","aim_us":900000,"deadline_us":9000000,"effect":"read_like"},
             {"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}],
             "extra":{"class_stretch":[2.0,2.0]}}"#;
-        let (mut settings, _) = wire::settings(info).expect("the settings are sound");
+        let (mut settings, _) = wire::parse_settings(info).expect("the settings are sound");
         settings.limits.copies = copies;
         let (now, connect_timeout) = (50 * SECOND, settings.limits.connect_timeout);
         let mut table = Table {
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -238,7 +238,7 @@
     fn gathered(&mut self, ctx: &mut Ctx<'_>) {
         let mut members = Vec::new();
         for change in self.fleet.changes() {
-            let worker = calicolb::wire::hop_id(&format!("gearman worker {}", change.nr));
+            let worker = calicolb::wire::worker_id(&format!("gearman worker {}", change.nr));
             self.hops.insert(worker, change.nr);
             // Without a lane there is nothing that it could take.
             let can = |name: &str| change.lanes > 0 && change.functions.contains(name);
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -26,7 +26,7 @@
     fn new() -> (Table, Gearman) {
         let info = r#"{"azs":["a"],"kinds":["k"],"ceilings":{"cancelling":true,"most_tries":4},
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
-        let (settings, names) = wire::settings(info).expect("the settings are sound");
+        let (settings, names) = wire::parse_settings(info).expect("the settings are sound");
         let now = 50 * SECOND;
         let desk = Desk::new(settings, 1, now, 100);
         let poll = Poll::new().expect("a poll can be had");
--- a/src/net/http/call_back.rs
+++ b/src/net/http/call_back.rs
@@ -5,7 +5,7 @@
 use crate::net::core::desk::News;
 use crate::net::http::framing::Reject;
 use calicolb::api::{Ending, Note, Report};
-use calicolb::wire::{Names, hop_id};
+use calicolb::wire::{Names, worker_id};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -43,7 +43,7 @@
         }
     };
     let report = call.load.and_then(|value| report_of(ctx.names, &value));
-    ctx.desk.news(ctx.now, &call.id, hop_id(&call.from), news, report);
+    ctx.desk.news(ctx.now, &call.id, worker_id(&call.from), news, report);
     Ok(())
 }
 
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -581,7 +581,7 @@
         }
     }
     let Request { target, headers, body, .. } = request;
-    let key = framing::query(&target, "obj").map(wire::hash_text);
+    let key = framing::query(&target, "obj").map(wire::fnv1a_hash);
     // Its class says what a next hop must be able to do for it.
     let skill = class.0 as u32;
     let envelope = Envelope { name: id.clone(), skill, target, headers, body };
--- a/src/net/platform/route_set/entry.rs
+++ b/src/net/platform/route_set/entry.rs
@@ -1,7 +1,7 @@
 //! The lines of the list, as discovery writes them.
 
 use calicolb::api::{Member, Standing};
-use calicolb::wire::{Names, WireError, hop_id};
+use calicolb::wire::{Names, WireError, worker_id};
 use serde::{Deserialize, Serialize};
 
 /// One line of the list.
@@ -33,7 +33,7 @@
         other => return Err(WireError(format!("unknown health '{other}'"))),
     };
     Ok(Member {
-        worker: hop_id(&line.host),
+        worker: worker_id(&line.host),
         zone: names.zone(&line.site)?,
         kind: names.kind(&line.class)?,
         cell: line.block,
@@ -53,7 +53,7 @@
 
     fn member(born_ms: u64, health: &str) -> Result<Member, WireError> {
         let info = r#"{"azs":["a","b"],"kinds":["m1","m2"]}"#;
-        let (_, names) = calicolb::wire::settings(info).expect("the settings are sound");
+        let (_, names) = calicolb::wire::parse_settings(info).expect("the settings are sound");
         let line = json!({"host":"s-1","dial":"127.0.0.1:1","site":"b","class":"m2","block":3,"health":health,
             "share":1.5,"born_ms":born_ms});
         read_member(&names, &serde_json::from_value(line).expect("the line is sound"))
@@ -66,7 +66,7 @@
         // A start before ours is as good as a later one: both are Unix time.
         let young = member(1_700_000_000_123, "terminating").expect("it is sound");
         assert_eq!(young.started, Some(1_700_000_000_123_000));
-        assert_eq!((young.standing, young.worker), (Standing::Draining, hop_id("s-1")));
+        assert_eq!((young.standing, young.worker), (Standing::Draining, worker_id("s-1")));
         assert_eq!(member(0, "terminated").map(|member| member.standing), Ok(Standing::Gone));
         assert!(member(0, "resting").is_err());
         // No time at all must come of a figure that does not fit.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -42,7 +42,7 @@
     Exit(&'a str),
     /// A list event for an instance, and how many entries follow.
     Members(&'a str, ListKind, usize),
-    /// Any other event, to be read with the instance's [`Names`] by [`event`].
+    /// Any other event, to be read with the instance's [`Names`] by [`parse_event`].
     Other(&'a str, Fields<'a>),
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// Reads one line of a batch, other than an entry of a list.
-pub fn line(text: &str) -> Result<Line<'_>, WireError> {
+pub fn parse_line(text: &str) -> Result<Line<'_>, WireError> {
     let fields = Fields::split(text);
     match fields.word {
         "TURN" => Ok(Line::Turn(number("now_us", fields.need("now_us")?)?)),
@@ -128,7 +128,7 @@
 }
 
 /// Reads one entry of a list.
-pub fn entry(text: &str, names: &Names) -> Result<Member, WireError> {
+pub fn parse_member(text: &str, names: &Names) -> Result<Member, WireError> {
     let fields = Fields::split(text);
     if fields.word != "M" {
         return bad(format!("a list entry was due, not '{}'", fields.word));
@@ -166,7 +166,7 @@
 }
 
 /// Reads an event other than a list event.
-pub fn event(fields: Fields<'_>, names: &Names) -> Result<Event, WireError> {
+pub fn parse_event(fields: Fields<'_>, names: &Names) -> Result<Event, WireError> {
     match fields.word {
         "ARRIVAL" => arrival(fields, names).map(Event::Arrival),
         "TIMEOUT_FIRED" => {
@@ -204,7 +204,7 @@
             ("size_hint_us", value) => hint = Some(number::<f64>("size_hint_us", value)?),
             ("needs", value) => slots = number::<f64>("needs", value)?,
             ("memory", value) => memory = number("memory", value)?,
-            ("name_key", value) => key = Some(hash_text(value)),
+            ("name_key", value) => key = Some(fnv1a_hash(value)),
             ("is_retry", value) => retry = flag("is_retry", value)?,
             _ => {}
         }
@@ -227,14 +227,14 @@
 }
 
 /// FNV-1a: the same number for the same text in every process.
-pub fn hash_text(text: &str) -> u64 {
+pub fn fnv1a_hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
 /// The number of a next hop: the same at every scheduler, since they speak of hops to each other by it.
-pub fn hop_id(name: &str) -> WorkerId {
-    let hash = hash_text(name);
+pub fn worker_id(name: &str) -> WorkerId {
+    let hash = fnv1a_hash(name);
     WorkerId((hash ^ (hash >> 32)) as u32)
 }
 
@@ -314,7 +314,7 @@
 }
 
 /// Writes one action of an instance, with the end of its line. Plain pushes: this is the adapter's hot path.
-pub fn write(out: &mut String, instance: &str, action: &Action) {
+pub fn write_action(out: &mut String, instance: &str, action: &Action) {
     let word = match action {
         Action::Send { .. } => "PASS_ON",
         Action::Refuse { .. } => "DECLINE",
@@ -394,7 +394,7 @@
 }
 
 /// Writes the give-up action: the decision code of an instance has failed.
-pub fn write_give_up(out: &mut String, instance: &str, why: &str) {
+pub fn write_panic(out: &mut String, instance: &str, why: &str) {
     out.push_str("GIVE_IN\tdispatcher=");
     out.push_str(instance);
     out.push_str("\tbody_text=");
@@ -529,16 +529,16 @@
 }
 
 /// Reads the settings of an instance, and the names behind its indices.
-pub fn settings(json: &str) -> Result<(Settings, Names), WireError> {
+pub fn parse_settings(json: &str) -> Result<(Settings, Names), WireError> {
     let value: Value = serde_json::from_str(json).or_else(|error| bad(format!("UP: info: {error}")))?;
-    settings_of(&value).or_else(|fault| bad(format!("UP: info: {fault}")))
+    settings_from_json(&value).or_else(|fault| bad(format!("UP: info: {fault}")))
 }
 
 /// The same, of JSON that has been read already.
 ///
 /// # Errors
 /// The key at fault, and what is wrong there.
-pub fn settings_of(value: &Value) -> Result<(Settings, Names), Fault> {
+pub fn settings_from_json(value: &Value) -> Result<(Settings, Names), Fault> {
     let read: Result<Info, _> = serde_path_to_error::deserialize(value);
     let info = read.map_err(|error| {
         Fault::new(key_at(error.path(), value), format!("cannot be read: {}", error.inner()))
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -122,7 +122,7 @@
 
 #[test]
 fn reports_are_read_by_the_names_of_either_wire() {
-    let (_, names) = calicolb::wire::settings(INFO).expect("the settings are sound");
+    let (_, names) = calicolb::wire::parse_settings(INFO).expect("the settings are sound");
     let simulated = [("utilization", 0.5), ("x0", 3.0), ("errors_per_s", 0.25)];
     let real = [("util", 0.5), ("x0", 3.0), ("eps", 0.25), ("unheard_of", 9.0)];
     let report = names.report(real.into_iter());
