--- a/crates/shutdown/src/lib.rs
+++ b/crates/shutdown/src/lib.rs
@@ -1,70 +1,73 @@
-//! What a process owes each of its open requests when it ends.
+//! Decides what happens to each open request while a process shuts down: it waits, moves to the successor or is answered.
 //!
-//! A process that was told to end (SIGTERM) may be killed [`Grace::kill_after`] later. By then each request that it has taken has
-//! its final answer, or goes on at the process that takes over (an upgrade), whole: with the state of every attempt, so that
-//! the successor keeps the rules on repeats. The rule is one function, [`shutdown_action`], of the request's state and of the phase
-//! that the process is in; it has no I/O and no clock, and the program and the simulated fleet both ask it.
+//! A process that receives SIGTERM may get SIGKILL [`Grace::kill_after`] microseconds later. By then each request that it
+//! has accepted either has its final answer or has been transferred to the process that takes over (an upgrade). A transfer
+//! carries the state of every attempt, so that the successor keeps the rules on repeats. One function, [`shutdown_action`],
+//! decides this from the state of the request and the [`Phase`] of the process. It has no I/O and no clock, and both the
+//! program and the fleet simulation call it.
 //!
 //! | request | [`Phase::Serving`] | [`Phase::Draining`] | [`Phase::HandingOver`] | [`Phase::Closing`] |
 //! | --- | --- | --- | --- | --- |
 //! | answered, or its client has left | wait | wait | wait | wait |
-//! | no attempt out, can move | wait | move | move | move |
-//! | each attempt that is out is taken, can move | wait | wait | move | move |
-//! | an attempt is not taken yet, or is being called off | wait | wait | wait | answer |
-//! | cannot move | wait | wait | wait | answer |
+//! | transferable, no attempt in flight | wait | transfer | transfer | transfer |
+//! | transferable, every attempt in flight is accepted by its worker | wait | wait | transfer | transfer |
+//! | an attempt is not accepted yet, or is being cancelled | wait | wait | wait | answer |
+//! | not transferable | wait | wait | wait | answer |
 //!
-//! A request can move where there is a successor that has not declined it, where its client's connection can be passed on,
-//! and where no part of a result has been sent. The answer is [`final_answer`]'s.
+//! A request is transferable if there is a successor that has not declined it, its client's connection can be passed on, and
+//! no part of a result has been sent. [`final_answer`] decides which answer it gets otherwise.
 
 use serde::{Deserialize, Serialize};
 
-/// A time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// SIGKILL comes so long after SIGTERM at the soonest, beyond the longest deadline of the classes, ...
+/// Least time from SIGTERM to SIGKILL beyond the longest deadline of the classes, which counts up to
+/// [`MAX_COUNTED_DEADLINE`].
 pub const KILL_MARGIN: Micros = 700_000;
-/// ... of which no more than this counts.
+/// The longest deadline of the classes counts towards the time before SIGKILL up to this value.
 pub const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// The last answers are given this long before SIGKILL may come.
+/// Final answers are sent this long before the earliest SIGKILL.
 pub const FINAL_ANSWER_MARGIN: Micros = 200_000;
-/// Attempts that are out move to the successor this long before SIGKILL may come: most have ended by then.
+/// Requests with attempts in flight are transferred to the successor this long before the earliest SIGKILL. Most attempts
+/// have ended by then.
 pub const HANDOVER_MARGIN: Micros = 600_000;
 
-/// What is known of an attempt, for the rules on repeats.
+/// Whether an attempt has ended and may have run, for the rules on repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptState {
-    /// It has not ended.
+    /// The attempt has not ended.
     #[serde(rename = "out")]
     InFlight,
-    /// It has ended, and surely never ran.
+    /// The attempt has ended and certainly never ran.
     NeverRan,
-    /// It has ended, and may have run.
+    /// The attempt has ended and may have run.
     MayHaveRan,
-    /// It is not waited for any more, and may still be running at its worker.
+    /// The process no longer waits for the attempt, which may still be running at its worker.
     MayRun,
 }
 
-/// How far an attempt that is out has come, beyond its [`AttemptState`].
+/// Progress of an attempt at the process that sent it, finer than [`AttemptState`] while it is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attempt {
-    /// It is over, in this state.
+    /// The attempt has ended in this state.
     Ended(AttemptState),
-    /// Its connection is not up, or its last byte is not written.
+    /// The connection is not established, or the last byte of the request is not written.
     Connecting,
-    /// It is written, and its worker has not said that it took the job.
+    /// The request is written, and the worker has not confirmed that it accepted the job.
     Written,
-    /// Its worker has taken the job and reports to whichever process listens.
+    /// The worker has accepted the job and reports to whichever process listens.
     Accepted,
-    /// It is to be called off, and its worker has not confirmed that.
+    /// The process is cancelling the attempt, and the worker has not confirmed the cancellation.
     Cancelling {
-        /// Its last byte is written, so that it may run.
+        /// Whether the last byte of the request is written, so that the job may run.
         written: bool,
     },
 }
 
 impl Attempt {
-    /// What the rules on repeats need to know of it.
+    /// Returns the state that the rules on repeats use.
     pub fn state(self) -> AttemptState {
         match self {
             Attempt::Ended(state) => state,
@@ -74,8 +77,8 @@
         }
     }
 
-    /// What is known of it if its process ends now.
-    fn abandoned(self) -> AttemptState {
+    /// Returns the state of the attempt if its process ends now.
+    fn state_if_abandoned(self) -> AttemptState {
         match self {
             Attempt::Ended(state) => state,
             Attempt::Connecting | Attempt::Cancelling { written: false } => AttemptState::NeverRan,
@@ -86,58 +89,59 @@
     }
 }
 
-/// An open request.
+/// The properties of an open request that decide what happens to it at shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// It has its final answer, or its client has left.
+    /// Whether the request has its final answer or its client has left.
     pub answered: bool,
-    /// Its client's connection can be passed on, and no part of a result has been sent.
+    /// Whether the client's connection can be passed on and no part of a result has been sent.
     pub transferable: bool,
-    /// A repeat does no harm, wherever it runs.
+    /// Whether a repeat is harmless at any worker.
     pub repeatable: bool,
-    /// Its attempts, in the order in which they were sent.
+    /// The attempts, in the order in which they were sent.
     pub attempts: &'a [Attempt],
 }
 
-/// How near the end of the process is.
+/// Phase of a process on its way to shutdown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has not been told to end.
+    /// The process has not received SIGTERM.
     Serving,
-    /// It has been told to end, and what is out has time to end here.
+    /// The process has received SIGTERM, and attempts in flight have time to end in this process.
     Draining,
-    /// What is out moves to the successor, if there is one.
+    /// Requests with attempts in flight are transferred to the successor, if there is one.
     HandingOver,
-    /// Last answers are given.
+    /// Requests that are still open get their final answers.
     Closing,
 }
 
-/// What is owed to a request now.
+/// Next step for a request in a process that is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownAction {
-    /// Nothing yet, or nothing any more.
+    /// Nothing is to be done: the request has time left, or it is already answered.
     Wait,
-    /// It moves to the successor, with all its attempts.
+    /// Transfer the request to the successor, with all its attempts.
     Transfer,
-    /// It gets this answer.
+    /// Send this final answer.
     Answer(FinalAnswer),
 }
 
-/// The answer to a request that has no result.
+/// Final answer to a request that has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Trying again is harmless.
+    /// The request is refused; the client may safely retry.
     Refused,
-    /// Nothing is promised of its effect.
+    /// The request failed; it may have taken effect.
     Failed,
 }
 
-/// What is owed to a request in this phase. `successor`: another process has taken over, and takes this request.
+/// Returns the next step for a request in this phase. `successor` is true if another process has taken over and accepts
+/// this request.
 pub fn shutdown_action(request: Request<'_>, phase: Phase, successor: bool) -> ShutdownAction {
     if request.answered || phase == Phase::Serving {
         return ShutdownAction::Wait;
     }
-    if successor && request.transferable && moves(request.attempts, phase) {
+    if successor && request.transferable && attempts_transferable(request.attempts, phase) {
         return ShutdownAction::Transfer;
     }
     if phase < Phase::Closing {
@@ -145,50 +149,51 @@
     }
     ShutdownAction::Answer(final_answer(
         request.repeatable,
-        request.attempts.iter().map(|attempt| attempt.abandoned()),
+        request.attempts.iter().map(|attempt| attempt.state_if_abandoned()),
     ))
 }
 
-/// All that is known of these attempts can be told to a successor in this phase.
-fn moves(attempts: &[Attempt], phase: Phase) -> bool {
-    let open = attempts.iter().filter(|attempt| attempt.state() == AttemptState::InFlight);
-    let mut open = open.peekable();
-    if open.peek().is_none() {
+/// Whether a request with these attempts can be transferred in this phase: no attempt is in flight, or, from
+/// [`Phase::HandingOver`] on, each attempt in flight is accepted by its worker.
+fn attempts_transferable(attempts: &[Attempt], phase: Phase) -> bool {
+    let in_flight = attempts.iter().filter(|attempt| attempt.state() == AttemptState::InFlight);
+    let mut in_flight = in_flight.peekable();
+    if in_flight.peek().is_none() {
         return true;
     }
-    phase >= Phase::HandingOver && open.all(|attempt| *attempt == Attempt::Accepted)
+    phase >= Phase::HandingOver && in_flight.all(|attempt| *attempt == Attempt::Accepted)
 }
 
-/// The answer to a request that gets no result: it is refused only where trying again is harmless.
+/// Returns the answer to a request that gets no result: a refusal only if a retry is harmless.
 pub fn final_answer(repeatable: bool, attempts: impl IntoIterator<Item = AttemptState>) -> FinalAnswer {
     let never_ran = attempts.into_iter().all(|state| state == AttemptState::NeverRan);
     if repeatable || never_ran { FinalAnswer::Refused } else { FinalAnswer::Failed }
 }
 
-/// From SIGTERM to the earliest SIGKILL, and the moments between.
+/// Timeline of a shutdown, from SIGTERM to the earliest SIGKILL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grace {
-    /// From SIGTERM to the earliest SIGKILL.
+    /// Time from SIGTERM to the earliest SIGKILL.
     pub kill_after: Micros,
 }
 
 impl Grace {
-    /// The grace of a process whose classes have this longest deadline.
+    /// Returns the timeline for a process whose classes have this longest deadline.
     pub fn new(longest_deadline: Micros) -> Self {
         Grace { kill_after: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN }
     }
 
-    /// When what is out begins to move to a successor, after SIGTERM.
+    /// Time after SIGTERM at which requests with attempts in flight begin to be transferred.
     pub fn handover_at(self) -> Micros {
         self.kill_after - HANDOVER_MARGIN
     }
 
-    /// When the last answers are given, after SIGTERM.
+    /// Time after SIGTERM at which final answers are sent.
     pub fn final_answer_at(self) -> Micros {
         self.kill_after - FINAL_ANSWER_MARGIN
     }
 
-    /// The phase of a process that was told to end so long ago.
+    /// Returns the phase of a process that received SIGTERM `since_term` microseconds ago.
     pub fn phase(self, since_term: Micros) -> Phase {
         if since_term >= self.final_answer_at() {
             Phase::Closing
--- a/crates/shutdown/tests/shutdown_action.rs
+++ b/crates/shutdown/tests/shutdown_action.rs
@@ -1,4 +1,4 @@
-//! Every state of a request has an outcome at the end of its process, and none is left out.
+//! Checks [`shutdown_action`] for every sequence of up to three attempts, and the timeline of a shutdown.
 
 use calicolb_shutdown::{
     Attempt, AttemptState, FinalAnswer, Grace, HANDOVER_MARGIN, KILL_MARGIN, MAX_COUNTED_DEADLINE, Micros,
@@ -19,16 +19,16 @@
     Attempt::Cancelling { written: true },
 ];
 
-fn open(attempts: &[Attempt]) -> Request<'_> {
+fn open_request(attempts: &[Attempt]) -> Request<'_> {
     Request { answered: false, transferable: true, repeatable: false, attempts }
 }
 
 /// Every sequence of up to three attempts.
-fn histories() -> Vec<Vec<Attempt>> {
+fn attempt_sequences() -> Vec<Vec<Attempt>> {
     let mut all = vec![Vec::new()];
     for _ in 0..3 {
-        let longer = all.iter().flat_map(|history: &Vec<Attempt>| {
-            ATTEMPTS.map(|attempt| [history.as_slice(), &[attempt]].concat())
+        let longer = all.iter().flat_map(|sequence: &Vec<Attempt>| {
+            ATTEMPTS.map(|attempt| [sequence.as_slice(), &[attempt]].concat())
         });
         all = [all.clone(), longer.collect()].concat();
     }
@@ -36,16 +36,16 @@
 }
 
 #[test]
-fn at_the_last_moment_nothing_waits_but_what_is_answered() {
-    for attempts in histories() {
+fn in_the_closing_phase_only_answered_requests_wait() {
+    for attempts in attempt_sequences() {
         for (transferable, repeatable, successor) in
             (0..8).map(|bits| (bits & 1 > 0, bits & 2 > 0, bits & 4 > 0))
         {
             let request = Request { answered: false, transferable, repeatable, attempts: &attempts };
-            let owed = shutdown_action(request, Phase::Closing, successor);
-            assert_ne!(owed, ShutdownAction::Wait, "{request:?}, successor {successor}");
+            let action = shutdown_action(request, Phase::Closing, successor);
+            assert_ne!(action, ShutdownAction::Wait, "{request:?}, successor {successor}");
             assert!(
-                owed != ShutdownAction::Transfer || (transferable && successor),
+                action != ShutdownAction::Transfer || (transferable && successor),
                 "{request:?}, successor {successor}"
             );
             let answered = Request { answered: true, ..request };
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn without_a_successor_nothing_is_answered_before_the_last_moment() {
-    for attempts in histories() {
+fn without_a_successor_requests_wait_until_the_closing_phase() {
+    for attempts in attempt_sequences() {
         for phase in PHASES.into_iter().filter(|&phase| phase < Phase::Closing) {
             assert_eq!(
-                shutdown_action(open(&attempts), phase, false),
+                shutdown_action(open_request(&attempts), phase, false),
                 ShutdownAction::Wait,
                 "{attempts:?}, {phase:?}"
             );
@@ -68,34 +68,37 @@
 }
 
 #[test]
-fn what_moves_early_moves_later_too_and_only_as_a_state_that_can_be_told() {
-    for attempts in histories() {
-        let moves =
-            PHASES.map(|phase| shutdown_action(open(&attempts), phase, true) == ShutdownAction::Transfer);
-        assert!(moves.is_sorted(), "{attempts:?}: {moves:?}");
-        let untold = |attempt: &Attempt| {
+fn a_transferable_request_stays_transferable_and_only_without_unconfirmed_attempts() {
+    for attempts in attempt_sequences() {
+        let transfers = PHASES
+            .map(|phase| shutdown_action(open_request(&attempts), phase, true) == ShutdownAction::Transfer);
+        assert!(transfers.is_sorted(), "{attempts:?}: {transfers:?}");
+        let unconfirmed = |attempt: &Attempt| {
             matches!(attempt, Attempt::Connecting | Attempt::Written | Attempt::Cancelling { .. })
         };
-        assert_eq!(moves[3], !attempts.iter().any(untold), "{attempts:?}");
+        assert_eq!(transfers[3], !attempts.iter().any(unconfirmed), "{attempts:?}");
     }
 }
 
 #[test]
-fn what_is_held_moves_at_once_and_what_is_taken_when_it_has_had_its_time() {
+fn held_requests_transfer_while_draining_and_accepted_ones_when_handing_over() {
     let held = [Attempt::Ended(AttemptState::NeverRan)];
     for attempts in [&held[..], &[]] {
-        assert_eq!(shutdown_action(open(attempts), Phase::Draining, true), ShutdownAction::Transfer);
-        assert_eq!(shutdown_action(open(attempts), Phase::Serving, true), ShutdownAction::Wait);
+        assert_eq!(shutdown_action(open_request(attempts), Phase::Draining, true), ShutdownAction::Transfer);
+        assert_eq!(shutdown_action(open_request(attempts), Phase::Serving, true), ShutdownAction::Wait);
     }
-    let second = [Attempt::Ended(AttemptState::MayHaveRan), Attempt::Accepted];
-    for attempts in [&second[..], &[Attempt::Accepted], &[Attempt::Accepted, Attempt::Accepted]] {
-        assert_eq!(shutdown_action(open(attempts), Phase::Draining, true), ShutdownAction::Wait);
-        assert_eq!(shutdown_action(open(attempts), Phase::HandingOver, true), ShutdownAction::Transfer);
+    let accepted_second = [Attempt::Ended(AttemptState::MayHaveRan), Attempt::Accepted];
+    for attempts in [&accepted_second[..], &[Attempt::Accepted], &[Attempt::Accepted, Attempt::Accepted]] {
+        assert_eq!(shutdown_action(open_request(attempts), Phase::Draining, true), ShutdownAction::Wait);
+        assert_eq!(
+            shutdown_action(open_request(attempts), Phase::HandingOver, true),
+            ShutdownAction::Transfer
+        );
     }
 }
 
 #[test]
-fn a_request_is_refused_only_where_trying_again_is_harmless() {
+fn a_request_is_refused_only_if_a_retry_is_harmless() {
     let may_have_run = [AttemptState::InFlight, AttemptState::MayHaveRan, AttemptState::MayRun];
     for state in may_have_run {
         assert_eq!(final_answer(false, [AttemptState::NeverRan, state]), FinalAnswer::Failed);
@@ -103,29 +106,30 @@
     }
     assert_eq!(final_answer(false, []), FinalAnswer::Refused);
     assert_eq!(final_answer(false, [AttemptState::NeverRan]), FinalAnswer::Refused);
-    let abandoned = |attempt| shutdown_action(open(&[attempt]), Phase::Closing, false);
+    let action_at_closing = |attempt| shutdown_action(open_request(&[attempt]), Phase::Closing, false);
     for attempt in [Attempt::Written, Attempt::Accepted, Attempt::Cancelling { written: true }] {
-        assert_eq!(abandoned(attempt), ShutdownAction::Answer(FinalAnswer::Failed), "{attempt:?}");
+        assert_eq!(action_at_closing(attempt), ShutdownAction::Answer(FinalAnswer::Failed), "{attempt:?}");
     }
     for attempt in [Attempt::Connecting, Attempt::Cancelling { written: false }] {
-        assert_eq!(abandoned(attempt), ShutdownAction::Answer(FinalAnswer::Refused), "{attempt:?}");
+        assert_eq!(action_at_closing(attempt), ShutdownAction::Answer(FinalAnswer::Refused), "{attempt:?}");
     }
 }
 
 #[test]
-fn the_grace_counts_three_seconds_of_a_deadline_at_most() {
+fn the_time_to_kill_counts_a_deadline_up_to_three_seconds() {
     assert_eq!(Grace::new(25 * SECOND).kill_after, MAX_COUNTED_DEADLINE + KILL_MARGIN);
     assert_eq!(Grace::new(SECOND / 2).kill_after, SECOND / 2 + KILL_MARGIN);
-    // Also with no deadline at all the moments come in their order.
-    let least = Grace::new(0);
+    // The order of the phases holds for a deadline of zero too.
+    let shortest = Grace::new(0);
     assert!(
-        least.handover_at() == KILL_MARGIN - HANDOVER_MARGIN && least.handover_at() < least.final_answer_at()
+        shortest.handover_at() == KILL_MARGIN - HANDOVER_MARGIN
+            && shortest.handover_at() < shortest.final_answer_at()
     );
 }
 
 proptest! {
     #[test]
-    fn phases_come_in_their_order(deadline in 0..60 * SECOND, first in 0..5 * SECOND, later in 0..5 * SECOND) {
+    fn later_times_are_in_the_same_or_a_later_phase(deadline in 0..60 * SECOND, first in 0..5 * SECOND, later in 0..5 * SECOND) {
         let grace = Grace::new(deadline);
         prop_assert!(grace.phase(first) <= grace.phase(first + later));
         prop_assert_eq!(grace.phase(grace.kill_after), Phase::Closing);
