--- a/src/bin/calicolb-drill.rs
+++ b/src/bin/calicolb-drill.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module by name and speaks the wire on standard input and output.
+//! Runs instances of the decision module for the simulator: reads batches of events from standard input and writes the
+//! resulting actions to standard output.
 
 use calicolb::api::{Action, Event, Micros};
 use calicolb::rules::Dispatcher;
@@ -9,11 +10,13 @@
 use std::panic::{self, AssertUnwindSafe};
 use std::process::ExitCode;
 
+/// One instance of the decision module, with the names of its settings.
 struct Instance {
     dispatcher: Dispatcher,
     names: Names,
 }
 
+/// All running instances by name, and the reply to the current batch.
 struct Host {
     instances: HashMap<String, Instance>,
     actions: Vec<Action>,
@@ -21,7 +24,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic in the module is reported on the wire, once, instead of by the usual message.
+    // A panic in the decision module is written to the reply; the default hook would print it to standard error too.
     panic::set_hook(Box::new(|_| {}));
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -32,28 +35,31 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Replies to each batch until the input ends.
+///
+/// # Errors
+/// The input is malformed or ends inside a batch, or reading or writing fails.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = Host { instances: HashMap::new(), actions: Vec::new(), reply: String::new() };
     let mut lines = Lines { input: &mut input, text: String::new(), number: 0 };
-    while lines.next()? {
+    while lines.read_next()? {
         if lines.text.is_empty() {
             continue;
         }
-        let now = match wire::parse_line(&lines.text).map_err(|error| lines.wrong(error))? {
-            Line::Turn(now) => now,
-            _ => return Err(lines.wrong("a batch must begin with TURN")),
+        let now = match wire::parse_line(&lines.text).map_err(|error| lines.error(error))? {
+            Line::BatchStart(now) => now,
+            _ => return Err(lines.error("a batch must begin with TURN")),
         };
         host.reply.clear();
-        host.batch(now, &mut lines)?;
+        host.process_batch(now, &mut lines)?;
         host.reply.push_str("NEXT\n");
         let sent = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
-        sent.map_err(|error| format!("writing a reply: {error}"))?;
+        sent.map_err(|error| format!("cannot write the reply: {error}"))?;
     }
     Ok(())
 }
 
-/// The input, line by line, with the number of the line in hand.
+/// Reads the input line by line and counts lines for error messages.
 struct Lines<'a, R> {
     input: &'a mut R,
     text: String,
@@ -61,76 +67,76 @@
 }
 
 impl<R: BufRead> Lines<'_, R> {
-    fn next(&mut self) -> Result<bool, String> {
+    fn read_next(&mut self) -> Result<bool, String> {
         self.text.clear();
         self.number += 1;
-        let read = self.input.read_line(&mut self.text).map_err(|error| self.wrong(error))?;
+        let read = self.input.read_line(&mut self.text).map_err(|error| self.error(error))?;
         if self.text.ends_with('\n') {
             self.text.pop();
         }
         Ok(read > 0)
     }
 
-    fn within_batch(&mut self) -> Result<(), String> {
-        if self.next()? { Ok(()) } else { Err(self.wrong("the input ends inside a batch")) }
+    fn read_within_batch(&mut self) -> Result<(), String> {
+        if self.read_next()? { Ok(()) } else { Err(self.error("the input ends inside a batch")) }
     }
 
-    fn wrong(&self, what: impl std::fmt::Display) -> String {
-        format!("line {}: {what}", self.number)
+    fn error(&self, message: impl std::fmt::Display) -> String {
+        format!("line {}: {message}", self.number)
     }
 }
 
 impl Host {
-    fn batch<R: BufRead>(&mut self, now: Micros, lines: &mut Lines<'_, R>) -> Result<(), String> {
+    fn process_batch<R: BufRead>(&mut self, now: Micros, lines: &mut Lines<'_, R>) -> Result<(), String> {
         loop {
-            lines.within_batch()?;
-            match wire::parse_line(&lines.text).map_err(|error| lines.wrong(error))? {
-                Line::Turn(_) => return Err(lines.wrong("TURN inside a batch")),
-                Line::End => return Ok(()),
-                Line::Up(name, seed, info) => {
-                    let (settings, names) = wire::parse_settings(info).map_err(|error| lines.wrong(error))?;
-                    let made = guard(|| Dispatcher::new(settings, seed, now));
-                    match made {
+            lines.read_within_batch()?;
+            match wire::parse_line(&lines.text).map_err(|error| lines.error(error))? {
+                Line::BatchStart(_) => return Err(lines.error("TURN inside a batch")),
+                Line::BatchEnd => return Ok(()),
+                Line::InstanceStart(name, seed, info) => {
+                    let (settings, names) = wire::parse_settings(info).map_err(|error| lines.error(error))?;
+                    let created = catch_panic(|| Dispatcher::new(settings, seed, now));
+                    match created {
                         Ok(dispatcher) => {
                             self.instances.insert(name.to_owned(), Instance { dispatcher, names });
                         }
-                        Err(why) => wire::write_panic(&mut self.reply, name, &why),
+                        Err(text) => wire::write_panic(&mut self.reply, name, &text),
                     }
                 }
-                Line::Exit(name) => {
+                Line::InstanceExit(name) => {
                     self.instances.remove(name);
                 }
                 Line::Members(name, kind, count) => {
                     let name = name.to_owned();
                     let Some(instance) = self.instances.get(&name) else {
-                        return Err(lines.wrong(format!("instance '{name}' is not up")));
+                        return Err(lines.error(format!("instance '{name}' is not running")));
                     };
                     let mut members = Vec::new();
                     for _ in 0..count {
-                        lines.within_batch()?;
+                        lines.read_within_batch()?;
                         let member = wire::parse_member(&lines.text, &instance.names);
-                        members.push(member.map_err(|error| lines.wrong(error))?);
+                        members.push(member.map_err(|error| lines.error(error))?);
                     }
-                    self.tell(now, &name, Event::Members(kind, members));
+                    self.dispatch(now, &name, Event::Members(kind, members));
                 }
                 Line::Other(name, fields) => {
                     let Some(instance) = self.instances.get(name) else {
-                        return Err(lines.wrong(format!("instance '{name}' is not up")));
+                        return Err(lines.error(format!("instance '{name}' is not running")));
                     };
                     let event =
-                        wire::parse_event(fields, &instance.names).map_err(|error| lines.wrong(error))?;
-                    self.tell(now, name, event);
+                        wire::parse_event(fields, &instance.names).map_err(|error| lines.error(error))?;
+                    self.dispatch(now, name, event);
                 }
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, name: &str, event: Event) {
+    fn dispatch(&mut self, now: Micros, name: &str, event: Event) {
         let Some(instance) = self.instances.get_mut(name) else { return };
         self.actions.clear();
         let actions = &mut self.actions;
-        if let Err(why) = guard(|| instance.dispatcher.on_event(now, event, actions)) {
-            wire::write_panic(&mut self.reply, name, &why);
+        if let Err(text) = catch_panic(|| instance.dispatcher.on_event(now, event, actions)) {
+            wire::write_panic(&mut self.reply, name, &text);
             return;
         }
         for action in &self.actions {
@@ -139,8 +145,8 @@
     }
 }
 
-/// Runs the module's code and turns a panic into its text.
-fn guard<T>(run: impl FnOnce() -> T) -> Result<T, String> {
+/// Runs code of the decision module and returns the text of a panic as an error.
+fn catch_panic<T>(run: impl FnOnce() -> T) -> Result<T, String> {
     panic::catch_unwind(AssertUnwindSafe(run)).map_err(panic_text)
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,10 +1,10 @@
-//! Wire text to and from the types of [`api`](crate::api). Nothing is decided here.
+//! Parses the simulator's text protocol into the types of [`api`](crate::api) and writes actions in it. Makes no decisions.
 
 mod names;
 
 pub use self::names::Names;
 
-use self::names::{Extra, index};
+use self::names::{ReportExtra, index_of};
 use crate::api::*;
 use crate::renewal::{Fault, key_at};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
@@ -13,7 +13,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What is wrong with a line.
+/// Describes why a line or the settings in it cannot be parsed.
 #[derive(Debug, PartialEq)]
 pub struct WireError(pub String);
 
@@ -25,50 +25,50 @@
 
 impl std::error::Error for WireError {}
 
-fn bad<T>(what: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError(what.into()))
+fn wire_error<T>(message: impl Into<String>) -> Result<T, WireError> {
+    Err(WireError(message.into()))
 }
 
-/// A line of a batch that stands on its own.
+/// A parsed line of a batch, other than an entry of a worker list.
 #[derive(Debug)]
 pub enum Line<'a> {
-    /// A batch begins at this time.
-    Turn(Micros),
+    /// A batch of events that all occur at this time begins.
+    BatchStart(Micros),
     /// The batch ends.
-    End,
-    /// An instance starts: its name, its seed, its settings as JSON.
-    Up(&'a str, u64, &'a str),
+    BatchEnd,
+    /// An instance starts: its name, its random seed and its settings as JSON.
+    InstanceStart(&'a str, u64, &'a str),
     /// An instance was killed.
-    Exit(&'a str),
-    /// A list event for an instance, and how many entries follow.
+    InstanceExit(&'a str),
+    /// A worker list event: the name of the instance, the kind of event and the number of entry lines that follow.
     Members(&'a str, ListKind, usize),
-    /// Any other event, to be read with the instance's [`Names`] by [`parse_event`].
+    /// Any other event of the named instance. [`parse_event`] parses its fields with the [`Names`] of that instance.
     Other(&'a str, Fields<'a>),
 }
 
-/// The message word and the name=value pairs of a line.
+/// The message type of a line and its `name=value` fields, separated by tabs.
 #[derive(Clone, Copy, Debug)]
 pub struct Fields<'a> {
-    word: &'a str,
-    rest: &'a str,
+    message_type: &'a str,
+    field_text: &'a str,
 }
 
 impl<'a> Fields<'a> {
     fn split(line: &'a str) -> Self {
-        let (word, rest) = line.split_once('\t').unwrap_or((line, ""));
-        Fields { word, rest }
+        let (message_type, field_text) = line.split_once('\t').unwrap_or((line, ""));
+        Fields { message_type, field_text }
     }
 
-    fn pairs(&self) -> impl Iterator<Item = Result<(&'a str, &'a str), WireError>> + use<'a> {
-        let word = self.word;
-        self.rest.split('\t').filter(|part| !part.is_empty()).map(move |part| {
-            part.split_once('=').ok_or_else(|| WireError(format!("{word}: no '=' in '{part}'")))
+    fn iter(&self) -> impl Iterator<Item = Result<(&'a str, &'a str), WireError>> + use<'a> {
+        let message_type = self.message_type;
+        self.field_text.split('\t').filter(|part| !part.is_empty()).map(move |part| {
+            part.split_once('=').ok_or_else(|| WireError(format!("{message_type}: no '=' in '{part}'")))
         })
     }
 
     fn get(&self, name: &str) -> Result<Option<&'a str>, WireError> {
-        for pair in self.pairs() {
-            let (key, value) = pair?;
+        for field in self.iter() {
+            let (key, value) = field?;
             if key == name {
                 return Ok(Some(value));
             }
@@ -76,65 +76,73 @@
         Ok(None)
     }
 
-    fn need(&self, name: &str) -> Result<&'a str, WireError> {
+    fn required(&self, name: &str) -> Result<&'a str, WireError> {
         match self.get(name)? {
             Some(value) => Ok(value),
-            None => bad(format!("{}: field '{name}' is missing", self.word)),
+            None => wire_error(format!("{}: field '{name}' is missing", self.message_type)),
         }
     }
 }
 
-fn number<T: FromStr>(name: &str, value: &str) -> Result<T, WireError> {
-    value.parse().or_else(|_| bad(format!("field '{name}': '{value}' is not a number it can hold")))
+fn parse_number<T: FromStr>(name: &str, value: &str) -> Result<T, WireError> {
+    value.parse().or_else(|_| wire_error(format!("field '{name}': '{value}' is not a number in its range")))
 }
 
-fn flag(name: &str, value: &str) -> Result<bool, WireError> {
+fn parse_flag(name: &str, value: &str) -> Result<bool, WireError> {
     match value {
         "1" => Ok(true),
         "0" => Ok(false),
-        _ => bad(format!("field '{name}': '{value}' is neither 1 nor 0")),
+        _ => wire_error(format!("field '{name}': '{value}' is neither 1 nor 0")),
     }
 }
 
-/// Reads one line of a batch, other than an entry of a list.
+/// Parses one line of a batch, other than an entry of a worker list.
+///
+/// # Errors
+/// The message type is unknown, or a field is missing or malformed.
 pub fn parse_line(text: &str) -> Result<Line<'_>, WireError> {
     let fields = Fields::split(text);
-    match fields.word {
-        "TURN" => Ok(Line::Turn(number("now_us", fields.need("now_us")?)?)),
-        "END" => Ok(Line::End),
+    match fields.message_type {
+        "TURN" => Ok(Line::BatchStart(parse_number("now_us", fields.required("now_us")?)?)),
+        "END" => Ok(Line::BatchEnd),
         "UP" => {
-            // The settings are text to the end of the line: whatever stands in them is theirs.
-            let Some(at) = text.find("\tinfo=") else { return bad("UP: field 'info' is missing") };
-            let head = Fields::split(&text[..at]);
-            let seed = number("init_seed", head.need("init_seed")?)?;
-            Ok(Line::Up(head.need("dispatcher")?, seed, &text[at + 6..]))
+            // The settings are JSON up to the end of the line and may contain tabs and '='.
+            let Some(info_at) = text.find("\tinfo=") else {
+                return wire_error("UP: field 'info' is missing");
+            };
+            let head = Fields::split(&text[..info_at]);
+            let seed = parse_number("init_seed", head.required("init_seed")?)?;
+            Ok(Line::InstanceStart(head.required("dispatcher")?, seed, &text[info_at + 6..]))
         }
-        "EXIT" => Ok(Line::Exit(fields.need("dispatcher")?)),
+        "EXIT" => Ok(Line::InstanceExit(fields.required("dispatcher")?)),
         "MEMBERS" => {
-            let kind = match fields.need("kind")? {
+            let kind = match fields.required("kind")? {
                 "incr" => ListKind::Changes,
                 "total" => ListKind::Full,
                 "warm_copy" => ListKind::Saved,
                 "lost" => ListKind::Lost,
-                other => return bad(format!("MEMBERS: unknown kind '{other}'")),
+                other => return wire_error(format!("MEMBERS: unknown kind '{other}'")),
             };
-            let count = fields.get("rows_in")?.map_or(Ok(0), |value| number("rows_in", value))?;
-            Ok(Line::Members(fields.need("dispatcher")?, kind, count))
+            let count = fields.get("rows_in")?.map_or(Ok(0), |value| parse_number("rows_in", value))?;
+            Ok(Line::Members(fields.required("dispatcher")?, kind, count))
         }
         "ARRIVAL" | "TIMEOUT_FIRED" | "FIRST_BYTE" | "HINT_UPDATE" | "OUTCOME" | "CHECKED" | "LAPSED"
-        | "PEER_DATA" => Ok(Line::Other(fields.need("dispatcher")?, fields)),
-        other => bad(format!("unknown message '{other}'")),
+        | "PEER_DATA" => Ok(Line::Other(fields.required("dispatcher")?, fields)),
+        other => wire_error(format!("unknown message '{other}'")),
     }
 }
 
-/// Reads one entry of a list.
+/// Parses one entry of a worker list.
+///
+/// # Errors
+/// The line is no list entry, or a field is missing, malformed or not among `names`.
 pub fn parse_member(text: &str, names: &Names) -> Result<Member, WireError> {
     let fields = Fields::split(text);
-    if fields.word != "M" {
-        return bad(format!("a list entry was due, not '{}'", fields.word));
+    if fields.message_type != "M" {
+        return wire_error(format!("expected a list entry, found '{}'", fields.message_type));
     }
     let mut member = Member {
-        worker: WorkerId(number("worker", fields.need("worker")?)?),
+        worker: WorkerId(parse_number("worker", fields.required("worker")?)?),
         zone: ZoneIx(0),
         kind: KindIx(0),
         cell: 0,
@@ -142,22 +150,23 @@
         weight: 1.0,
         ..Member::default()
     };
-    for pair in fields.pairs() {
-        match pair? {
-            ("dc", value) => member.zone = ZoneIx(index("zone", &names.zones, value)?),
-            ("sku", value) => member.kind = KindIx(index("kind", &names.kinds, value)?),
-            ("pack", value) => member.cell = number("pack", value)?,
+    for field in fields.iter() {
+        match field? {
+            ("dc", value) => member.zone = ZoneIx(index_of("zone", &names.zones, value)?),
+            ("sku", value) => member.kind = KindIx(index_of("kind", &names.kinds, value)?),
+            ("pack", value) => member.cell = parse_number("pack", value)?,
             ("health", value) => {
                 member.standing = match value {
                     "on" => Standing::On,
                     "fading" => Standing::Draining,
                     "off" => Standing::Gone,
-                    other => return bad(format!("unknown health '{other}'")),
+                    other => return wire_error(format!("unknown health '{other}'")),
                 }
             }
-            ("power_hint", value) => member.weight = number("power_hint", value)?,
+            ("power_hint", value) => member.weight = parse_number("power_hint", value)?,
             ("born_us", value) => {
-                member.started = Some(number("born_us", value)?).filter(|&at: &Micros| at > 0);
+                member.started =
+                    Some(parse_number("born_us", value)?).filter(|&started: &Micros| started > 0);
             }
             _ => {}
         }
@@ -165,52 +174,58 @@
     Ok(member)
 }
 
-/// Reads an event other than a list event.
+/// Parses an event other than a worker list event.
+///
+/// # Errors
+/// A field is missing, malformed or not among `names`.
 pub fn parse_event(fields: Fields<'_>, names: &Names) -> Result<Event, WireError> {
-    match fields.word {
-        "ARRIVAL" => arrival(fields, names).map(Event::Arrival),
+    match fields.message_type {
+        "ARRIVAL" => parse_arrival(fields, names).map(Event::Arrival),
         "TIMEOUT_FIRED" => {
-            let name = fields.need("name")?;
+            let name = fields.required("name")?;
             match name.strip_prefix('t').and_then(|digits| digits.parse().ok()) {
                 Some(timer) => Ok(Event::Timer(TimerId(timer))),
-                None => bad(format!("TIMEOUT_FIRED: timer '{name}' was never set")),
+                None => wire_error(format!("TIMEOUT_FIRED: '{name}' is not the name of a timer")),
             }
         }
-        "LAPSED" => Ok(Event::Lapsed(RequestId(number("txn", fields.need("txn")?)?))),
+        "LAPSED" => Ok(Event::Lapsed(RequestId(parse_number("txn", fields.required("txn")?)?))),
         "PEER_DATA" => {
-            let contents = match fields.need("contents")? {
+            let contents = match fields.required("contents")? {
                 "-" => Vec::new(),
                 text => BASE64
                     .decode(text)
-                    .or_else(|_| bad(format!("field 'contents': '{text}' is not base64")))?,
+                    .or_else(|_| wire_error(format!("field 'contents': '{text}' is not base64")))?,
             };
-            Ok(Event::Peer { from: number("origin_peer", fields.need("origin_peer")?)?, body: contents })
+            Ok(Event::Peer {
+                from: parse_number("origin_peer", fields.required("origin_peer")?)?,
+                body: contents,
+            })
         }
-        _ => attempt_event(fields, names),
+        _ => parse_attempt_event(fields, names),
     }
 }
 
-fn arrival(fields: Fields<'_>, names: &Names) -> Result<Arrival, WireError> {
+fn parse_arrival(fields: Fields<'_>, names: &Names) -> Result<Arrival, WireError> {
     let (mut request, mut class, mut expires) = (None, None, None);
     let (mut tenant, mut hint, mut slots, mut memory, mut key, mut retry) =
         (None, None, 1.0, 0.0, None, false);
-    for pair in fields.pairs() {
-        match pair? {
-            ("txn", value) => request = Some(RequestId(number("txn", value)?)),
-            ("qos", value) => class = Some(ClassIx(index("class", &names.classes, value)?)),
-            ("expires_us", value) => expires = Some(number("expires_us", value)?),
+    for field in fields.iter() {
+        match field? {
+            ("txn", value) => request = Some(RequestId(parse_number("txn", value)?)),
+            ("qos", value) => class = Some(ClassIx(index_of("class", &names.classes, value)?)),
+            ("expires_us", value) => expires = Some(parse_number("expires_us", value)?),
             ("team", "0") => {}
-            ("team", value) => tenant = Some(TenantIx(index("tenant", &names.tenants, value)?)),
-            ("size_hint_us", value) => hint = Some(number::<f64>("size_hint_us", value)?),
-            ("needs", value) => slots = number::<f64>("needs", value)?,
-            ("memory", value) => memory = number("memory", value)?,
+            ("team", value) => tenant = Some(TenantIx(index_of("tenant", &names.tenants, value)?)),
+            ("size_hint_us", value) => hint = Some(parse_number::<f64>("size_hint_us", value)?),
+            ("needs", value) => slots = parse_number::<f64>("needs", value)?,
+            ("memory", value) => memory = parse_number("memory", value)?,
             ("name_key", value) => key = Some(fnv1a_hash(value)),
-            ("is_retry", value) => retry = flag("is_retry", value)?,
+            ("is_retry", value) => retry = parse_flag("is_retry", value)?,
             _ => {}
         }
     }
     let (Some(request), Some(class), Some(expires)) = (request, class, expires) else {
-        return bad("ARRIVAL: 'txn', 'qos' or 'expires_us' is missing");
+        return wire_error("ARRIVAL: 'txn', 'qos' or 'expires_us' is missing");
     };
     Ok(Arrival {
         request,
@@ -226,69 +241,70 @@
     })
 }
 
-/// FNV-1a: the same number for the same text in every process.
+/// Returns the 64-bit FNV-1a hash of `text`, which is the same in every process.
 pub fn fnv1a_hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// The number of a next hop: the same at every scheduler, since they speak of hops to each other by it.
+/// Returns the id of the worker with this name. Every scheduler computes the same id, which identifies the worker in the
+/// messages between schedulers.
 pub fn worker_id(name: &str) -> WorkerId {
     let hash = fnv1a_hash(name);
     WorkerId((hash ^ (hash >> 32)) as u32)
 }
 
-fn attempt_event(fields: Fields<'_>, names: &Names) -> Result<Event, WireError> {
+fn parse_attempt_event(fields: Fields<'_>, names: &Names) -> Result<Event, WireError> {
     let (mut request, mut attempt, mut worker, mut elapsed) = (None, None, None, 0);
     let (mut ending, mut concluded, mut report, mut topic, mut level) = (None, false, None, None, None);
-    for pair in fields.pairs() {
-        match pair? {
-            ("txn", value) => request = Some(RequestId(number("txn", value)?)),
-            ("send_no", value) => attempt = Some(number("send_no", value)?),
-            ("worker", value) => worker = Some(WorkerId(number("worker", value)?)),
-            ("state_code", value) => ending = Some(ending_of(value)?),
-            ("spent_us", value) => elapsed = number("spent_us", value)?,
-            ("ended", value) => concluded = flag("ended", value)?,
-            ("pressure", value) => report = Some(report_of(value, names)?),
-            ("topic", value) => topic = Some(number::<u32>("topic", value)?),
-            ("level", value) => level = Some(number::<f64>("level", value)?),
+    for field in fields.iter() {
+        match field? {
+            ("txn", value) => request = Some(RequestId(parse_number("txn", value)?)),
+            ("send_no", value) => attempt = Some(parse_number("send_no", value)?),
+            ("worker", value) => worker = Some(WorkerId(parse_number("worker", value)?)),
+            ("state_code", value) => ending = Some(parse_ending(value)?),
+            ("spent_us", value) => elapsed = parse_number("spent_us", value)?,
+            ("ended", value) => concluded = parse_flag("ended", value)?,
+            ("pressure", value) => report = Some(parse_report(value, names)?),
+            ("topic", value) => topic = Some(parse_number::<u32>("topic", value)?),
+            ("level", value) => level = Some(parse_number::<f64>("level", value)?),
             _ => {}
         }
     }
-    let word = fields.word;
-    if word == "CHECKED" {
+    let message_type = fields.message_type;
+    if message_type == "CHECKED" {
         let (Some(worker), Some(ending)) = (worker, ending) else {
-            return bad("CHECKED: 'worker' or 'state_code' is missing");
+            return wire_error("CHECKED: 'worker' or 'state_code' is missing");
         };
         return Ok(Event::Probed { worker, ending, elapsed, report });
     }
     let (Some(request), Some(attempt), Some(worker)) = (request, attempt, worker) else {
-        return bad(format!("{word}: 'txn', 'send_no' or 'worker' is missing"));
+        return wire_error(format!("{message_type}: 'txn', 'send_no' or 'worker' is missing"));
     };
-    match word {
+    match message_type {
         "FIRST_BYTE" => Ok(Event::Streaming { request, attempt }),
         "HINT_UPDATE" => {
             let note = match topic {
                 Some(1) => Note::Started,
                 Some(2) => Note::Progress(level.unwrap_or(0.0)),
-                _ => return bad("HINT_UPDATE: 'topic' is neither 1 nor 2"),
+                _ => return wire_error("HINT_UPDATE: 'topic' is neither 1 nor 2"),
             };
             Ok(Event::Note { request, attempt, note })
         }
         _ => match ending {
             Some(ending) => {
-                // The wire does not tell when such an attempt has ended at its worker.
+                // The protocol has no message for the end of such an attempt at its worker, so it may still be running.
                 let running = matches!(ending, Ending::TimedOut | Ending::Broken | Ending::Cancelled);
                 let outcome =
                     Outcome { request, attempt, worker, ending, elapsed, running, concluded, report };
                 Ok(Event::Outcome(outcome))
             }
-            None => bad("OUTCOME: field 'state_code' is missing"),
+            None => wire_error("OUTCOME: field 'state_code' is missing"),
         },
     }
 }
 
-fn ending_of(code: &str) -> Result<Ending, WireError> {
+fn parse_ending(code: &str) -> Result<Ending, WireError> {
     Ok(match code {
         "OK" => Ending::Ok,
         "INTERNAL" => Ending::Error,
@@ -298,24 +314,25 @@
         "ABORTED" => Ending::Broken,
         "CANCELLED" => Ending::Cancelled,
         "TOO_LATE" => Ending::Moot,
-        other => return bad(format!("unknown state_code '{other}'")),
+        other => return wire_error(format!("unknown state_code '{other}'")),
     })
 }
 
-fn report_of(text: &str, names: &Names) -> Result<Report, WireError> {
+fn parse_report(text: &str, names: &Names) -> Result<Report, WireError> {
     let mut pairs = Vec::new();
     for pair in text.split(',').filter(|pair| !pair.is_empty() && *pair != "-") {
         let Some((name, value)) = pair.split_once(':') else {
-            return bad(format!("field 'pressure': no ':' in '{pair}'"));
+            return wire_error(format!("field 'pressure': no ':' in '{pair}'"));
         };
-        pairs.push((name, number::<f64>("pressure", value)?));
+        pairs.push((name, parse_number::<f64>("pressure", value)?));
     }
     Ok(names.report(pairs.into_iter()))
 }
 
-/// Writes one action of an instance, with the end of its line. Plain pushes: this is the adapter's hot path.
+/// Appends one action of an instance to `out`, with a line feed. Fields are pushed without formatting machinery because this
+/// is the hot path of the simulator's adapter.
 pub fn write_action(out: &mut String, instance: &str, action: &Action) {
-    let word = match action {
+    let message_type = match action {
         Action::Send { .. } => "PASS_ON",
         Action::Refuse { .. } => "DECLINE",
         Action::Fail(_) => "ERROR",
@@ -328,32 +345,32 @@
         Action::CloseIdle(_) => "FREE_LINKS",
         Action::Log(_) => "NOTE_DOWN",
     };
-    out.push_str(word);
+    out.push_str(message_type);
     out.push_str("\tdispatcher=");
     out.push_str(instance);
     match action {
         Action::Send { request, worker, timeout } => {
-            pair(out, "\ttxn=", request.0.into());
-            pair(out, "\tworker=", worker.0.into());
+            push_number(out, "\ttxn=", request.0.into());
+            push_number(out, "\tworker=", worker.0.into());
             if let Some(span) = timeout {
-                pair(out, "\tgive_up_after_us=", *span);
+                push_number(out, "\tgive_up_after_us=", *span);
             }
         }
         Action::Refuse { request, come_back, .. } => {
-            pair(out, "\ttxn=", request.0.into());
+            push_number(out, "\ttxn=", request.0.into());
             if let Some(span) = come_back {
-                pair(out, "\tcome_back_us=", *span);
+                push_number(out, "\tcome_back_us=", *span);
             }
         }
-        Action::Fail(request) => pair(out, "\ttxn=", request.0.into()),
+        Action::Fail(request) => push_number(out, "\ttxn=", request.0.into()),
         Action::Cancel { request, attempt } => {
-            pair(out, "\ttxn=", request.0.into());
-            pair(out, "\tsend_no=", (*attempt).into());
+            push_number(out, "\ttxn=", request.0.into());
+            push_number(out, "\tsend_no=", (*attempt).into());
         }
-        Action::Probe(worker) | Action::CloseIdle(worker) => pair(out, "\tworker=", worker.0.into()),
+        Action::Probe(worker) | Action::CloseIdle(worker) => push_number(out, "\tworker=", worker.0.into()),
         Action::Tell { to, body } => {
             match to {
-                Some(rank) => pair(out, "\taddressee=", (*rank).into()),
+                Some(rank) => push_number(out, "\taddressee=", (*rank).into()),
                 None => out.push_str("\taddressee=-1"),
             }
             out.push_str("\tcontents=");
@@ -364,59 +381,59 @@
             }
         }
         Action::SetTimer { timer, after } => {
-            pair(out, "\tname=t", timer.0);
-            pair(out, "\tfrom_now_us=", *after);
+            push_number(out, "\tname=t", timer.0);
+            push_number(out, "\tfrom_now_us=", *after);
         }
         Action::FetchList => {}
-        Action::Subscribe(want) => pair(out, "\twant=", (*want).into()),
+        Action::Subscribe(want) => push_number(out, "\twant=", (*want).into()),
         Action::Log(text) => {
             out.push_str("\tbody_text=");
-            out.push_str(&one_line(text));
+            out.push_str(&to_single_line(text));
         }
     }
     out.push('\n');
 }
 
-fn pair(out: &mut String, name: &str, value: u64) {
+fn push_number(out: &mut String, name: &str, value: u64) {
     out.push_str(name);
     let mut digits = [0; 20];
-    let mut at = digits.len();
-    let mut left = value;
+    let mut first = digits.len();
+    let mut remaining = value;
     loop {
-        at -= 1;
-        digits[at] = b'0' + (left % 10) as u8;
-        left /= 10;
-        if left == 0 {
+        first -= 1;
+        digits[first] = b'0' + (remaining % 10) as u8;
+        remaining /= 10;
+        if remaining == 0 {
             break;
         }
     }
-    out.extend(digits[at..].iter().map(|&digit| char::from(digit)));
+    out.extend(digits[first..].iter().map(|&digit| char::from(digit)));
 }
 
-/// Writes the give-up action: the decision code of an instance has failed.
-pub fn write_panic(out: &mut String, instance: &str, why: &str) {
+/// Appends the action that reports a panic in the decision module of an instance, with the panic's text.
+pub fn write_panic(out: &mut String, instance: &str, text: &str) {
     out.push_str("GIVE_IN\tdispatcher=");
     out.push_str(instance);
     out.push_str("\tbody_text=");
-    out.push_str(&one_line(why));
+    out.push_str(&to_single_line(text));
     out.push('\n');
 }
 
-fn one_line(text: &str) -> String {
+fn to_single_line(text: &str) -> String {
     text.replace(['\n', '\r', '\t'], " ")
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Info {
+struct InstanceInfo {
     azs: Vec<String>,
-    ceilings: Ceilings,
-    costs: Costs,
+    ceilings: CeilingsInfo,
+    costs: CostsInfo,
     counted_by: String,
-    extra: Particulars,
+    extra: ExtraInfo,
     kinds: Vec<String>,
     n_instances: u32,
-    orgs: Vec<Org>,
+    orgs: Vec<OrgInfo>,
     over_share_worth: f64,
     rank: u32,
     registry_mode: String,
@@ -428,14 +445,14 @@
     zone: String,
 }
 
-impl Default for Info {
+impl Default for InstanceInfo {
     fn default() -> Self {
-        Info {
+        InstanceInfo {
             azs: Vec::new(),
-            ceilings: Ceilings::default(),
-            costs: Costs::default(),
+            ceilings: CeilingsInfo::default(),
+            costs: CostsInfo::default(),
             counted_by: String::new(),
-            extra: Particulars::default(),
+            extra: ExtraInfo::default(),
             kinds: Vec::new(),
             n_instances: 1,
             orgs: Vec::new(),
@@ -454,7 +471,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Ceilings {
+struct CeilingsInfo {
     cancelling: bool,
     connect_timeout_us: Micros,
     max_retry_after_us: Micros,
@@ -467,7 +484,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Costs {
+struct CostsInfo {
     cross_zone: f64,
     peer: f64,
     probe: f64,
@@ -476,7 +493,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Particulars {
+struct ExtraInfo {
     class_kind: Vec<i64>,
     class_priority: Vec<i64>,
     class_stretch: Vec<f64>,
@@ -489,7 +506,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Org {
+struct OrgInfo {
     name: String,
     quota_rps: f64,
     share: f64,
@@ -528,38 +545,44 @@
     start_capacity: f64,
 }
 
-/// Reads the settings of an instance, and the names behind its indices.
+/// Parses the settings of an instance from JSON text, with the names that its indices stand for.
+///
+/// # Errors
+/// The text is not JSON, or a setting is malformed.
 pub fn parse_settings(json: &str) -> Result<(Settings, Names), WireError> {
-    let value: Value = serde_json::from_str(json).or_else(|error| bad(format!("UP: info: {error}")))?;
-    settings_from_json(&value).or_else(|fault| bad(format!("UP: info: {fault}")))
+    let value: Value =
+        serde_json::from_str(json).or_else(|error| wire_error(format!("UP: info: {error}")))?;
+    settings_from_json(&value).or_else(|fault| wire_error(format!("UP: info: {fault}")))
 }
 
-/// The same, of JSON that has been read already.
+/// Converts parsed JSON to the settings of an instance, with the names that its indices stand for.
 ///
 /// # Errors
-/// The key at fault, and what is wrong there.
+/// The key of the first malformed setting and the reason.
 pub fn settings_from_json(value: &Value) -> Result<(Settings, Names), Fault> {
-    let read: Result<Info, _> = serde_path_to_error::deserialize(value);
+    let read: Result<InstanceInfo, _> = serde_path_to_error::deserialize(value);
     let info = read.map_err(|error| {
         Fault::new(key_at(error.path(), value), format!("cannot be read: {}", error.inner()))
     })?;
     let mut classes = Vec::new();
-    for (at, class) in info.request_classes.iter().enumerate() {
-        let at_fault = |field: &str| format!("request_classes.{}.{field}", class.name);
+    for (index, class) in info.request_classes.iter().enumerate() {
+        let class_key = |field: &str| format!("request_classes.{}.{field}", class.name);
         let group = match class.group.as_str() {
             "zone" => Group::Zone,
             "cell" => Group::Cell,
             "all" | "" => Group::All,
-            other => return Err(Fault::new(at_fault("group"), format!("is of no group known: '{other}'"))),
+            other => return Err(Fault::new(class_key("group"), format!("has the unknown group '{other}'"))),
         };
         let effect = match class.effect.as_str() {
             "read_like" => Effect::Safe,
             "idempotency_key" => Effect::Keyed { group, span: class.memory_span_us },
             "non_idempotent" => Effect::Unsafe,
-            other => return Err(Fault::new(at_fault("effect"), format!("is of no effect known: '{other}'"))),
+            other => {
+                return Err(Fault::new(class_key("effect"), format!("has the unknown effect '{other}'")));
+            }
         };
-        let kind = info.extra.class_kind.get(at).and_then(|&kind| usize::try_from(kind).ok());
-        let stretch = class.aim_stretch.or(info.extra.class_stretch.get(at).copied());
+        let kind = info.extra.class_kind.get(index).and_then(|&kind| usize::try_from(kind).ok());
+        let stretch = class.aim_stretch.or(info.extra.class_stretch.get(index).copied());
         classes.push(Class {
             aim: class.aim_us,
             stretch: stretch.unwrap_or(0.0),
@@ -568,16 +591,16 @@
             worth: class.worth,
             effect,
             kind: kind.filter(|&kind| kind < info.kinds.len()).map(KindIx),
-            priority: info.extra.class_priority.get(at).copied().unwrap_or(0),
+            priority: info.extra.class_priority.get(index).copied().unwrap_or(0),
             slots: 1,
         });
     }
-    let x0 = Extra::meaning(&info.extra.report_x0);
-    let x1 = Extra::meaning(&info.extra.report_x1);
-    let told = |meaning| {
-        let named =
+    let x0 = ReportExtra::parse(&info.extra.report_x0);
+    let x1 = ReportExtra::parse(&info.extra.report_x1);
+    let reported = |meaning| {
+        let has_field =
             |name: &str, extra| extra == meaning && info.report.fields.iter().any(|field| field == name);
-        named("x0", x0) || named("x1", x1)
+        has_field("x0", x0) || has_field("x1", x1)
     };
     let settings = Settings {
         rank: info.rank,
@@ -599,8 +622,8 @@
             "probe" => ReportSource::Probes,
             _ => ReportSource::Nowhere,
         },
-        reports_free_slots: told(Extra::FreeSlots),
-        reports_free_memory: told(Extra::FreeMemory),
+        reports_free_slots: reported(ReportExtra::FreeSlots),
+        reports_free_memory: reported(ReportExtra::FreeMemory),
         tells_start: info.extra.tells_start,
         progress_every: info.extra.progress_us,
         queue_order: match info.extra.queue_order.as_str() {
