--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -5,7 +5,7 @@
 
 impl Dispatcher {
     /// Takes on a request with its attempts. What is out goes on, and nothing is repeated beyond its effect.
-    pub(super) fn adopt(&mut self, now: Micros, id: RequestId, handed: HandedOn) {
+    pub(super) fn adopt_request(&mut self, now: Micros, id: RequestId, handed: HandedOn) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_have_run = handed.attempts.iter().any(|past| past.state != AttemptState::NeverRan);
         let ran_unnoted = may_have_run && handed.effect == Effect::Safe;
@@ -15,7 +15,7 @@
         }
         if self.requests.get(&id).is_some_and(|request| !request.out()) {
             // Held anew, or answered where its attempts leave no other choice.
-            self.after_attempt(now, id, Ending::TimedOut);
+            self.retry_or_answer(now, id, Ending::TimedOut);
         }
     }
 
@@ -25,7 +25,7 @@
         let attempts = self.requests.remove(&id).map(|request| request.attempts).unwrap_or_default();
         for at in attempts.into_iter().map(|attempt| attempt.worker) {
             self.workers[at].own.retain(|own| own.request != id);
-            self.tell_peers(now, at, None);
+            self.send_load(now, at, None);
         }
     }
 
@@ -37,7 +37,7 @@
     fn adopt_attempt(&mut self, now: Micros, id: RequestId, past: PastAttempt) {
         let PastAttempt { worker, sent, state } = past;
         let known = self.worker_index.get(&worker).copied();
-        let at = known.unwrap_or_else(|| self.add_unlisted(worker));
+        let at = known.unwrap_or_else(|| self.add_unlisted_worker(worker));
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.len() as u32;
         request.attempts.push(Attempt { worker: at, sent, state });
@@ -54,11 +54,11 @@
         let own = Own { request: id, attempt, slots, sent, start: sent, end, ..Own::default() };
         self.workers[at].own.push(own);
         self.workers[at].peers.retain(|peer| peer.from != self.settings.rank);
-        self.tell_peers(now, at, None);
+        self.send_load(now, at, None);
     }
 
     /// A worker that is on no list here: it may bring a result, and gets nothing new.
-    fn add_unlisted(&mut self, id: WorkerId) -> usize {
+    fn add_unlisted_worker(&mut self, id: WorkerId) -> usize {
         let at = self.workers.len();
         self.workers.push(Worker { id, standing: Standing::Gone, ..Worker::default() });
         self.worker_index.insert(id, at);
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -5,9 +5,11 @@
 impl Dispatcher {
     /// Deals the dispatchers into cohorts of as many as it takes to share enough workers to even out their bursts, in
     /// powers of two so that lists which differ a little give the same: large ones over all zones, small ones in one.
-    pub(super) fn deal_cohorts(&mut self) {
+    pub(super) fn form_cohorts(&mut self) {
         let workers = self.workers.iter().filter(|worker| worker.standing == Standing::On).count().max(1);
-        let size = (SHARE * self.company.size() as usize / workers).clamp(1, COHORT).next_power_of_two();
+        let size = (MIN_WORKERS_PER_COHORT * self.company.size() as usize / workers)
+            .clamp(1, MAX_COHORT_SIZE)
+            .next_power_of_two();
         self.cohorts.clear();
         let apart = size < 2 * self.settings.zones;
         let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| apart);
@@ -23,7 +25,7 @@
     /// Deals the workers out to the cohorts, by the list alone: what each dispatcher has learned by itself must not
     /// count, or they would not agree on whose a worker is. Every cohort gets an even part of every kind, and within a zone
     /// an even part of the zone's.
-    pub(super) fn deal_workers(&mut self) {
+    pub(super) fn assign_workers(&mut self) {
         let on = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == Standing::On);
         let mut order: Vec<_> = on.map(|(at, worker)| (worker.kind, worker.id, at)).collect();
         order.sort_unstable();
@@ -46,8 +48,9 @@
                 let part = dealt_near[zone] as f64 / here.len().max(1) as f64;
                 let bounds = [(here, part.floor() as usize), (here, part.ceil() as usize), (&all, most)];
                 let draw = mix(u64::from(id.0), 0) as usize;
-                let place =
-                    |(list, bound): (&Vec<usize>, usize)| next_with_room(list, draw, &taken, bound.min(most));
+                let place = |(list, bound): (&Vec<usize>, usize)| {
+                    next_cohort_with_room(list, draw, &taken, bound.min(most))
+                };
                 let to = bounds.into_iter().find_map(place).unwrap_or(0);
                 taken[to] += 1;
                 self.workers[at].cohort = to;
@@ -57,30 +60,30 @@
     }
 
     /// Ranges over the workers by (speed of their kind, id), small jobs to the slow; in each every cohort has a share.
-    pub(super) fn rebuild_maps(&mut self) {
+    pub(super) fn rebuild_size_maps(&mut self) {
         self.size_maps_stale = false;
         if self.settings.limits.peers {
-            self.deal_cohorts();
-            self.deal_workers();
+            self.form_cohorts();
+            self.assign_workers();
         } else {
             // Nobody knows who is in which zone: each begins with its own zone's, in an order of its own.
             let here = self.settings.zone;
             self.workers.iter_mut().for_each(|worker| worker.home = worker.zone == here);
         }
         if self.settings.weights {
-            self.seed_speeds();
+            self.seed_speeds_from_weights();
         }
         for need in 0..self.size_maps.len() {
             let wanted = need.checked_sub(1);
             let used = self.settings.classes.iter().any(|class| class.kind.map(|kind| kind.0) == wanted);
             if used {
-                self.rebuild_map(need, wanted);
+                self.rebuild_size_map(need, wanted);
             }
         }
     }
 
     /// Until run times tell more, kinds are as fast as their listed weights say.
-    pub(super) fn seed_speeds(&mut self) {
+    pub(super) fn seed_speeds_from_weights(&mut self) {
         let mean = |wanted: Option<usize>| {
             let on = |of: &&Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
             let weights = self.workers.iter().filter(on).map(|worker| worker.weight);
@@ -94,14 +97,14 @@
         }
     }
 
-    pub(super) fn rebuild_map(&mut self, need: usize, wanted: Option<usize>) {
+    pub(super) fn rebuild_size_map(&mut self, need: usize, wanted: Option<usize>) {
         let on = |of: &Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
         let mut order: Vec<usize> = (0..self.workers.len()).filter(|&at| on(&self.workers[at])).collect();
         let speed = |at: usize| self.knowledge.kinds[self.workers[at].kind].speed.ln;
         let key = |at: usize| (self.workers[at].kind, self.workers[at].id);
         order.sort_by(|&a, &b| speed(a).total_cmp(&speed(b)).then(key(a).cmp(&key(b))));
-        let known = self.size_maps[need].sizes.len() / RANGE_SIZES;
-        let count = (order.len() / RANGE_WORKERS).min(known).clamp(1, RANGES);
+        let known = self.size_maps[need].sizes.len() / MIN_SIZES_PER_RANGE;
+        let count = (order.len() / MIN_WORKERS_PER_RANGE).min(known).clamp(1, MAX_RANGES);
         let part = |nr: usize| &order[nr * order.len() / count..(nr + 1) * order.len() / count];
         let power = |nr: usize| part(nr).iter().map(|&at| speed(at).exp()).sum();
         let bounds = self.size_maps[need].sizes.bounds(&(0..count).map(power).collect::<Vec<f64>>());
@@ -133,7 +136,7 @@
 
 /// From a place drawn by the id, the next of these cohorts that has taken less than `bound`: shares are even, and little moves
 /// as workers come and go.
-fn next_with_room(cohorts: &[usize], draw: usize, taken: &[usize], bound: usize) -> Option<usize> {
+fn next_cohort_with_room(cohorts: &[usize], draw: usize, taken: &[usize], bound: usize) -> Option<usize> {
     let first = draw % cohorts.len().max(1);
     let ring = cohorts.iter().cycle().skip(first).take(cohorts.len());
     ring.copied().find(|&cohort| taken[cohort] < bound)
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -9,11 +9,11 @@
     pub fn may_start_attempt(&self, now: Micros, id: RequestId, attempt: u32) -> bool {
         let (request, nr) = (self.requests.get(&id), attempt as usize);
         let at = request.and_then(|request| request.attempts.get(nr)).map(|own| own.worker);
-        request.zip(at).is_some_and(|(request, at)| self.may_go(now, request, nr, at))
+        request.zip(at).is_some_and(|(request, at)| self.attempt_allowed(now, request, nr, at))
     }
 
     /// The rules on where the attempt of this number may go that hold up to its first byte.
-    fn may_go(&self, now: Micros, request: &Request, attempt: usize, at: usize) -> bool {
+    fn attempt_allowed(&self, now: Micros, request: &Request, attempt: usize, at: usize) -> bool {
         let worker = &self.workers[at];
         if request.done || attempt >= self.settings.limits.tries as usize {
             return false;
@@ -41,30 +41,30 @@
 
     /// Every rule on where a job may go now; that none of its attempts is out any more is asked when it goes.
     pub(super) fn may_send(&self, now: Micros, request: &Request, at: usize) -> bool {
-        if !self.may_go(now, request, request.attempts.len(), at) {
+        if !self.attempt_allowed(now, request, request.attempts.len(), at) {
             return false;
         }
         // Rule 4. What a cold worker was sent counts on in the process that took over.
         let work = request.size * request.slots as f64;
         self.warmth(at, now) >= 1.0
-            || (!self.has_successor && self.cold_allows(now, at, work) == Allowance::Yes)
+            || (!self.has_successor && self.cold_allowance(now, at, work) == Allowance::Yes)
     }
 
     /// Work sent to a worker in the last window of the fourth rule.
-    pub(super) fn cold_sent(&self, now: Micros, at: usize) -> f64 {
+    pub(super) fn cold_work_sent(&self, now: Micros, at: usize) -> f64 {
         let since = now.saturating_sub(self.settings.rules.fall_window);
         self.workers[at].cold_sent.iter().filter(|(then, _)| *then >= since).map(|sent| sent.1).sum()
     }
 
     /// Whether this dispatcher may send a cold worker so much more work: as one of the cohort whose share holds it, as a
     /// warden drawn by its id and start, or in turn.
-    pub(super) fn cold_allows(&self, now: Micros, at: usize, work: f64) -> Allowance {
+    pub(super) fn cold_allowance(&self, now: Micros, at: usize, work: f64) -> Allowance {
         let (worker, rules) = (&self.workers[at], &self.settings.rules);
-        let (power, window) = (self.lanes(at) as f64 * self.speed(at), rules.fall_window as f64);
-        let budget = COLD_SHARE * rules.fall_multiple * self.warmth(at, now) * power * window;
+        let (power, window) = (self.lane_count(at) as f64 * self.speed(at), rules.fall_window as f64);
+        let budget = COLD_BUDGET_SHARE * rules.fall_multiple * self.warmth(at, now) * power * window;
         let usual = (self.knowledge.work.per_s() / SECOND as f64 * window).max(self.knowledge.mean_time);
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
-        let (rank, sent) = (self.settings.rank, self.cold_sent(now, at));
+        let (rank, sent) = (self.settings.rank, self.cold_work_sent(now, at));
         if !self.settings.limits.peers {
             let rota = Rota::new(budget, usual, self.company.size(), self.settings.zones);
             let (near, turn) = (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
@@ -78,14 +78,14 @@
         self.shared_spending.looked(share.allows(sender, sent, told, work))
     }
 
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
+    pub(super) fn send_attempt(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
         let doubled = !self.settings.limits.copies && self.requests[&id].out();
         if doubled || !self.may_send(now, &self.requests[&id], at) {
             return false;
         }
         let Request { size, slots, effect, .. } = self.requests[&id];
         let mut lanes = Vec::new();
-        self.lane_ends(at, now, &mut lanes);
+        self.lane_end_times(at, now, &mut lanes);
         lanes.sort_unstable();
         let start = lanes[slots.min(lanes.len()) - 1];
         let end = start + self.run_time(at, size, now);
@@ -104,10 +104,10 @@
         self.actions.push(Action::Send { request: id, worker: worker.id, timeout: None });
         let repeats = effect != Effect::Unsafe;
         if repeats && self.settings.limits.cancel && self.settings.tells_start {
-            self.hold_queue.unstarted.insert((now + START_NEWS, id));
-            self.wake_at(now, now + START_NEWS);
+            self.hold_queue.unstarted.insert((now + START_NOTICE_TIMEOUT, id));
+            self.schedule_wake(now, now + START_NOTICE_TIMEOUT);
         }
-        self.tell_peers(now, at, None);
+        self.send_load(now, at, None);
         true
     }
 
@@ -127,17 +127,17 @@
         } else {
             self.actions.push(Action::Fail(id));
         }
-        self.forget(id);
+        self.remove_if_complete(id);
     }
 
     /// The client has left: what still runs for it is called off, it would be work for nobody.
     pub(super) fn on_lapsed(&mut self, id: RequestId) {
-        self.call_off(id);
+        self.cancel_attempts(id);
         self.close(id);
     }
 
     /// Calls off what is out for a request, where that is allowed.
-    fn call_off(&mut self, id: RequestId) {
+    fn cancel_attempts(&mut self, id: RequestId) {
         let attempts = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
         let running =
             attempts.filter(|(_, at)| at.state == AttemptState::InFlight && self.settings.limits.cancel);
@@ -150,38 +150,38 @@
             return self.actions.push(Action::Fail(id));
         }
         self.finish(now, id, Rejection::ShuttingDown);
-        self.call_off(id);
+        self.cancel_attempts(id);
     }
 
     /// The request is over without an answer of ours.
     pub(super) fn close(&mut self, id: RequestId) {
         self.unhold(id);
         self.requests.entry(id).and_modify(|request| request.done = true);
-        self.forget(id);
+        self.remove_if_complete(id);
     }
 
     /// A request's record goes once it is answered and its last attempt has ended.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    pub(super) fn remove_if_complete(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|request| request.done && !request.out()) {
             self.requests.remove(&id);
         }
     }
 
-    pub(super) fn own(&self, id: RequestId, attempt: u32) -> Option<(usize, usize)> {
+    pub(super) fn find_own_attempt(&self, id: RequestId, attempt: u32) -> Option<(usize, usize)> {
         let at = self.requests.get(&id)?.attempts.get(attempt as usize)?.worker;
         let nr = self.workers[at].own.iter().position(|own| own.request == id && own.attempt == attempt)?;
         Some((at, nr))
     }
 
     pub(super) fn on_started(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        let Some((at, nr)) = self.own(id, attempt) else { return };
+        let Some((at, nr)) = self.find_own_attempt(id, attempt) else { return };
         let size = self.requests[&id].size;
         let end = now + self.run_time(at, size, now);
         let own = &mut self.workers[at].own[nr];
-        let (awaited, waited) = (own.awaits_start, now > own.sent + START_NEWS);
+        let (awaited, waited) = (own.awaits_start, now > own.sent + START_NOTICE_TIMEOUT);
         (own.start, own.end, own.clean, own.awaits_start) = (now, end, true, false);
-        if awaited && self.counts_starts() {
-            self.count_start(now, at, waited);
+        if awaited && self.counts_lanes_by_starts() {
+            self.record_start(now, at, waited);
         }
     }
 
@@ -189,14 +189,14 @@
         if note == Note::Over {
             self.requests.entry(id).and_modify(|request| request.over(attempt));
         }
-        let Some((at, nr)) = self.own(id, attempt) else { return };
+        let Some((at, nr)) = self.find_own_attempt(id, attempt) else { return };
         match note {
             Note::Started => self.on_started(now, id, attempt),
             Note::Silent if self.workers[at].own[nr].awaits_start => {
                 // The way there is dead, or the worker: nothing of a queue there shows in this. A job that may
                 // run twice is tried elsewhere, any other can only be waited for.
                 self.workers[at].own[nr].awaits_start = false;
-                self.strike(now, at, 1);
+                self.record_fault(now, at, 1);
                 if self.requests[&id].effect == Effect::Safe && self.settings.limits.cancel {
                     self.actions.push(Action::Cancel { request: id, attempt });
                 }
@@ -218,7 +218,7 @@
 
     pub(super) fn on_outcome(&mut self, now: Micros, outcome: Outcome) {
         let Outcome { request: id, attempt, ending, elapsed, running, concluded, .. } = outcome;
-        let Some((at, nr)) = self.own(id, attempt) else { return };
+        let Some((at, nr)) = self.find_own_attempt(id, attempt) else { return };
         let own = self.workers[at].own.swap_remove(nr);
         let mut speed = None;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -229,39 +229,39 @@
             Ending::Ok => {
                 let before = self.workers[at].trust.strikes(now);
                 self.workers[at].trust.fine(now);
-                self.tell_trust(now, at, before);
-                self.on_connection(now, at, true);
-                self.step_lanes(at, own.slots, true);
+                self.send_fault_report(now, at, before);
+                self.record_connection(now, at, true);
+                self.adjust_lanes(at, own.slots, true);
                 if own.clean {
                     let time = if own.start > own.sent { now.saturating_sub(own.start) } else { elapsed };
-                    speed = self.learn(now, at, (class, hint), time);
+                    speed = self.learn_run_time(now, at, (class, hint), time);
                 }
             }
             Ending::Full => {
-                self.step_lanes(at, own.slots, false);
-                let lanes = self.lanes(at) as f64;
+                self.adjust_lanes(at, own.slots, false);
+                let lanes = self.lane_count(at) as f64;
                 // Its waiting room is taken too, which is taken to hold half a lane's worth each.
                 self.workers[at].foreign = Some((now, 1.5 * lanes));
                 self.workers[at].known = now;
-                self.on_zone_load(at, lanes);
+                self.learn_zone_load(at, lanes);
             }
             Ending::Unreachable => {
-                self.strike(now, at, 1);
-                self.on_connection(now, at, false);
+                self.record_fault(now, at, 1);
+                self.record_connection(now, at, false);
             }
             // One that answers with errors is soon free again, and would draw more jobs than the others.
-            Ending::Error => self.strike(now, at, 2),
-            Ending::Broken => self.strike(now, at, 1),
+            Ending::Error => self.record_fault(now, at, 2),
+            Ending::Broken => self.record_fault(now, at, 1),
             Ending::TimedOut | Ending::Cancelled | Ending::Moot | Ending::Unusable => {}
         }
-        self.tell_peers(now, at, speed);
-        self.after_attempt(now, id, ending);
-        self.forget(id);
-        self.offer(now, at);
+        self.send_load(now, at, speed);
+        self.retry_or_answer(now, id, ending);
+        self.remove_if_complete(id);
+        self.offer_freed_lane(now, at);
     }
 
     /// An attempt has ended without the answer: try again where that is allowed and can help, else answer.
-    pub(super) fn after_attempt(&mut self, now: Micros, id: RequestId, ending: Ending) {
+    pub(super) fn retry_or_answer(&mut self, now: Micros, id: RequestId, ending: Ending) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.done || request.held || request.out() {
             return;
@@ -286,7 +286,7 @@
             self.finish(now, id, why);
         } else {
             self.hold(id);
-            self.wake_at(now, now + self.settings.tick);
+            self.schedule_wake(now, now + self.settings.tick);
         }
     }
 }
--- a/crates/decisions/src/rules/estimates.rs
+++ b/crates/decisions/src/rules/estimates.rs
@@ -15,7 +15,13 @@
 
     /// Learns from a job's measured time: its class's ratio to the hint, and the worker's and kind's speed. Gives the
     /// logarithm of the worker's speed as this job shows it.
-    pub(super) fn learn(&mut self, now: Micros, at: usize, of: Told, time: Micros) -> Option<f64> {
+    pub(super) fn learn_run_time(
+        &mut self,
+        now: Micros,
+        at: usize,
+        of: ClassAndHint,
+        time: Micros,
+    ) -> Option<f64> {
         if self.warmth(at, now) < 1.0 || time == 0 {
             return None;
         }
@@ -42,17 +48,17 @@
     pub(super) fn on_report(&mut self, now: Micros, at: usize, report: Option<Report>) {
         let Some(report) = report else { return };
         let errors = report.errors_per_s.unwrap_or(0.0) * self.knowledge.mean_time / SECOND as f64;
-        let share = errors / self.lanes(at) as f64;
+        let share = errors / self.lane_count(at) as f64;
         self.workers[at].trust.reported(now, share);
         let guessed = self.workers[at].exact.is_none();
         let Some(free) = report.free_slots.filter(|free| free.is_finite() && guessed) else { return };
         let free = free.clamp(0.0, 1024.0);
-        let then = now.saturating_sub(REPORT_AGE);
+        let then = now.saturating_sub(ASSUMED_REPORT_AGE);
         let worker = &mut self.workers[at];
         let own: usize = worker.own.iter().filter(|own| own.start < then).map(|own| own.slots).sum();
         let seen = free + own as f64;
         // A worker is seldom seen idle: without what runs there of ours, one of two lanes would seem to be all.
-        let ran = |own: &&Own| !own.awaits_start && own.start + REPORT_OLDEST < now;
+        let ran = |own: &&Own| !own.awaits_start && own.start + MAX_REPORT_AGE < now;
         let ours: usize = worker.own.iter().filter(ran).map(|own| own.slots).sum();
         let kind = &mut self.knowledge.kinds[worker.kind];
         let lanes = kind.lanes.unwrap_or(0.0).max((free + ours as f64).round());
@@ -62,12 +68,12 @@
         let others = (lanes - seen).max(0.0) + waiting;
         worker.foreign = Some((now, others));
         worker.known = now;
-        self.on_zone_load(at, others);
+        self.learn_zone_load(at, others);
     }
 
-    pub(super) fn on_zone_load(&mut self, at: usize, lanes: f64) {
+    pub(super) fn learn_zone_load(&mut self, at: usize, lanes: f64) {
         // In shares: lanes of large workers, taken for those of a small one, would make it seem full for ever.
-        let (zone, share) = (self.workers[at].zone.0, lanes / self.lanes(at) as f64);
+        let (zone, share) = (self.workers[at].zone.0, lanes / self.lane_count(at) as f64);
         self.knowledge.mean_foreign[zone] += (share - self.knowledge.mean_foreign[zone]) * 0.1;
     }
 }
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -3,39 +3,39 @@
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn lanes(&self, at: usize) -> usize {
+    pub(super) fn lane_count(&self, at: usize) -> usize {
         let worker = &self.workers[at];
         let kind = &self.knowledge.kinds[worker.kind];
         let seen = worker.lanes.or(kind.lanes).map_or(0, |lanes| lanes.round() as usize);
-        let lanes = if self.counts_starts() { kind.counted.lanes() } else { seen };
+        let lanes = if self.counts_lanes_by_starts() { kind.counted.lanes() } else { seen };
         worker.exact.unwrap_or(lanes.max(self.knowledge.most_slots))
     }
 
     /// Lanes are known by the starts that workers tell of: where these report no free slots.
-    pub(super) fn counts_starts(&self) -> bool {
+    pub(super) fn counts_lanes_by_starts(&self) -> bool {
         self.settings.tells_start && !self.settings.reports_free_slots
     }
 
     /// A job has started there, after a wait, in which others had the lanes that ours had not, or at once.
-    pub(super) fn count_start(&mut self, now: Micros, at: usize, waited: bool) {
+    pub(super) fn record_start(&mut self, now: Micros, at: usize, waited: bool) {
         let (running, kind) = (self.workers[at].running(), self.workers[at].kind);
         self.knowledge.kinds[kind].counted.started(running, waited);
-        let others = self.lanes(at).saturating_sub(running) as f64;
-        self.on_zone_load(at, if waited { others } else { 0.0 });
+        let others = self.lane_count(at).saturating_sub(running) as f64;
+        self.learn_zone_load(at, if waited { others } else { 0.0 });
         let part = if waited { 1.0 } else { self.knowledge.mean_foreign[self.workers[at].zone.0] };
         self.workers[at].foreign = Some((now, others * part));
         self.workers[at].known = now;
     }
 
     /// Lanes that others are taken to use there.
-    pub(super) fn foreign(&self, at: usize, now: Micros) -> f64 {
+    pub(super) fn foreign_lanes(&self, at: usize, now: Micros) -> f64 {
         let worker = &self.workers[at];
         let told = worker.told(now).map(|peer| peer.lanes).sum::<usize>() as f64;
         // What others use of the own share they tell, as far as they speak; elsewhere it is as reports or starts show.
         let silent = if worker.home { 1.0 - self.company.trust(now) } else { 1.0 };
         let share =
             if worker.exact.is_some() { 0.0 } else { self.knowledge.mean_foreign[worker.zone.0] * silent };
-        let prior = share * self.lanes(at) as f64;
+        let prior = share * self.lane_count(at) as f64;
         let seen = match worker.foreign {
             Some((then, lanes)) => {
                 let age = now.saturating_sub(then) as f64;
@@ -45,18 +45,18 @@
             None => prior,
         };
         // A job of ours that waits to start tells that all lanes are taken.
-        if worker.own.iter().any(|own| own.awaits_start && now > own.sent + START_NEWS) {
-            return seen.max(told).max(self.lanes(at).saturating_sub(worker.running()) as f64);
+        if worker.own.iter().any(|own| own.awaits_start && now > own.sent + START_NOTICE_TIMEOUT) {
+            return seen.max(told).max(self.lane_count(at).saturating_sub(worker.running()) as f64);
         }
         seen.max(told)
     }
 
     /// Where no free-slot figure is given, lanes gain one after a finish at full model and lose one on 'full'.
-    pub(super) fn step_lanes(&mut self, at: usize, slots: usize, clean: bool) {
-        if self.settings.reports_free_slots || self.counts_starts() {
+    pub(super) fn adjust_lanes(&mut self, at: usize, slots: usize, clean: bool) {
+        if self.settings.reports_free_slots || self.counts_lanes_by_starts() {
             return;
         }
-        let lanes = self.lanes(at);
+        let lanes = self.lane_count(at);
         let busy = slots + self.workers[at].busy();
         if clean && busy >= lanes {
             self.workers[at].lanes = Some(lanes as f64 + 1.0);
@@ -66,26 +66,28 @@
     }
 
     /// When each lane of a worker comes free, by what is known to be there.
-    pub(super) fn lane_ends(&self, at: usize, now: Micros, lanes: &mut Vec<Micros>) {
+    pub(super) fn lane_end_times(&self, at: usize, now: Micros, lanes: &mut Vec<Micros>) {
         let worker = &self.workers[at];
         let mut busy: Vec<Micros> = Vec::with_capacity(16);
         for own in &worker.own {
             // A job past its estimate is taken to run on for a part of what it has run already.
-            let end = if own.end > now { own.end } else { now + (now - own.start.min(now)) / 4 + MILLI };
+            let end =
+                if own.end > now { own.end } else { now + (now - own.start.min(now)) / 4 + MILLISECOND };
             busy.extend(std::iter::repeat_n(end, own.slots));
         }
-        let foreign = self.foreign(at, now).round() as usize;
+        let foreign = self.foreign_lanes(at, now).round() as usize;
         let mut told = 0;
         for peer in worker.told(now) {
-            busy.extend(peer.ends(now + MILLI));
+            busy.extend(peer.ends(now + MILLISECOND));
             told += peer.lanes;
         }
         for nr in told..foreign {
             busy.push(
-                now + (self.knowledge.mean_time / 2.0) as Micros * (1 + (nr - told) as Micros) / 2 + MILLI,
+                now + (self.knowledge.mean_time / 2.0) as Micros * (1 + (nr - told) as Micros) / 2
+                    + MILLISECOND,
             );
         }
-        let count = self.lanes(at);
+        let count = self.lane_count(at);
         lanes.clear();
         lanes.resize(count, now);
         busy.sort_unstable();
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -14,11 +14,11 @@
             // Spread over time, so that dispatchers which start together do not swamp the list; and soon, since nothing
             // may be sent by a saved list before it is confirmed.
             ListKind::Saved if self.settings.list_on_request && !self.worker_list.subscribed => {
-                Some(1 + self.rng.u64(0..(self.settings.rules.ask_every / 2).clamp(1, FIRST_CALL)))
+                Some(1 + self.rng.u64(0..(self.settings.rules.ask_every / 2).clamp(1, MAX_FIRST_CALL_DELAY)))
             }
             _ => None,
         };
-        self.actions.extend(after.map(|after| Action::SetTimer { timer: TIMER_LIST, after }));
+        self.actions.extend(after.map(|after| Action::SetTimer { timer: WORKER_LIST_TIMER, after }));
         if kind == ListKind::Lost {
             return;
         }
@@ -27,20 +27,20 @@
             let gone = |of: &&mut Worker| members.iter().all(|member| member.worker != of.id);
             self.workers.iter_mut().filter(gone).for_each(|worker| worker.standing = Standing::Gone);
         }
-        members.into_iter().for_each(|member| self.on_member(member));
-        self.rebuild_maps();
+        members.into_iter().for_each(|member| self.update_worker(member));
+        self.rebuild_size_maps();
         if kind == ListKind::Saved {
             if self.company.speaks() {
                 self.actions
                     .push(Action::Tell { to: None, body: peer::greeting(self.settings.zone.0, true) });
             }
             let homes: Vec<usize> = (0..self.workers.len()).filter(|&at| self.workers[at].home).collect();
-            self.probe_home(now, &homes, homes.len());
+            self.probe_home_workers(now, &homes, homes.len());
         }
         self.process_hold_queue(now);
     }
 
-    pub(super) fn on_member(&mut self, member: Member) {
+    pub(super) fn update_worker(&mut self, member: Member) {
         let at = *self.worker_index.entry(member.worker).or_insert_with(|| {
             self.workers.push(Worker { id: member.worker, started: member.started, ..Worker::default() });
             self.workers.len() - 1
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -22,48 +22,48 @@
 use calicolb_fleet::spending::Spending;
 use calicolb_fleet::trust::Trust;
 
-const MILLI: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 /// Dispatchers, at most, that tell each other what they send, so that together they know their workers.
-const COHORT: usize = 8;
+const MAX_COHORT_SIZE: usize = 8;
 /// Workers that a cohort's share holds at least, if it has not the most members.
-const SHARE: usize = 8;
+const MIN_WORKERS_PER_COHORT: usize = 8;
 /// Ranges of the size map at most; with few workers there are fewer.
-const RANGES: usize = 4;
+const MAX_RANGES: usize = 4;
 /// Workers a range needs at least, over all cohorts' shares of it, to be worth having.
-const RANGE_WORKERS: usize = 8;
+const MIN_WORKERS_PER_RANGE: usize = 8;
 /// Sizes that must have been seen for each range: boundaries drawn from fewer would crowd some ranges.
-const RANGE_SIZES: usize = 8;
+const MIN_SIZES_PER_RANGE: usize = 8;
 /// Lanes that a worker in another zone must have free more than one in this zone to be spilled to.
-const CROSSING: f64 = 0.5;
+const CROSS_ZONE_MARGIN: f64 = 0.5;
 /// Held jobs without a lane that are looked at in one go: bounds the work of an event under overload.
-const LOOK: usize = 8;
+const MAX_BLOCKED_JOBS_PER_PASS: usize = 8;
 /// Held jobs are looked at again after this time at the soonest, unless a lane frees before.
-const RECHECK: Micros = 20 * MILLI;
+const RECHECK_INTERVAL: Micros = 20 * MILLISECOND;
 /// Age that a report is taken to have when it comes: the settings do not tell.
-const REPORT_AGE: Micros = 500 * MILLI;
+const ASSUMED_REPORT_AGE: Micros = 500 * MILLISECOND;
 /// Age that no report is beyond: what has run for so long was running when it was made.
-const REPORT_OLDEST: Micros = 1_800 * MILLI;
+const MAX_REPORT_AGE: Micros = 1_800 * MILLISECOND;
 /// A worker is probed at most this often: reports are refreshed about as slowly.
-const PROBE_EVERY: Micros = 500 * MILLI;
+const MIN_PROBE_INTERVAL: Micros = 500 * MILLISECOND;
 /// Workers outside the cohort's share that are looked at, and probed, for one job.
-const PROBES: usize = 4;
+const MAX_SAMPLED_WORKERS: usize = 4;
 /// News of a start takes this long at most; after that a job is taken to wait.
-const START_NEWS: Micros = 50 * MILLI;
+const START_NOTICE_TIMEOUT: Micros = 50 * MILLISECOND;
 /// Share of a cold worker's stated budget that is used: its true size is only estimated.
-const COLD_SHARE: f64 = 0.4;
+const COLD_BUDGET_SHARE: f64 = 0.4;
 /// A planned job gives way to one that is worth so many times as much for its work.
-const GIVES_WAY: f64 = 2.0;
+const YIELD_VALUE_RATIO: f64 = 2.0;
 /// A process that starts calls for the list within this time.
-const FIRST_CALL: Micros = 2 * SECOND;
-const TIMER_PUMP: TimerId = TimerId(1);
-const TIMER_LIST: TimerId = TimerId(2);
+const MAX_FIRST_CALL_DELAY: Micros = 2 * SECOND;
+const HOLD_QUEUE_TIMER: TimerId = TimerId(1);
+const WORKER_LIST_TIMER: TimerId = TimerId(2);
 
 /// A job's start and end; the same, and at which worker; when lanes come free; a job's class and hint.
-type Span = (Micros, Micros);
-type Choice = (usize, Micros, Micros);
-type Ends = Vec<Micros>;
-type Told = (usize, Option<f64>);
+type JobInterval = (Micros, Micros);
+type Placement = (usize, Micros, Micros);
+type LaneEnds = Vec<Micros>;
+type ClassAndHint = (usize, Option<f64>);
 
 /// One dispatcher's decisions.
 pub struct Dispatcher {
@@ -81,7 +81,7 @@
     /// Another process has taken over: this one ends its work, and that one alone speaks for both.
     pub(crate) has_successor: bool,
     pub(crate) worker_list: Listing,
-    pub(crate) spill_from: usize,
+    pub(crate) sample_offset: usize,
     /// The zone, if it is known, and the ranks of each cohort.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
     /// The other dispatchers, and what is assumed of them.
@@ -108,7 +108,7 @@
             hold_queue: Queue::default(),
             has_successor: false,
             worker_list: Listing::default(),
-            spill_from: 0,
+            sample_offset: 0,
             cohorts: Vec::new(),
             company,
             shared_spending: Spending::default(),
@@ -119,16 +119,16 @@
 
     /// Takes in one event and adds what is to be done to `out`.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        self.on(now, event);
+        self.handle_event(now, event);
         out.append(&mut self.actions);
     }
 
-    fn on(&mut self, now: Micros, event: Event) {
+    fn handle_event(&mut self, now: Micros, event: Event) {
         match event {
             Event::Members(kind, members) => self.on_members(now, kind, members),
             Event::Arrival(arrival) => self.on_arrival(now, arrival),
             // Timers cannot be withdrawn: one that an earlier one has overtaken is passed over.
-            Event::Timer(TIMER_PUMP) => {
+            Event::Timer(HOLD_QUEUE_TIMER) => {
                 if self.hold_queue.wake.is_some_and(|at| at <= now) {
                     self.hold_queue.wake = None;
                     self.process_hold_queue(now);
@@ -147,7 +147,7 @@
             Event::Handed(knowledge) => self.on_handed(knowledge),
             Event::Succeeded(succeeded) => {
                 self.has_successor = succeeded;
-                (0..self.workers.len()).for_each(|at| self.tell_peers(now, at, None));
+                (0..self.workers.len()).for_each(|at| self.send_load(now, at, None));
             }
             Event::Streaming { request, attempt } => {
                 self.on_started(now, request, attempt);
@@ -164,12 +164,12 @@
                 let Some(&at) = self.worker_index.get(&worker) else { return };
                 self.on_report(now, at, report);
                 if ending == Ending::Unreachable {
-                    self.strike(now, at, 1);
+                    self.record_fault(now, at, 1);
                 }
-                self.offer(now, at);
+                self.offer_freed_lane(now, at);
             }
             Event::Lapsed(request) => self.on_lapsed(request),
-            Event::Ends(at) => self.on_ends(now, at),
+            Event::Ends(at) => self.on_process_end(now, at),
             Event::MovedAway(request) => self.on_moved_away(now, request),
             Event::Conclude(request) => self.on_conclude(now, request),
             Event::Peer { from, body } => self.on_peer(now, from, &body),
--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -8,7 +8,7 @@
         if class >= self.settings.classes.len() || self.requests.contains_key(&arrival.request) {
             return;
         }
-        let over = self.over_share(now, arrival.tenant);
+        let over = self.exceeds_tenant_share(now, arrival.tenant);
         let spec = &self.settings.classes[class];
         let size = self.knowledge.classes[class].estimate(arrival.hint, spec.aim as f64);
         let slots = arrival.slots.clamp(1, 1024) as usize;
@@ -26,35 +26,36 @@
         let value = if self.settings.worth_by_work { worth } else { worth / work };
         self.knowledge.work.add(now, work);
         let map = &mut self.size_maps[spec.kind.map_or(0, |kind| kind.0 + 1)];
-        self.size_maps_stale |= map.sizes.add(work, RANGE_SIZES * 2);
+        self.size_maps_stale |= map.sizes.add(work, MIN_SIZES_PER_RANGE * 2);
         let Arrival { hint, expires, skill, .. } = arrival;
         let told =
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
         let request = Request { deadline, order, yields: over, value, doubt, ..told };
         self.requests.insert(arrival.request, request);
         if let Some(handed) = arrival.handed_on {
-            return self.adopt(now, arrival.request, handed);
+            return self.adopt_request(now, arrival.request, handed);
         }
-        self.spill_from = self.spill_from.wrapping_add(1);
+        self.sample_offset = self.sample_offset.wrapping_add(1);
         self.hold(arrival.request);
         let mut wake = Micros::MAX;
-        let sent = self.release(now, arrival.request, &mut wake);
-        self.wake_for_held(now, wake);
+        let sent = self.release_job(now, arrival.request, &mut wake);
+        self.schedule_hold_queue(now, wake);
         if self.requests.contains_key(&arrival.request) {
-            self.probe_for(now, arrival.request, !sent);
+            self.probe_for_job(now, arrival.request, !sent);
         }
     }
 
     /// A lane of this worker may have come free: the held jobs are tried there, earliest deadline first.
-    pub(super) fn offer(&mut self, now: Micros, at: usize) {
-        let first: Vec<RequestId> = self.hold_queue.held.iter().take(LOOK).map(|&(_, id)| id).collect();
+    pub(super) fn offer_freed_lane(&mut self, now: Micros, at: usize) {
+        let first: Vec<RequestId> =
+            self.hold_queue.held.iter().take(MAX_BLOCKED_JOBS_PER_PASS).map(|&(_, id)| id).collect();
         let mut scratch = Vec::new();
         for id in first {
-            let fits = self.usable(at, now, &self.requests[&id])
-                && self.demand(at, now, id, &mut scratch).is_some_and(|(start, _)| start <= now);
+            let fits = self.is_usable(at, now, &self.requests[&id])
+                && self.demand_test(at, now, id, &mut scratch).is_some_and(|(start, _)| start <= now);
             if fits {
                 self.unhold(id);
-                self.send(now, id, at);
+                self.send_attempt(now, id, at);
             }
         }
     }
@@ -68,7 +69,7 @@
     }
 
     pub(super) fn unhold(&mut self, id: RequestId) {
-        self.plan(id, None);
+        self.set_planned_worker(id, None);
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.held) else { return };
         request.held = false;
         self.hold_queue.held.remove(&(request.order, id));
@@ -76,7 +77,7 @@
     }
 
     /// Nobody is answered after this time: held jobs are sent or turned away by it, and go on in its order.
-    pub(super) fn on_ends(&mut self, now: Micros, ends: Micros) {
+    pub(super) fn on_process_end(&mut self, now: Micros, ends: Micros) {
         let later = |of: &(&RequestId, &Request)| !of.1.done && of.1.expires > ends;
         let mut later: Vec<RequestId> = self.requests.iter().filter(later).map(|(&id, _)| id).collect();
         later.sort_unstable();
@@ -95,7 +96,7 @@
         self.process_hold_queue(now);
     }
 
-    pub(super) fn plan(&mut self, id: RequestId, at: Option<usize>) {
+    pub(super) fn set_planned_worker(&mut self, id: RequestId, at: Option<usize>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.planned == at {
             return;
@@ -118,77 +119,79 @@
         while let Some(&(_, id)) = self.hold_queue.expiries.first().filter(|first| first.0 <= soon) {
             self.finish(now, id, Rejection::Expired);
         }
-        self.move_on(now);
+        self.move_unstarted_jobs(now);
         let (mut wake, mut misses, mut from) = (Micros::MAX, 0, (0, RequestId(0)));
-        while misses < LOOK {
+        while misses < MAX_BLOCKED_JOBS_PER_PASS {
             let Some(&(order, id)) = self.hold_queue.held.range(from..).next() else { break };
             from = (order, RequestId(id.0.wrapping_add(1)));
-            misses += usize::from(!self.release(now, id, &mut wake));
+            misses += usize::from(!self.release_job(now, id, &mut wake));
         }
-        self.wake_for_held(now, wake);
+        self.schedule_hold_queue(now, wake);
     }
 
     /// Jobs that wait at a worker though their start was due go to one that has a lane free, if there is one and they may
     /// run twice; the last try is kept for what may go wrong.
-    fn move_on(&mut self, now: Micros) {
+    fn move_unstarted_jobs(&mut self, now: Micros) {
         while let Some((due, id)) = self.hold_queue.unstarted.pop_first() {
             if due > now {
                 self.hold_queue.unstarted.insert((due, id));
-                return self.wake_at(now, due);
+                return self.schedule_wake(now, due);
             }
             let open = self.requests.get(&id).filter(|request| !request.done);
             let Some(last) = open.and_then(|request| request.attempts.len().checked_sub(1)) else { continue };
-            let own = self.own(id, last as u32).filter(|_| last + 2 < self.settings.limits.tries as usize);
-            let waits = |of: &Own| of.awaits_start && now >= of.sent + START_NEWS;
+            let own = self
+                .find_own_attempt(id, last as u32)
+                .filter(|_| last + 2 < self.settings.limits.tries as usize);
+            let waits = |of: &Own| of.awaits_start && now >= of.sent + START_NOTICE_TIMEOUT;
             let Some((at, _)) = own.filter(|&(at, nr)| waits(&self.workers[at].own[nr])) else { continue };
             // A new connection has its price: who hears of loads moves a job only if it would be late where it is.
             let job = &self.requests[&id];
-            let urgent = now + 2 * START_NEWS + self.run_time(at, job.size, now) >= job.deadline;
+            let urgent = now + 2 * START_NOTICE_TIMEOUT + self.run_time(at, job.size, now) >= job.deadline;
             let better = |(there, start, _)| start <= now && there != at;
-            if (urgent || !self.settings.limits.peers) && self.choose(now, id).is_some_and(better) {
+            if (urgent || !self.settings.limits.peers) && self.choose_worker(now, id).is_some_and(better) {
                 let running = self.workers[at].running();
-                self.workers[at].foreign = Some((now, self.lanes(at).saturating_sub(running) as f64));
+                self.workers[at].foreign = Some((now, self.lane_count(at).saturating_sub(running) as f64));
                 self.actions.push(Action::Cancel { request: id, attempt: last as u32 });
             } else {
-                self.hold_queue.unstarted.insert((now + START_NEWS, id));
+                self.hold_queue.unstarted.insert((now + START_NOTICE_TIMEOUT, id));
             }
         }
     }
 
     /// Wakes at this time, or before the first client of a held job leaves.
-    pub(super) fn wake_for_held(&mut self, now: Micros, wake: Micros) {
+    pub(super) fn schedule_hold_queue(&mut self, now: Micros, wake: Micros) {
         if let Some(&(expires, _)) = self.hold_queue.expiries.first() {
-            self.wake_at(now, wake.min(expires.saturating_sub(self.settings.tick)));
+            self.schedule_wake(now, wake.min(expires.saturating_sub(self.settings.tick)));
         }
     }
 
-    pub(super) fn wake_at(&mut self, now: Micros, at: Micros) {
+    pub(super) fn schedule_wake(&mut self, now: Micros, at: Micros) {
         let at = at.max(now + 1);
         if self.hold_queue.wake.is_none_or(|set| at < set) {
             self.hold_queue.wake = Some(at);
-            self.actions.push(Action::SetTimer { timer: TIMER_PUMP, after: at - now });
+            self.actions.push(Action::SetTimer { timer: HOLD_QUEUE_TIMER, after: at - now });
         }
     }
 
     /// Deals with one held job; tells whether it has left the queue.
-    pub(super) fn release(&mut self, now: Micros, id: RequestId, wake: &mut Micros) -> bool {
+    pub(super) fn release_job(&mut self, now: Micros, id: RequestId, wake: &mut Micros) -> bool {
         if self.size_maps_stale {
-            self.rebuild_maps();
+            self.rebuild_size_maps();
         }
-        match self.choose(now, id) {
+        match self.choose_worker(now, id) {
             Some((at, start, _)) if start <= now => {
                 self.unhold(id);
-                if !self.send(now, id, at) {
+                if !self.send_attempt(now, id, at) {
                     self.finish(now, id, Rejection::NoCapacity);
                 }
                 return true;
             }
             Some((at, start, _)) => {
-                self.plan(id, Some(at));
-                *wake = (*wake).min(start.clamp(now + RECHECK, now + 4 * RECHECK));
+                self.set_planned_worker(id, Some(at));
+                *wake = (*wake).min(start.clamp(now + RECHECK_INTERVAL, now + 4 * RECHECK_INTERVAL));
             }
             None => {
-                self.plan(id, None);
+                self.set_planned_worker(id, None);
                 let request = &self.requests[&id];
                 let late_worth = self.settings.classes[request.class].late_worth;
                 if !request.late && late_worth > 0.0 {
@@ -206,7 +209,7 @@
                     self.finish(now, id, why);
                     return true;
                 }
-                *wake = (*wake).min(now + 2 * RECHECK);
+                *wake = (*wake).min(now + 2 * RECHECK_INTERVAL);
             }
         }
         false
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -5,7 +5,7 @@
 impl Dispatcher {
     /// Connections that fail one after the other across another zone point to the link, not to its workers:
     /// the zone is left alone for a while, and the next job after that is a trial.
-    pub(super) fn on_connection(&mut self, now: Micros, at: usize, made: bool) {
+    pub(super) fn record_connection(&mut self, now: Micros, at: usize, made: bool) {
         let (zone, own) = (self.workers[at].zone, self.settings.zone);
         let (failed, until) = self.knowledge.cuts[zone.0];
         let until = if zone != own && failed >= 2 { now + SECOND } else { until };
@@ -13,16 +13,16 @@
     }
 
     /// Probes bring reports: no job goes to another cohort's worker on a guess.
-    pub(super) fn asks(&self) -> bool {
+    pub(super) fn uses_probes(&self) -> bool {
         self.settings.reports != ReportSource::Nowhere && self.settings.limits.probes
     }
 
     /// Asks workers for a report: of these, those of which nothing is known of late.
-    pub(super) fn probe(&mut self, now: Micros, among: &[usize], most: usize) {
-        let rested = |worker: &Worker| now >= worker.probed.max(worker.known) + PROBE_EVERY;
+    pub(super) fn probe_workers(&mut self, now: Micros, among: &[usize], most: usize) {
+        let rested = |worker: &Worker| now >= worker.probed.max(worker.known) + MIN_PROBE_INTERVAL;
         let due = |at: &&usize| self.workers[**at].standing == Standing::On && rested(&self.workers[**at]);
         let due: Vec<usize> =
-            among.iter().filter(due).take(if self.asks() { most } else { 0 }).copied().collect();
+            among.iter().filter(due).take(if self.uses_probes() { most } else { 0 }).copied().collect();
         for at in due {
             self.workers[at].probed = now;
             self.actions.push(Action::Probe(self.workers[at].id));
@@ -30,29 +30,30 @@
     }
 
     /// The same of the own share, where no answer brings a report.
-    pub(super) fn probe_home(&mut self, now: Micros, among: &[usize], most: usize) {
+    pub(super) fn probe_home_workers(&mut self, now: Micros, among: &[usize], most: usize) {
         let needed = self.settings.reports == ReportSource::Probes;
-        self.probe(now, among, if needed { most } else { 0 });
+        self.probe_workers(now, among, if needed { most } else { 0 });
     }
 
     /// Probes for a job: of its own share of the range, and, if that has no lane for it now, a few others.
-    pub(super) fn probe_for(&mut self, now: Micros, id: RequestId, spill: bool) {
-        let Some((need, range)) = self.range_of(&self.requests[&id]) else { return };
+    pub(super) fn probe_for_job(&mut self, now: Micros, id: RequestId, spill: bool) {
+        let Some((need, range)) = self.size_range(&self.requests[&id]) else { return };
         let range = &self.size_maps[need].ranges[range];
-        let (home, few) = (range.home[..range.home.len().min(2)].to_vec(), self.window(range));
-        self.probe_home(now, &home, 1);
-        self.probe(now, &few, if spill { PROBES } else { 0 });
+        let (home, few) =
+            (range.home[..range.home.len().min(2)].to_vec(), self.sample_outside_workers(range));
+        self.probe_home_workers(now, &home, 1);
+        self.probe_workers(now, &few, if spill { MAX_SAMPLED_WORKERS } else { 0 });
     }
 
     /// Something went wrong there: it is left alone for a while, and the others hear of it.
-    pub(super) fn strike(&mut self, now: Micros, at: usize, by: u32) {
+    pub(super) fn record_fault(&mut self, now: Micros, at: usize, by: u32) {
         let before = self.workers[at].trust.strikes(now);
         self.workers[at].trust.fault(now, by);
-        self.tell_trust(now, at, before);
+        self.send_fault_report(now, at, before);
     }
 
     /// Tells all others what has just been seen of a worker, if they are to hear of it.
-    pub(super) fn tell_trust(&mut self, now: Micros, at: usize, before: u32) {
+    pub(super) fn send_fault_report(&mut self, now: Micros, at: usize, before: u32) {
         let news = self.workers[at].trust.news(now, before);
         if let Some(strikes) = news.filter(|_| self.company.speaks()) {
             self.actions.push(Action::Tell { to: None, body: peer::trouble(self.workers[at].id, strikes) });
@@ -98,16 +99,16 @@
             peers.push(PeerLoad { from, lanes: load.lanes, soonest, latest, cold: load.cold, told: now });
         }
         if load.lanes == 0 && before.is_some() {
-            self.offer(now, at);
+            self.offer_freed_lane(now, at);
         }
         if own_rank {
-            self.tell_peers(now, at, None);
+            self.send_load(now, at, None);
         }
     }
 
     /// Tells the worker's cohort what this dispatcher has there now, both its processes if there are two; the
     /// one that was succeeded tells the other.
-    pub(super) fn tell_peers(&mut self, now: Micros, at: usize, ln_speed: Option<f64>) {
+    pub(super) fn send_load(&mut self, now: Micros, at: usize, ln_speed: Option<f64>) {
         if !self.has_successor && !self.company.speaks() {
             return;
         }
@@ -118,7 +119,7 @@
         let ends = worker.own.iter().map(|own| own.end);
         let soonest = span(ends.clone().chain(own_rank.map(|own_rank| own_rank.soonest)).min());
         let latest = span(ends.chain(own_rank.map(|own_rank| own_rank.latest)).max());
-        let cold = self.cold_sent(now, at) + own_rank.map_or(0.0, |own_rank| own_rank.cold);
+        let cold = self.cold_work_sent(now, at) + own_rank.map_or(0.0, |own_rank| own_rank.cold);
         let body = peer::load(&Load { worker: worker.id, lanes, soonest, latest, cold, ln_speed });
         if self.has_successor {
             return self.actions.push(Action::Tell { to: Some(rank), body });
