--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -1,165 +1,188 @@
-//! Admission: the demand test, and the worker that a job's size names.
+//! Admission: the EDF demand test, and the choice of a worker for a job.
 
 use super::*;
 
 impl Dispatcher {
-    /// The EDF demand test: with the jobs planned for the worker and this one, in deadline order, each ends
-    /// by its deadline. Gives the job's start, and its end.
+    /// EDF demand test: whether this job and the jobs planned for the worker, taken in order of their deadlines, each
+    /// end by their deadlines. Returns the start and end of this job, or `None` if the test fails. `lane_ends` is a
+    /// buffer that the call overwrites.
     pub(super) fn demand_test(
         &self,
-        at: usize,
+        index: usize,
         now: Micros,
         id: RequestId,
-        scratch: &mut LaneEnds,
+        lane_ends: &mut LaneEnds,
     ) -> Option<JobInterval> {
         let request = &self.requests[&id];
-        self.lane_end_times(at, now, scratch);
-        if request.slots > scratch.len() {
+        self.lane_end_times(index, now, lane_ends);
+        if request.slots > lane_ends.len() {
             return None;
         }
-        let mut place = |job: &Request| {
-            scratch.sort_unstable();
-            let slots = job.slots.min(scratch.len());
-            // Work beyond its tenant's share leaves a lane for work within.
-            let start = scratch[(slots - 1 + usize::from(job.yields)).min(scratch.len() - 1)];
-            let end = start + self.run_time(at, job.size, now);
-            scratch[..slots].fill(end);
+        let mut place_job = |job: &Request| {
+            lane_ends.sort_unstable();
+            let slots = job.slots.min(lane_ends.len());
+            // A job beyond its tenant's share leaves one lane free for jobs within their shares.
+            let start = lane_ends[(slots - 1 + usize::from(job.yields)).min(lane_ends.len() - 1)];
+            let end = start + self.run_time(index, job.size, now);
+            lane_ends[..slots].fill(end);
             (start, end)
         };
-        // In overload work that still earns something when it is late gives way to what is worth much more.
+        // Under overload a planned job that still earns something when it is late yields to a job of much higher
+        // value.
         let late_worth = |job: &Request| self.settings.classes[job.class].late_worth;
-        let gives_way =
+        let yields_to_this =
             |job: &Request| job.value * YIELD_VALUE_RATIO <= request.value && late_worth(job) > 0.0;
-        let mut mine = None;
-        for &(order, other) in self.workers[at].planned.iter().filter(|plan| plan.1 != id) {
-            if mine.is_none() && (order, other) > (request.order, id) {
-                mine = Some(place(request));
+        let mut placed = None;
+        for &(order, other) in self.workers[index].planned.iter().filter(|plan| plan.1 != id) {
+            if placed.is_none() && (order, other) > (request.order, id) {
+                placed = Some(place_job(request));
             }
             let job = &self.requests[&other];
-            if gives_way(job) {
+            if yields_to_this(job) {
                 continue;
             }
-            let (start, end) = place(job);
-            if mine.is_some()
+            let (start, end) = place_job(job);
+            if placed.is_some()
                 && !job.late
                 && !self.meets_deadline(job, start, end)
-                && self.can_meet_aim(at, now, job)
+                && self.can_meet_aim(index, now, job)
             {
                 return None;
             }
         }
-        let (start, end) = mine.unwrap_or_else(|| place(request));
+        let (start, end) = placed.unwrap_or_else(|| place_job(request));
         (self.meets_deadline(request, start, end)).then_some((start, end))
     }
 
-    /// The job would meet its aim if it began at once. One that would not loses nothing to others.
-    fn can_meet_aim(&self, at: usize, now: Micros, job: &Request) -> bool {
-        self.meets_deadline(job, now, now + self.run_time(at, job.size, now))
+    /// Whether the job would meet its aim if it started at once. A job that would miss the aim in any case loses
+    /// nothing to other jobs.
+    fn can_meet_aim(&self, index: usize, now: Micros, job: &Request) -> bool {
+        self.meets_deadline(job, now, now + self.run_time(index, job.size, now))
     }
 
+    /// Whether a job with this start and end meets its deadline. For a job that can still meet its aim, the run time
+    /// is scaled by the uncertainty of its size.
     pub(super) fn meets_deadline(&self, job: &Request, start: Micros, end: Micros) -> bool {
-        let run = (end - start) as f64 * if job.late { 1.0 } else { job.doubt };
-        start + run as Micros <= job.deadline
+        let run_time = (end - start) as f64 * if job.late { 1.0 } else { job.doubt };
+        start + run_time as Micros <= job.deadline
     }
 
-    /// Nothing is sent there for now: it does not run, failed lately, or the way to its zone is cut.
-    pub(super) fn is_avoided(&self, now: Micros, at: usize) -> bool {
-        let worker = &self.workers[at];
-        let cut = self.knowledge.cuts[worker.zone.0].1 > now;
-        worker.standing != Standing::On || worker.trust.avoided(now) || cut
+    /// Whether nothing is sent to the worker for now: it is not in service, it has failed recently, or connections to
+    /// its zone fail.
+    pub(super) fn is_avoided(&self, now: Micros, index: usize) -> bool {
+        let worker = &self.workers[index];
+        let zone_unreachable = self.knowledge.cuts[worker.zone.0].1 > now;
+        worker.standing != Standing::On || worker.trust.avoided(now) || zone_unreachable
     }
 
-    /// Listed workers that nothing is sent to for now.
+    /// Returns the number of listed workers that nothing is sent to for now.
     pub fn avoided_worker_count(&self, now: Micros) -> usize {
-        let shunned = |&at: &usize| self.workers[at].standing != Standing::Gone && self.is_avoided(now, at);
-        (0..self.workers.len()).filter(shunned).count()
+        let listed_and_avoided =
+            |&index: &usize| self.workers[index].standing != Standing::Gone && self.is_avoided(now, index);
+        (0..self.workers.len()).filter(listed_and_avoided).count()
     }
 
-    pub(super) fn is_usable(&self, at: usize, now: Micros, request: &Request) -> bool {
-        // A job that must not run twice is lost if a trial goes wrong. Those that try a worker first try it again.
-        let once = request.effect == Effect::Unsafe;
-        let worker = &self.workers[at];
-        let barred = worker.trust.on_trial(now) && (once || !worker.home || !worker.own.is_empty());
+    /// Whether the worker can run this request and may get it now.
+    pub(super) fn is_usable(&self, index: usize, now: Micros, request: &Request) -> bool {
+        // A job that must not run twice would be lost if a trial of a worker failed, so it is no trial job. Only the
+        // dispatchers of the worker's cohort try the worker again, each with one job at a time.
+        let not_repeatable = request.effect == Effect::Unsafe;
+        let worker = &self.workers[index];
+        let trial_barred =
+            worker.trust.on_trial(now) && (not_repeatable || !worker.home || !worker.own.is_empty());
         let kind = self.settings.classes[request.class].kind;
-        let able = kind.is_none_or(|kind| kind.0 == worker.kind);
-        able && !barred && !self.is_avoided(now, at) && self.may_send(now, request, at)
+        let kind_matches = kind.is_none_or(|kind| kind.0 == worker.kind);
+        kind_matches && !trial_barred && !self.is_avoided(now, index) && self.may_send(now, request, index)
     }
 
-    /// Tries the workers of the job's range, its cohort's first, then the neighbouring ranges' and a few others: the first
-    /// that can start it now and passes the demand test, else the one that ends it first. Where nobody speaks it is the one
-    /// with most lanes free by what is known here: of a few where that are reports, which draw all alike, else of all.
+    /// Chooses a worker for a held job. Examines the workers of the job's size range, first those of the own cohort's
+    /// share, then those of the neighbouring ranges' shares, then a sample of other workers. Prefers a worker that can
+    /// start the job now and passes the demand test; otherwise returns the one that ends the job first. With messages
+    /// between dispatchers the first candidate in the own share is taken. Without them the candidate with most free
+    /// lanes is taken: of all workers if there are no reports, and of a few if there are, because all dispatchers
+    /// react to the same reports in the same way.
     pub(super) fn choose_worker(&self, now: Micros, id: RequestId) -> Option<Placement> {
         let request = &self.requests[&id];
-        let (need, range) = self.size_range(request)?;
-        let ranges = &self.size_maps[need].ranges;
-        let (mut scratch, mut most, mut seen) = (Vec::new(), f64::NEG_INFINITY, 0);
+        let (map_index, range) = self.size_range(request)?;
+        let ranges = &self.size_maps[map_index].ranges;
+        let (mut lane_ends, mut most_free, mut candidates) = (Vec::new(), f64::NEG_INFINITY, 0);
         let (mut best, mut soonest): (Option<Placement>, Option<Placement>) = (None, None);
-        let alone =
+        let max_without_peers =
             if self.settings.reports == ReportSource::Nowhere { usize::MAX } else { MAX_SAMPLED_WORKERS };
-        let few = if self.settings.limits.peers { 1 } else { alone };
-        let free =
-            |at| self.lane_count(at) as f64 - self.workers[at].busy() as f64 - self.foreign_lanes(at, now);
-        let neighbours = (1..ranges.len()).flat_map(|by| [range + by, range.wrapping_sub(by)]);
-        let homes = std::iter::once(range).chain(neighbours.filter(|&nr| nr < ranges.len()));
-        let homes = homes.flat_map(|nr| ranges[nr].home.iter());
-        for &at in homes.filter(|&&at| self.is_usable(at, now, request)) {
-            let Some((start, end)) = self.demand_test(at, now, id, &mut scratch) else { continue };
+        let max_candidates = if self.settings.limits.peers { 1 } else { max_without_peers };
+        let free_lanes = |index| {
+            self.lane_count(index) as f64 - self.workers[index].busy() as f64 - self.foreign_lanes(index, now)
+        };
+        let neighbours =
+            (1..ranges.len()).flat_map(|distance| [range + distance, range.wrapping_sub(distance)]);
+        let homes = std::iter::once(range).chain(neighbours.filter(|&number| number < ranges.len()));
+        let homes = homes.flat_map(|number| ranges[number].home.iter());
+        for &index in homes.filter(|&&index| self.is_usable(index, now, request)) {
+            let Some((start, end)) = self.demand_test(index, now, id, &mut lane_ends) else { continue };
             if start <= now {
-                if free(at) > most {
-                    (most, best) = (free(at), Some((at, start, end)));
+                if free_lanes(index) > most_free {
+                    (most_free, best) = (free_lanes(index), Some((index, start, end)));
                 }
-                seen += 1;
-                if seen == few {
+                candidates += 1;
+                if candidates == max_candidates {
                     break;
                 }
-            } else if soonest.is_none_or(|(_, _, least)| end < least) {
-                soonest = Some((at, start, end));
+            } else if soonest.is_none_or(|(_, _, earliest)| end < earliest) {
+                soonest = Some((index, start, end));
             }
         }
         if best.is_some() {
             return best;
         }
-        // Of the others' workers the one with most lanes free: what is known of them is old.
-        most = 0.0;
-        for at in self.sample_outside_workers(&ranges[range]) {
-            let cross = if self.workers[at].zone == self.settings.zone { 0.0 } else { CROSS_ZONE_MARGIN };
-            let unknown = self.uses_probes() && now > self.workers[at].known + SECOND;
-            if unknown || free(at) - cross <= most || !self.is_usable(at, now, request) {
+        // Of the workers outside the share the one with most free lanes is chosen, because information about them is
+        // old.
+        most_free = 0.0;
+        for index in self.sample_outside_workers(&ranges[range]) {
+            let zone_margin =
+                if self.workers[index].zone == self.settings.zone { 0.0 } else { CROSS_ZONE_MARGIN };
+            let unknown = self.uses_probes() && now > self.workers[index].known + SECOND;
+            if unknown || free_lanes(index) - zone_margin <= most_free || !self.is_usable(index, now, request)
+            {
                 continue;
             }
-            let Some((start, end)) = self.demand_test(at, now, id, &mut scratch) else { continue };
+            let Some((start, end)) = self.demand_test(index, now, id, &mut lane_ends) else { continue };
             if start <= now {
-                (most, best) = (free(at) - cross, Some((at, start, end)));
+                (most_free, best) = (free_lanes(index) - zone_margin, Some((index, start, end)));
             }
         }
         best.or(soonest)
     }
 
-    /// The few of the others' workers that this job may look at; another few for the next. Near ones count double, and
-    /// no more: all the dispatchers of a crowded zone would look at its few workers, and send on the same aged report.
+    /// Returns a sample of the range's workers outside the own share; successive jobs get different samples. Workers
+    /// of the own zone count double. More weight for them would let all dispatchers of a crowded zone examine its few
+    /// workers and send on the same aged report.
     pub(super) fn sample_outside_workers(&self, range: &Range) -> Vec<usize> {
         let (near, far) = (range.near.len(), range.far.len());
-        let nearby = (MAX_SAMPLED_WORKERS * 2 * near).div_ceil((2 * near + far).max(1)).min(near);
-        let pick = |list: &[usize], count: usize| {
-            let from = self.sample_offset % list.len().max(1);
-            list.iter().cycle().skip(from).take(count.min(list.len())).copied().collect::<Vec<_>>()
+        let near_count = (MAX_SAMPLED_WORKERS * 2 * near).div_ceil((2 * near + far).max(1)).min(near);
+        let sample = |workers: &[usize], count: usize| {
+            let offset = self.sample_offset % workers.len().max(1);
+            workers.iter().cycle().skip(offset).take(count.min(workers.len())).copied().collect::<Vec<_>>()
         };
-        [pick(&range.near, nearby), pick(&range.far, MAX_SAMPLED_WORKERS - nearby)].concat()
+        [sample(&range.near, near_count), sample(&range.far, MAX_SAMPLED_WORKERS - near_count)].concat()
     }
 
-    /// The map and the range in it that a job's size names.
+    /// Returns the index of the size map for the kind of machine that the request needs, and the number of the range
+    /// for its size in that map.
     pub(super) fn size_range(&self, request: &Request) -> Option<(usize, usize)> {
-        let need = self.settings.classes[request.class].kind.map_or(0, |kind| kind.0 + 1);
-        let ranges = &self.size_maps[need].ranges;
+        let map_index = self.settings.classes[request.class].kind.map_or(0, |kind| kind.0 + 1);
+        let ranges = &self.size_maps[map_index].ranges;
         let size = request.size * request.slots as f64;
         let range = ranges.iter().position(|range| size <= range.upper);
-        Some((need, range.or(ranges.len().checked_sub(1))?))
+        Some((map_index, range.or(ranges.len().checked_sub(1))?))
     }
 
-    /// Whether this request is beyond its tenant's share, by this dispatcher's part of the quota.
+    /// Takes a token of the tenant's quota and returns whether the request is beyond the tenant's share. Each
+    /// dispatcher enforces an equal part of the quota.
     pub(super) fn exceeds_tenant_share(&mut self, now: Micros, tenant: Option<TenantIx>) -> bool {
-        let quota = tenant.and_then(|TenantIx(nr)| Some((nr, self.settings.tenants.get(nr)?.quota_per_s)));
-        let Some((nr, quota)) = quota.filter(|of| of.1 > 0.0) else { return false };
-        !self.knowledge.buckets[nr].take(now, quota / f64::from(self.company.size()))
+        let quota = tenant.and_then(|TenantIx(tenant_index)| {
+            Some((tenant_index, self.settings.tenants.get(tenant_index)?.quota_per_s))
+        });
+        let Some((tenant_index, quota)) = quota.filter(|entry| entry.1 > 0.0) else { return false };
+        !self.knowledge.buckets[tenant_index].take(now, quota / f64::from(self.company.size()))
     }
 }
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -1,67 +1,72 @@
-//! Requests that another process of this dispatcher hands on, with all that it has done for them.
+//! Requests transferred between two processes of this dispatcher, with their attempts.
 
 use super::*;
 use crate::renewal::binding;
 
 impl Dispatcher {
-    /// Takes on a request with its attempts. What is out goes on, and nothing is repeated beyond its effect.
-    pub(super) fn adopt_request(&mut self, now: Micros, id: RequestId, handed: HandedOn) {
+    /// Takes over a transferred request with its attempts. Attempts in flight go on. The tighter of the effects at
+    /// both processes decides what may be repeated. If the request was safe to repeat at the other process and may
+    /// have run there, no worker has recorded that, so it is repeated only if it is still safe.
+    pub(super) fn adopt_request(&mut self, now: Micros, id: RequestId, transferred: HandedOn) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let may_have_run = handed.attempts.iter().any(|past| past.state != AttemptState::NeverRan);
-        let ran_unnoted = may_have_run && handed.effect == Effect::Safe;
-        request.effect = binding(handed.effect, request.effect, ran_unnoted);
-        for past in handed.attempts {
-            self.adopt_attempt(now, id, past);
+        let may_have_run = transferred.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverRan);
+        let ran_unrecorded = may_have_run && transferred.effect == Effect::Safe;
+        request.effect = binding(transferred.effect, request.effect, ran_unrecorded);
+        for attempt in transferred.attempts {
+            self.adopt_attempt(now, id, attempt);
         }
         if self.requests.get(&id).is_some_and(|request| !request.out()) {
-            // Held anew, or answered where its attempts leave no other choice.
+            // The request is held again, or answered if its attempts leave no other choice.
             self.retry_or_answer(now, id, Ending::TimedOut);
         }
     }
 
-    /// A request goes on at another process: its lanes are that one's to count.
+    /// Removes a request that has been transferred to another process. That process counts the lanes of its attempts
+    /// from now on.
     pub(super) fn on_moved_away(&mut self, now: Micros, id: RequestId) {
         self.unhold(id);
         let attempts = self.requests.remove(&id).map(|request| request.attempts).unwrap_or_default();
-        for at in attempts.into_iter().map(|attempt| attempt.worker) {
-            self.workers[at].own.retain(|own| own.request != id);
-            self.send_load(now, at, None);
+        for index in attempts.into_iter().map(|attempt| attempt.worker) {
+            self.workers[index].own.retain(|own| own.request != id);
+            self.send_load(now, index, None);
         }
     }
 
-    /// What a repeat of this request would do, by the tightest word on that since it came; `None`: it is not open.
+    /// Returns what a repeat of this request would do, by the tightest effect that has been in force since it arrived,
+    /// or `None` if the request is not open.
     pub fn effect(&self, id: RequestId) -> Option<Effect> {
         self.requests.get(&id).map(|request| request.effect)
     }
 
-    fn adopt_attempt(&mut self, now: Micros, id: RequestId, past: PastAttempt) {
-        let PastAttempt { worker, sent, state } = past;
+    /// Adds an attempt of the other process to a transferred request.
+    fn adopt_attempt(&mut self, now: Micros, id: RequestId, attempt_record: PastAttempt) {
+        let PastAttempt { worker, sent, state } = attempt_record;
         let known = self.worker_index.get(&worker).copied();
-        let at = known.unwrap_or_else(|| self.add_unlisted_worker(worker));
+        let index = known.unwrap_or_else(|| self.add_unlisted_worker(worker));
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.len() as u32;
-        request.attempts.push(Attempt { worker: at, sent, state });
+        request.attempts.push(Attempt { worker: index, sent, state });
         if known.is_none() && state != AttemptState::NeverRan && request.effect != Effect::Safe {
-            // Its zone and cell are not known, so nor is who would drop a repeat.
+            // The zone and cell of the worker are unknown, so it is also unknown which workers would drop a repeat.
             request.effect = Effect::Unsafe;
         }
         if state != AttemptState::InFlight {
             return;
         }
         let (size, slots) = (request.size, request.slots);
-        let end = sent + self.run_time(at, size, now);
-        // When it started is not known, so its time tells nothing of its size.
+        let end = sent + self.run_time(index, size, now);
+        // The start time of the job is unknown, so its run time is no measure of its size.
         let own = Own { request: id, attempt, slots, sent, start: sent, end, ..Own::default() };
-        self.workers[at].own.push(own);
-        self.workers[at].peers.retain(|peer| peer.from != self.settings.rank);
-        self.send_load(now, at, None);
+        self.workers[index].own.push(own);
+        self.workers[index].peers.retain(|peer| peer.from != self.settings.rank);
+        self.send_load(now, index, None);
     }
 
-    /// A worker that is on no list here: it may bring a result, and gets nothing new.
+    /// Adds a worker that is not in the worker list, so that it may bring a result. Nothing new is sent to it.
     fn add_unlisted_worker(&mut self, id: WorkerId) -> usize {
-        let at = self.workers.len();
+        let index = self.workers.len();
         self.workers.push(Worker { id, standing: Standing::Gone, ..Worker::default() });
-        self.worker_index.insert(id, at);
-        at
+        self.worker_index.insert(id, index);
+        index
     }
 }
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -1,143 +1,160 @@
-//! Dealing: dispatchers into cohorts, workers to cohorts, and the size map over them.
+//! Forms cohorts of dispatchers, assigns workers to them and builds the size maps.
 
 use super::*;
 
 impl Dispatcher {
-    /// Deals the dispatchers into cohorts of as many as it takes to share enough workers to even out their bursts, in
-    /// powers of two so that lists which differ a little give the same: large ones over all zones, small ones in one.
+    /// Divides the dispatchers into cohorts that are large enough to share [`MIN_WORKERS_PER_COHORT`] workers, so that
+    /// bursts even out. Sizes are powers of two, so that worker lists with small differences give the same cohorts.
+    /// Large cohorts span all zones, small ones lie in one zone.
     pub(super) fn form_cohorts(&mut self) {
         let workers = self.workers.iter().filter(|worker| worker.standing == Standing::On).count().max(1);
         let size = (MIN_WORKERS_PER_COHORT * self.company.size() as usize / workers)
             .clamp(1, MAX_COHORT_SIZE)
             .next_power_of_two();
         self.cohorts.clear();
-        let apart = size < 2 * self.settings.zones;
-        let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| apart);
+        let by_zone = size < 2 * self.settings.zones;
+        let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| by_zone);
         for zone in zones.chain([None]) {
-            let here = |rank: &u32| !apart || self.knowledge.zones[*rank as usize] == zone;
-            let ranks: Vec<u32> = (0..self.company.size()).filter(here).collect();
+            let in_zone = |rank: &u32| !by_zone || self.knowledge.zones[*rank as usize] == zone;
+            let ranks: Vec<u32> = (0..self.company.size()).filter(in_zone).collect();
             let count = (ranks.len() / size).max(usize::from(!ranks.is_empty()));
-            let part = |nr: usize| ranks[nr * ranks.len() / count..(nr + 1) * ranks.len() / count].to_vec();
-            self.cohorts.extend((0..count).map(|nr| (zone, part(nr))));
+            let members_of = |number: usize| {
+                ranks[number * ranks.len() / count..(number + 1) * ranks.len() / count].to_vec()
+            };
+            self.cohorts.extend((0..count).map(|number| (zone, members_of(number))));
         }
     }
 
-    /// Deals the workers out to the cohorts, by the list alone: what each dispatcher has learned by itself must not
-    /// count, or they would not agree on whose a worker is. Every cohort gets an even part of every kind, and within a zone
-    /// an even part of the zone's.
+    /// Assigns the workers to the cohorts by the worker list alone. If figures that each dispatcher learns by itself
+    /// counted, the dispatchers would not agree on the cohort of a worker. Every cohort gets an equal part of the
+    /// workers of each kind, and within a zone an equal part of the workers of that zone.
     pub(super) fn assign_workers(&mut self) {
-        let on = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == Standing::On);
-        let mut order: Vec<_> = on.map(|(at, worker)| (worker.kind, worker.id, at)).collect();
-        order.sort_unstable();
-        let all: Vec<usize> = (0..self.cohorts.len()).collect();
-        let of_zone = |zone: usize| {
-            let near =
-                |&cohort: &usize| self.cohorts[cohort].0.is_none_or(|there| usize::from(there) == zone);
-            all.iter().copied().filter(near).collect::<Vec<usize>>()
+        let in_service = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == Standing::On);
+        let mut sorted: Vec<_> = in_service.map(|(index, worker)| (worker.kind, worker.id, index)).collect();
+        sorted.sort_unstable();
+        let all_cohorts: Vec<usize> = (0..self.cohorts.len()).collect();
+        let cohorts_of_zone = |zone: usize| {
+            let in_zone = |&cohort: &usize| {
+                self.cohorts[cohort].0.is_none_or(|cohort_zone| usize::from(cohort_zone) == zone)
+            };
+            all_cohorts.iter().copied().filter(in_zone).collect::<Vec<usize>>()
         };
-        let near: Vec<Vec<usize>> = (0..self.settings.zones.max(1)).map(of_zone).collect();
-        let (mut taken, mut dealt) = (vec![0_usize; all.len()], 0);
-        let mut dealt_near = vec![0_usize; near.len()];
-        for kind in order.chunk_by(|a, b| a.0 == b.0) {
-            dealt += kind.len();
-            let most = dealt.div_ceil(all.len());
-            kind.iter().for_each(|&(_, _, at)| dealt_near[self.workers[at].zone.0] += 1);
-            for &(_, id, at) in kind {
-                let zone = self.workers[at].zone.0;
-                let here = &near[zone];
-                let part = dealt_near[zone] as f64 / here.len().max(1) as f64;
-                let bounds = [(here, part.floor() as usize), (here, part.ceil() as usize), (&all, most)];
+        let cohorts_by_zone: Vec<Vec<usize>> = (0..self.settings.zones.max(1)).map(cohorts_of_zone).collect();
+        let (mut taken, mut assigned) = (vec![0_usize; all_cohorts.len()], 0);
+        let mut assigned_in_zone = vec![0_usize; cohorts_by_zone.len()];
+        for kind in sorted.chunk_by(|a, b| a.0 == b.0) {
+            assigned += kind.len();
+            let max_per_cohort = assigned.div_ceil(all_cohorts.len());
+            kind.iter().for_each(|&(_, _, index)| assigned_in_zone[self.workers[index].zone.0] += 1);
+            for &(_, id, index) in kind {
+                let zone = self.workers[index].zone.0;
+                let zone_cohorts = &cohorts_by_zone[zone];
+                let zone_part = assigned_in_zone[zone] as f64 / zone_cohorts.len().max(1) as f64;
+                let bounds = [
+                    (zone_cohorts, zone_part.floor() as usize),
+                    (zone_cohorts, zone_part.ceil() as usize),
+                    (&all_cohorts, max_per_cohort),
+                ];
                 let draw = mix(u64::from(id.0), 0) as usize;
-                let place = |(list, bound): (&Vec<usize>, usize)| {
-                    next_cohort_with_room(list, draw, &taken, bound.min(most))
+                let find_cohort = |(cohorts, bound): (&Vec<usize>, usize)| {
+                    next_cohort_with_room(cohorts, draw, &taken, bound.min(max_per_cohort))
                 };
-                let to = bounds.into_iter().find_map(place).unwrap_or(0);
-                taken[to] += 1;
-                self.workers[at].cohort = to;
-                self.workers[at].home = self.cohorts[to].1.contains(&self.settings.rank);
+                let cohort = bounds.into_iter().find_map(find_cohort).unwrap_or(0);
+                taken[cohort] += 1;
+                self.workers[index].cohort = cohort;
+                self.workers[index].home = self.cohorts[cohort].1.contains(&self.settings.rank);
             }
         }
     }
 
-    /// Ranges over the workers by (speed of their kind, id), small jobs to the slow; in each every cohort has a share.
+    /// Rebuilds the size maps. The ranges of a map divide the workers in the order of the speed of their kind, with
+    /// small jobs on slow workers; every cohort has a share of each range.
     pub(super) fn rebuild_size_maps(&mut self) {
         self.size_maps_stale = false;
         if self.settings.limits.peers {
             self.form_cohorts();
             self.assign_workers();
         } else {
-            // Nobody knows who is in which zone: each begins with its own zone's, in an order of its own.
-            let here = self.settings.zone;
-            self.workers.iter_mut().for_each(|worker| worker.home = worker.zone == here);
+            // The zones of the other dispatchers are unknown. Each dispatcher begins with the workers of its own zone,
+            // in its own order.
+            let own_zone = self.settings.zone;
+            self.workers.iter_mut().for_each(|worker| worker.home = worker.zone == own_zone);
         }
         if self.settings.weights {
             self.seed_speeds_from_weights();
         }
-        for need in 0..self.size_maps.len() {
-            let wanted = need.checked_sub(1);
-            let used = self.settings.classes.iter().any(|class| class.kind.map(|kind| kind.0) == wanted);
+        for map_index in 0..self.size_maps.len() {
+            let wanted_kind = map_index.checked_sub(1);
+            let used = self.settings.classes.iter().any(|class| class.kind.map(|kind| kind.0) == wanted_kind);
             if used {
-                self.rebuild_size_map(need, wanted);
+                self.rebuild_size_map(map_index, wanted_kind);
             }
         }
     }
 
-    /// Until run times tell more, kinds are as fast as their listed weights say.
+    /// Takes the speeds of kinds from the weights in the worker list until run times have been measured.
     pub(super) fn seed_speeds_from_weights(&mut self) {
-        let mean = |wanted: Option<usize>| {
-            let on = |of: &&Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
-            let weights = self.workers.iter().filter(on).map(|worker| worker.weight);
+        let mean = |wanted_kind: Option<usize>| {
+            let in_service = |worker: &&Worker| {
+                worker.standing == Standing::On && wanted_kind.is_none_or(|kind| kind == worker.kind)
+            };
+            let weights = self.workers.iter().filter(in_service).map(|worker| worker.weight);
             weights.clone().sum::<f64>() / weights.count() as f64
         };
-        let all = mean(None);
+        let overall = mean(None);
         let means: Vec<f64> = (0..self.knowledge.kinds.len()).map(|kind| mean(Some(kind))).collect();
         let kinds = self.knowledge.kinds.iter_mut().zip(means);
         for (kind, mean) in kinds.filter(|(kind, mean)| kind.speed.seen == 0.0 && !mean.is_nan()) {
-            kind.speed.ln = (mean / all).ln();
+            kind.speed.ln = (mean / overall).ln();
         }
     }
 
-    pub(super) fn rebuild_size_map(&mut self, need: usize, wanted: Option<usize>) {
-        let on = |of: &Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
-        let mut order: Vec<usize> = (0..self.workers.len()).filter(|&at| on(&self.workers[at])).collect();
-        let speed = |at: usize| self.knowledge.kinds[self.workers[at].kind].speed.ln;
-        let key = |at: usize| (self.workers[at].kind, self.workers[at].id);
-        order.sort_by(|&a, &b| speed(a).total_cmp(&speed(b)).then(key(a).cmp(&key(b))));
-        let known = self.size_maps[need].sizes.len() / MIN_SIZES_PER_RANGE;
-        let count = (order.len() / MIN_WORKERS_PER_RANGE).min(known).clamp(1, MAX_RANGES);
-        let part = |nr: usize| &order[nr * order.len() / count..(nr + 1) * order.len() / count];
-        let power = |nr: usize| part(nr).iter().map(|&at| speed(at).exp()).sum();
-        let bounds = self.size_maps[need].sizes.bounds(&(0..count).map(power).collect::<Vec<f64>>());
+    /// Rebuilds one size map. `wanted_kind` is the only kind of machine that the map covers, or `None` for all kinds.
+    pub(super) fn rebuild_size_map(&mut self, map_index: usize, wanted_kind: Option<usize>) {
+        let in_service = |worker: &Worker| {
+            worker.standing == Standing::On && wanted_kind.is_none_or(|kind| kind == worker.kind)
+        };
+        let mut sorted: Vec<usize> =
+            (0..self.workers.len()).filter(|&index| in_service(&self.workers[index])).collect();
+        let speed = |index: usize| self.knowledge.kinds[self.workers[index].kind].speed.ln;
+        let tie_key = |index: usize| (self.workers[index].kind, self.workers[index].id);
+        sorted.sort_by(|&a, &b| speed(a).total_cmp(&speed(b)).then(tie_key(a).cmp(&tie_key(b))));
+        let max_known = self.size_maps[map_index].sizes.len() / MIN_SIZES_PER_RANGE;
+        let count = (sorted.len() / MIN_WORKERS_PER_RANGE).min(max_known).clamp(1, MAX_RANGES);
+        let workers_of =
+            |number: usize| &sorted[number * sorted.len() / count..(number + 1) * sorted.len() / count];
+        let speed_sum = |number: usize| workers_of(number).iter().map(|&index| speed(index).exp()).sum();
+        let bounds = self.size_maps[map_index].sizes.bounds(&(0..count).map(speed_sum).collect::<Vec<f64>>());
         let rank = self.settings.rank;
         let mut ranges = Vec::with_capacity(count);
-        for (nr, &upper) in bounds.iter().enumerate() {
+        for (number, &upper) in bounds.iter().enumerate() {
             let (mut home, others): (Vec<usize>, Vec<usize>) =
-                part(nr).iter().partition(|&&at| self.workers[at].home);
-            let here = |&at: &usize| self.workers[at].zone == self.settings.zone;
-            let (mut near, mut far): (Vec<usize>, Vec<usize>) = others.into_iter().partition(here);
-            let draw = |&at: &usize| mix(u64::from(rank), u64::from(self.workers[at].id.0));
+                workers_of(number).iter().partition(|&&index| self.workers[index].home);
+            let own_zone = |&index: &usize| self.workers[index].zone == self.settings.zone;
+            let (mut near, mut far): (Vec<usize>, Vec<usize>) = others.into_iter().partition(own_zone);
+            let draw_key = |&index: &usize| mix(u64::from(rank), u64::from(self.workers[index].id.0));
             if !self.settings.limits.peers {
-                home.sort_by_key(draw);
+                home.sort_by_key(draw_key);
             } else if let Some(&first) = home.first() {
-                // Each member begins at another place of the share.
+                // Each member of the cohort begins at another worker of the share.
                 let cohort = &self.cohorts[self.workers[first].cohort].1;
-                let turn = cohort.iter().position(|&member| member == rank).unwrap_or(0);
-                let by = turn * home.len() / cohort.len();
-                home.rotate_left(by);
-                home.sort_by_key(|&at| self.workers[at].zone != self.settings.zone);
+                let place = cohort.iter().position(|&member| member == rank).unwrap_or(0);
+                let offset = place * home.len() / cohort.len();
+                home.rotate_left(offset);
+                home.sort_by_key(|&index| self.workers[index].zone != self.settings.zone);
             }
-            near.sort_by_key(draw);
-            far.sort_by_key(draw);
+            near.sort_by_key(draw_key);
+            far.sort_by_key(draw_key);
             ranges.push(Range { upper, home, near, far });
         }
-        self.size_maps[need].ranges = ranges;
+        self.size_maps[map_index].ranges = ranges;
     }
 }
 
-/// From a place drawn by the id, the next of these cohorts that has taken less than `bound`: shares are even, and little moves
-/// as workers come and go.
+/// Returns the first of these cohorts that has fewer than `bound` workers, starting at a position drawn from the id of
+/// the worker. Shares stay equal, and few workers change their cohort as others come and go.
 fn next_cohort_with_room(cohorts: &[usize], draw: usize, taken: &[usize], bound: usize) -> Option<usize> {
-    let first = draw % cohorts.len().max(1);
-    let ring = cohorts.iter().cycle().skip(first).take(cohorts.len());
-    ring.copied().find(|&cohort| taken[cohort] < bound)
+    let start = draw % cohorts.len().max(1);
+    let rotated = cohorts.iter().cycle().skip(start).take(cohorts.len());
+    rotated.copied().find(|&cohort| taken[cohort] < bound)
 }
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -1,99 +1,115 @@
-//! Attempts and final answers: every rule on sends, and what follows an end.
+//! Attempts and final answers: the rules on sending, and the reaction to the end of an attempt.
 
 use super::*;
 use calicolb_shutdown::{FinalAnswer, final_answer};
 
 impl Dispatcher {
-    /// What was decided of an attempt holds still. Asked right before its first byte: its connection may have come up
-    /// after its client left, its worker began to drain, or an earlier attempt's repeats ceased to be dropped.
+    /// Whether an attempt may still start. The host asks right before it writes the first byte: the connection may
+    /// have been established after the client left, the worker began to drain, or the workers ceased to drop repeats
+    /// of an earlier attempt.
     pub fn may_start_attempt(&self, now: Micros, id: RequestId, attempt: u32) -> bool {
-        let (request, nr) = (self.requests.get(&id), attempt as usize);
-        let at = request.and_then(|request| request.attempts.get(nr)).map(|own| own.worker);
-        request.zip(at).is_some_and(|(request, at)| self.attempt_allowed(now, request, nr, at))
+        let (request, position) = (self.requests.get(&id), attempt as usize);
+        let index = request.and_then(|request| request.attempts.get(position)).map(|own| own.worker);
+        request.zip(index).is_some_and(|(request, index)| self.attempt_allowed(now, request, position, index))
     }
 
-    /// The rules on where the attempt of this number may go that hold up to its first byte.
-    fn attempt_allowed(&self, now: Micros, request: &Request, attempt: usize, at: usize) -> bool {
-        let worker = &self.workers[at];
+    /// Applies the rules on sending that hold until the first byte of an attempt, given its number and worker.
+    fn attempt_allowed(&self, now: Micros, request: &Request, attempt: usize, index: usize) -> bool {
+        let worker = &self.workers[index];
         if request.done || attempt >= self.settings.limits.tries as usize {
             return false;
         }
-        // Rule 2, and nothing goes where an earlier attempt has not surely ended, copies allowed or not.
-        let before = &request.attempts[..attempt];
-        let twice = Request::may_run(before, at);
-        let mut risky = before.iter().filter(|attempt| attempt.state != AttemptState::NeverRan);
-        let harmless = match request.effect {
+        // Rule 2 forbids a repeat that could do harm. In addition nothing is sent to a worker at which an earlier
+        // attempt may still run, even where copies are allowed.
+        let earlier = &request.attempts[..attempt];
+        let runs_there = Request::may_run(earlier, index);
+        let mut may_have_run = earlier.iter().filter(|attempt| attempt.state != AttemptState::NeverRan);
+        let repeat_harmless = match request.effect {
             Effect::Safe => true,
-            Effect::Unsafe => risky.next().is_none(),
-            // The group's memory runs from the first send; half of it is kept as margin for the journey.
-            Effect::Keyed { group, span } => risky.all(|attempt| {
-                let drops = worker.drops_repeats(group, &self.workers[attempt.worker]);
-                drops && now < attempt.sent + span / 2
+            Effect::Unsafe => may_have_run.next().is_none(),
+            // The workers of the group remember a request from its first send. Half of that time is kept as a margin
+            // for the transport.
+            Effect::Keyed { group, span } => may_have_run.all(|attempt| {
+                let drops_repeats = worker.drops_repeats(group, &self.workers[attempt.worker]);
+                drops_repeats && now < attempt.sent + span / 2
             }),
         };
-        // Rule 3: nothing at all after being told, so the grace is never needed; nor by a list that is too old.
-        harmless
-            && !twice
+        // Rule 3 forbids sends to a draining worker. Nothing is sent after the notification, so its grace is never
+        // used. Nothing is sent by an outdated worker list either.
+        repeat_harmless
+            && !runs_there
             && !self.worker_list.stale(now)
             && worker.standing == Standing::On
             && !worker.refuses(request.skill)
     }
 
-    /// Every rule on where a job may go now; that none of its attempts is out any more is asked when it goes.
-    pub(super) fn may_send(&self, now: Micros, request: &Request, at: usize) -> bool {
-        if !self.attempt_allowed(now, request, request.attempts.len(), at) {
+    /// Applies all rules on sending a job to this worker now, except the check for attempts in flight, which
+    /// [`Self::send_attempt`] makes.
+    pub(super) fn may_send(&self, now: Micros, request: &Request, index: usize) -> bool {
+        if !self.attempt_allowed(now, request, request.attempts.len(), index) {
             return false;
         }
-        // Rule 4. What a cold worker was sent counts on in the process that took over.
+        // Rule 4 limits the work sent to a cold worker. The successor continues this count, so a process with a
+        // successor sends nothing to cold workers.
         let work = request.size * request.slots as f64;
-        self.warmth(at, now) >= 1.0
-            || (!self.has_successor && self.cold_allowance(now, at, work) == Allowance::Yes)
+        self.warmth(index, now) >= 1.0
+            || (!self.has_successor && self.cold_allowance(now, index, work) == Allowance::Yes)
     }
 
-    /// Work sent to a worker in the last window of the fourth rule.
-    pub(super) fn cold_work_sent(&self, now: Micros, at: usize) -> f64 {
-        let since = now.saturating_sub(self.settings.rules.fall_window);
-        self.workers[at].cold_sent.iter().filter(|(then, _)| *then >= since).map(|sent| sent.1).sum()
+    /// Returns the work sent to a worker within the last window of rule 4, in microseconds at speed 1.
+    pub(super) fn cold_work_sent(&self, now: Micros, index: usize) -> f64 {
+        let window_start = now.saturating_sub(self.settings.rules.fall_window);
+        self.workers[index]
+            .cold_sent
+            .iter()
+            .filter(|(sent_at, _)| *sent_at >= window_start)
+            .map(|sent| sent.1)
+            .sum()
     }
 
-    /// Whether this dispatcher may send a cold worker so much more work: as one of the cohort whose share holds it, as a
-    /// warden drawn by its id and start, or in turn.
-    pub(super) fn cold_allowance(&self, now: Micros, at: usize, work: f64) -> Allowance {
-        let (worker, rules) = (&self.workers[at], &self.settings.rules);
-        let (power, window) = (self.lane_count(at) as f64 * self.speed(at), rules.fall_window as f64);
-        let budget = COLD_BUDGET_SHARE * rules.fall_multiple * self.warmth(at, now) * power * window;
-        let usual = (self.knowledge.work.per_s() / SECOND as f64 * window).max(self.knowledge.mean_time);
+    /// Decides whether this dispatcher may send this amount of work, in microseconds at speed 1, to a cold worker: as
+    /// a member of the cohort whose share holds the worker, as a designated sender drawn by the id and start time of
+    /// the worker, or, without messages between dispatchers, in rotation.
+    pub(super) fn cold_allowance(&self, now: Micros, index: usize, work: f64) -> Allowance {
+        let (worker, rules) = (&self.workers[index], &self.settings.rules);
+        let (capacity, window) =
+            (self.lane_count(index) as f64 * self.speed(index), rules.fall_window as f64);
+        let budget = COLD_BUDGET_SHARE * rules.fall_multiple * self.warmth(index, now) * capacity * window;
+        let work_per_window =
+            (self.knowledge.work.per_s() / SECOND as f64 * window).max(self.knowledge.mean_time);
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
-        let (rank, sent) = (self.settings.rank, self.cold_work_sent(now, at));
+        let (rank, sent) = (self.settings.rank, self.cold_work_sent(now, index));
         if !self.settings.limits.peers {
-            let rota = Rota::new(budget, usual, self.company.size(), self.settings.zones);
-            let (near, turn) = (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
-            return self.shared_spending.looked(rota.allows(near, turn, rank, sent, work));
+            let rota = Rota::new(budget, work_per_window, self.company.size(), self.settings.zones);
+            let (own_zone, draw_and_window) =
+                (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
+            return self.shared_spending.looked(rota.allows(own_zone, draw_and_window, rank, sent, work));
         }
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
-        let share = ColdShare::new(budget, members, usual, self.company.size());
+        let share = ColdShare::new(budget, members, work_per_window, self.company.size());
         let sender = Sender::of(worker.home, share.warden(draw, rank, self.company.size()));
-        let fresh = |peer: &&PeerLoad| peer.told + rules.fall_window > now && peer.from != rank;
-        let told = worker.peers.iter().filter(fresh).map(|peer| peer.cold).sum();
-        self.shared_spending.looked(share.allows(sender, sent, told, work))
+        let recent = |peer: &&PeerLoad| peer.told + rules.fall_window > now && peer.from != rank;
+        let sent_by_peers = worker.peers.iter().filter(recent).map(|peer| peer.cold).sum();
+        self.shared_spending.looked(share.allows(sender, sent, sent_by_peers, work))
     }
 
-    pub(super) fn send_attempt(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
-        let doubled = !self.settings.limits.copies && self.requests[&id].out();
-        if doubled || !self.may_send(now, &self.requests[&id], at) {
+    /// Sends an attempt of a request to a worker. Returns `false` without sending if the rules forbid it.
+    pub(super) fn send_attempt(&mut self, now: Micros, id: RequestId, index: usize) -> bool {
+        let second_copy = !self.settings.limits.copies && self.requests[&id].out();
+        if second_copy || !self.may_send(now, &self.requests[&id], index) {
             return false;
         }
         let Request { size, slots, effect, .. } = self.requests[&id];
         let mut lanes = Vec::new();
-        self.lane_end_times(at, now, &mut lanes);
+        self.lane_end_times(index, now, &mut lanes);
         lanes.sort_unstable();
         let start = lanes[slots.min(lanes.len()) - 1];
-        let end = start + self.run_time(at, size, now);
-        let cold = self.warmth(at, now) < 1.0;
+        let end = start + self.run_time(index, size, now);
+        let cold = self.warmth(index, now) < 1.0;
         let attempt = self.requests[&id].attempts.len() as u32;
-        let made = Attempt { worker: at, sent: now, state: AttemptState::InFlight };
-        self.requests.entry(id).and_modify(|request| request.attempts.push(made));
-        let worker = &mut self.workers[at];
+        let new_attempt = Attempt { worker: index, sent: now, state: AttemptState::InFlight };
+        self.requests.entry(id).and_modify(|request| request.attempts.push(new_attempt));
+        let worker = &mut self.workers[index];
         let (clean, awaits_start, progress) = (start <= now, self.settings.tells_start, None);
         let own = Own { request: id, attempt, slots, sent: now, end, start, clean, awaits_start, progress };
         worker.own.push(own);
@@ -107,44 +123,46 @@
             self.hold_queue.unstarted.insert((now + START_NOTICE_TIMEOUT, id));
             self.schedule_wake(now, now + START_NOTICE_TIMEOUT);
         }
-        self.send_load(now, at, None);
+        self.send_load(now, index, None);
         true
     }
 
-    /// Every final answer of this dispatcher: a refusal where it is certain that nothing ran, else a failure.
-    pub(crate) fn finish(&mut self, now: Micros, id: RequestId, why: Rejection) {
+    /// Sends the final answer to a request without a result: a refusal if it is certain that nothing ran, or if a
+    /// repeat is harmless, and a failure otherwise.
+    pub(crate) fn finish(&mut self, now: Micros, id: RequestId, reason: Rejection) {
         self.unhold(id);
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.done) else { return };
         request.done = true;
-        let why = self.rejections.count(why);
+        let reason = self.rejections.count(reason);
         let states = request.attempts.iter().map(|attempt| attempt.state);
         if final_answer(request.effect.repeatable(), states) == FinalAnswer::Refused {
             let limits = &self.settings.limits;
             let left = request.expires.saturating_sub(now);
             let pause = (self.knowledge.mean_time / 4.0) as Micros;
             let come_back = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
-            self.actions.push(Action::Refuse { request: id, come_back, why });
+            self.actions.push(Action::Refuse { request: id, come_back, why: reason });
         } else {
             self.actions.push(Action::Fail(id));
         }
         self.remove_if_complete(id);
     }
 
-    /// The client has left: what still runs for it is called off, it would be work for nobody.
+    /// Handles the departure of a client: cancels attempts in flight, whose results nobody would receive, and closes
+    /// the request.
     pub(super) fn on_lapsed(&mut self, id: RequestId) {
         self.cancel_attempts(id);
         self.close(id);
     }
 
-    /// Calls off what is out for a request, where that is allowed.
+    /// Cancels the attempts in flight of a request, where cancelling is allowed.
     fn cancel_attempts(&mut self, id: RequestId) {
         let attempts = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
-        let running =
-            attempts.filter(|(_, at)| at.state == AttemptState::InFlight && self.settings.limits.cancel);
-        self.actions.extend(running.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+        let in_flight = attempts
+            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && self.settings.limits.cancel);
+        self.actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
     }
 
-    /// The process ends before any attempt has brought the result.
+    /// Sends the final answer to a request that has no result when the process ends, and cancels its attempts.
     pub(super) fn on_conclude(&mut self, now: Micros, id: RequestId) {
         if !self.requests.contains_key(&id) {
             return self.actions.push(Action::Fail(id));
@@ -153,137 +171,147 @@
         self.cancel_attempts(id);
     }
 
-    /// The request is over without an answer of ours.
+    /// Completes a request without a final answer of this dispatcher.
     pub(super) fn close(&mut self, id: RequestId) {
         self.unhold(id);
         self.requests.entry(id).and_modify(|request| request.done = true);
         self.remove_if_complete(id);
     }
 
-    /// A request's record goes once it is answered and its last attempt has ended.
+    /// Removes a request once it is answered and its last attempt has ended.
     pub(super) fn remove_if_complete(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|request| request.done && !request.out()) {
             self.requests.remove(&id);
         }
     }
 
+    /// Returns the index of the worker of an attempt and its position in the list of own attempts there.
     pub(super) fn find_own_attempt(&self, id: RequestId, attempt: u32) -> Option<(usize, usize)> {
-        let at = self.requests.get(&id)?.attempts.get(attempt as usize)?.worker;
-        let nr = self.workers[at].own.iter().position(|own| own.request == id && own.attempt == attempt)?;
-        Some((at, nr))
+        let index = self.requests.get(&id)?.attempts.get(attempt as usize)?.worker;
+        let position =
+            self.workers[index].own.iter().position(|own| own.request == id && own.attempt == attempt)?;
+        Some((index, position))
     }
 
+    /// Handles the start of an attempt at its worker and updates its expected end.
     pub(super) fn on_started(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        let Some((at, nr)) = self.find_own_attempt(id, attempt) else { return };
+        let Some((index, position)) = self.find_own_attempt(id, attempt) else { return };
         let size = self.requests[&id].size;
-        let end = now + self.run_time(at, size, now);
-        let own = &mut self.workers[at].own[nr];
+        let end = now + self.run_time(index, size, now);
+        let own = &mut self.workers[index].own[position];
         let (awaited, waited) = (own.awaits_start, now > own.sent + START_NOTICE_TIMEOUT);
         (own.start, own.end, own.clean, own.awaits_start) = (now, end, true, false);
         if awaited && self.counts_lanes_by_starts() {
-            self.record_start(now, at, waited);
+            self.record_start(now, index, waited);
         }
     }
 
+    /// Handles a notice about an attempt.
     pub(super) fn on_note(&mut self, now: Micros, id: RequestId, attempt: u32, note: Note) {
         if note == Note::Over {
             self.requests.entry(id).and_modify(|request| request.over(attempt));
         }
-        let Some((at, nr)) = self.find_own_attempt(id, attempt) else { return };
+        let Some((index, position)) = self.find_own_attempt(id, attempt) else { return };
         match note {
             Note::Started => self.on_started(now, id, attempt),
-            Note::Silent if self.workers[at].own[nr].awaits_start => {
-                // The way there is dead, or the worker: nothing of a queue there shows in this. A job that may
-                // run twice is tried elsewhere, any other can only be waited for.
-                self.workers[at].own[nr].awaits_start = false;
-                self.record_fault(now, at, 1);
+            Note::Silent if self.workers[index].own[position].awaits_start => {
+                // The worker or the connection to it has failed; this is not a sign of a queue at the worker. A job
+                // that may run twice is tried elsewhere, any other job can only wait.
+                self.workers[index].own[position].awaits_start = false;
+                self.record_fault(now, index, 1);
                 if self.requests[&id].effect == Effect::Safe && self.settings.limits.cancel {
                     self.actions.push(Action::Cancel { request: id, attempt });
                 }
             }
             Note::Progress(done) if done > 0.0 && done <= 1.0 => {
-                let own = &mut self.workers[at].own[nr];
-                // The pace between two notes, or from the start, where that is known, to the first.
-                let pace = match own.progress {
-                    Some((then, before)) if done > before => (done - before) / (now - then).max(1) as f64,
+                let own = &mut self.workers[index].own[position];
+                // The rate of progress is measured between two notices, or from the start to the first notice if the
+                // start is known.
+                let rate = match own.progress {
+                    Some((noted_at, noted_done)) if done > noted_done => {
+                        (done - noted_done) / (now - noted_at).max(1) as f64
+                    }
                     _ if own.clean => done / (now - own.start.min(now)).max(1) as f64,
                     _ => 1.0 / self.knowledge.mean_time,
                 };
                 own.progress = Some((now, done));
-                own.end = now + ((1.0 - done) / pace).min(3600.0 * SECOND as f64) as Micros;
+                own.end = now + ((1.0 - done) / rate).min(3600.0 * SECOND as f64) as Micros;
             }
             Note::Silent | Note::Progress(_) | Note::Over => {}
         }
     }
 
+    /// Handles the end of an attempt: learns about the worker, and retries or answers the request.
     pub(super) fn on_outcome(&mut self, now: Micros, outcome: Outcome) {
         let Outcome { request: id, attempt, ending, elapsed, running, concluded, .. } = outcome;
-        let Some((at, nr)) = self.find_own_attempt(id, attempt) else { return };
-        let own = self.workers[at].own.swap_remove(nr);
-        let mut speed = None;
+        let Some((index, position)) = self.find_own_attempt(id, attempt) else { return };
+        let own = self.workers[index].own.swap_remove(position);
+        let mut ln_speed = None;
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempts[attempt as usize].state = ending.state(running);
         request.done |= concluded;
         let (class, hint) = (request.class, request.hint);
         match ending {
             Ending::Ok => {
-                let before = self.workers[at].trust.strikes(now);
-                self.workers[at].trust.fine(now);
-                self.send_fault_report(now, at, before);
-                self.record_connection(now, at, true);
-                self.adjust_lanes(at, own.slots, true);
+                let strikes_before = self.workers[index].trust.strikes(now);
+                self.workers[index].trust.fine(now);
+                self.send_fault_report(now, index, strikes_before);
+                self.record_connection(now, index, true);
+                self.adjust_lanes(index, own.slots, true);
                 if own.clean {
                     let time = if own.start > own.sent { now.saturating_sub(own.start) } else { elapsed };
-                    speed = self.learn_run_time(now, at, (class, hint), time);
+                    ln_speed = self.learn_run_time(now, index, (class, hint), time);
                 }
             }
             Ending::Full => {
-                self.adjust_lanes(at, own.slots, false);
-                let lanes = self.lane_count(at) as f64;
-                // Its waiting room is taken too, which is taken to hold half a lane's worth each.
-                self.workers[at].foreign = Some((now, 1.5 * lanes));
-                self.workers[at].known = now;
-                self.learn_zone_load(at, lanes);
+                self.adjust_lanes(index, own.slots, false);
+                let lanes = self.lane_count(index) as f64;
+                // The waiting room of the worker is full too. It is assumed to hold half a lane of work per lane.
+                self.workers[index].foreign = Some((now, 1.5 * lanes));
+                self.workers[index].known = now;
+                self.learn_zone_load(index, lanes);
             }
             Ending::Unreachable => {
-                self.record_fault(now, at, 1);
-                self.record_connection(now, at, false);
+                self.record_fault(now, index, 1);
+                self.record_connection(now, index, false);
             }
-            // One that answers with errors is soon free again, and would draw more jobs than the others.
-            Ending::Error => self.record_fault(now, at, 2),
-            Ending::Broken => self.record_fault(now, at, 1),
+            // A worker that answers with errors is soon free again and would attract more jobs than others, so an
+            // error counts twice.
+            Ending::Error => self.record_fault(now, index, 2),
+            Ending::Broken => self.record_fault(now, index, 1),
             Ending::TimedOut | Ending::Cancelled | Ending::Moot | Ending::Unusable => {}
         }
-        self.send_load(now, at, speed);
+        self.send_load(now, index, ln_speed);
         self.retry_or_answer(now, id, ending);
         self.remove_if_complete(id);
-        self.offer_freed_lane(now, at);
+        self.offer_freed_lane(now, index);
     }
 
-    /// An attempt has ended without the answer: try again where that is allowed and can help, else answer.
+    /// Retries a request whose attempt ended without an answer, where a retry is allowed and can help, and answers it
+    /// otherwise.
     pub(super) fn retry_or_answer(&mut self, now: Micros, id: RequestId, ending: Ending) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.done || request.held || request.out() {
             return;
         }
-        let risky = request.may_have_run();
-        let once = request.effect == Effect::Unsafe && risky;
-        let spent = request.attempts.len() >= self.settings.limits.tries as usize;
-        let over = now + 2 * self.settings.tick >= request.expires;
+        let may_have_run = request.may_have_run();
+        let not_repeatable = request.effect == Effect::Unsafe && may_have_run;
+        let tries_used_up = request.attempts.len() >= self.settings.limits.tries as usize;
+        let expired = now + 2 * self.settings.tick >= request.expires;
         let rejection = match ending {
             Ending::Unusable => Some(Rejection::Unusable),
             Ending::Moot => Some(Rejection::Moot),
-            _ if once => Some(Rejection::NotRepeatable),
-            _ if spent => Some(Rejection::AttemptsSpent),
-            _ if over => Some(Rejection::Expired),
+            _ if not_repeatable => Some(Rejection::NotRepeatable),
+            _ if tries_used_up => Some(Rejection::AttemptsSpent),
+            _ if expired => Some(Rejection::Expired),
             _ => None,
         };
         if rejection == Some(Rejection::Unusable) {
             self.rejections.count(Rejection::Unusable);
             self.actions.push(Action::Fail(id));
             self.close(id);
-        } else if let Some(why) = rejection {
-            self.finish(now, id, why);
+        } else if let Some(reason) = rejection {
+            self.finish(now, id, reason);
         } else {
             self.hold(id);
             self.schedule_wake(now, now + self.settings.tick);
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -1,98 +1,109 @@
-//! Lanes: how many a worker has, and when each comes free.
+//! Lanes: the number that a worker has, and when each becomes free.
 
 use super::*;
 
 impl Dispatcher {
-    pub(super) fn lane_count(&self, at: usize) -> usize {
-        let worker = &self.workers[at];
+    /// Returns the number of lanes of a worker: the exact number from the worker list, or else an estimate that is at
+    /// least the largest number of slots of any job so far.
+    pub(super) fn lane_count(&self, index: usize) -> usize {
+        let worker = &self.workers[index];
         let kind = &self.knowledge.kinds[worker.kind];
-        let seen = worker.lanes.or(kind.lanes).map_or(0, |lanes| lanes.round() as usize);
-        let lanes = if self.counts_lanes_by_starts() { kind.counted.lanes() } else { seen };
+        let estimated = worker.lanes.or(kind.lanes).map_or(0, |lanes| lanes.round() as usize);
+        let lanes = if self.counts_lanes_by_starts() { kind.counted.lanes() } else { estimated };
         worker.exact.unwrap_or(lanes.max(self.knowledge.most_slots))
     }
 
-    /// Lanes are known by the starts that workers tell of: where these report no free slots.
+    /// Whether lanes are counted by the start notices of workers, which is the case if these send them and report no
+    /// free slots.
     pub(super) fn counts_lanes_by_starts(&self) -> bool {
         self.settings.tells_start && !self.settings.reports_free_slots
     }
 
-    /// A job has started there, after a wait, in which others had the lanes that ours had not, or at once.
-    pub(super) fn record_start(&mut self, now: Micros, at: usize, waited: bool) {
-        let (running, kind) = (self.workers[at].running(), self.workers[at].kind);
+    /// Learns from a start notice. If the job had waited, other dispatchers held all lanes that the own jobs did not.
+    /// If it started at once, they held their usual share.
+    pub(super) fn record_start(&mut self, now: Micros, index: usize, waited: bool) {
+        let (running, kind) = (self.workers[index].running(), self.workers[index].kind);
         self.knowledge.kinds[kind].counted.started(running, waited);
-        let others = self.lane_count(at).saturating_sub(running) as f64;
-        self.learn_zone_load(at, if waited { others } else { 0.0 });
-        let part = if waited { 1.0 } else { self.knowledge.mean_foreign[self.workers[at].zone.0] };
-        self.workers[at].foreign = Some((now, others * part));
-        self.workers[at].known = now;
+        let other_lanes = self.lane_count(index).saturating_sub(running) as f64;
+        self.learn_zone_load(index, if waited { other_lanes } else { 0.0 });
+        let share = if waited { 1.0 } else { self.knowledge.mean_foreign[self.workers[index].zone.0] };
+        self.workers[index].foreign = Some((now, other_lanes * share));
+        self.workers[index].known = now;
     }
 
-    /// Lanes that others are taken to use there.
-    pub(super) fn foreign_lanes(&self, at: usize, now: Micros) -> f64 {
-        let worker = &self.workers[at];
-        let told = worker.told(now).map(|peer| peer.lanes).sum::<usize>() as f64;
-        // What others use of the own share they tell, as far as they speak; elsewhere it is as reports or starts show.
-        let silent = if worker.home { 1.0 - self.company.trust(now) } else { 1.0 };
-        let share =
-            if worker.exact.is_some() { 0.0 } else { self.knowledge.mean_foreign[worker.zone.0] * silent };
-        let prior = share * self.lane_count(at) as f64;
-        let seen = match worker.foreign {
-            Some((then, lanes)) => {
-                let age = now.saturating_sub(then) as f64;
-                let keep = (-age / self.knowledge.mean_time).exp();
-                lanes * keep + prior * (1.0 - keep)
+    /// Returns the estimated number of lanes that other dispatchers use at the worker.
+    pub(super) fn foreign_lanes(&self, index: usize, now: Micros) -> f64 {
+        let worker = &self.workers[index];
+        let reported = worker.told(now).map(|peer| peer.lanes).sum::<usize>() as f64;
+        // Other dispatchers report their use of the own share, as far as they send messages. Elsewhere it is estimated
+        // from load reports or start notices.
+        let unreported = if worker.home { 1.0 - self.company.trust(now) } else { 1.0 };
+        let share = if worker.exact.is_some() {
+            0.0
+        } else {
+            self.knowledge.mean_foreign[worker.zone.0] * unreported
+        };
+        let prior = share * self.lane_count(index) as f64;
+        let estimated = match worker.foreign {
+            Some((known_at, lanes)) => {
+                let age = now.saturating_sub(known_at) as f64;
+                let weight = (-age / self.knowledge.mean_time).exp();
+                lanes * weight + prior * (1.0 - weight)
             }
             None => prior,
         };
-        // A job of ours that waits to start tells that all lanes are taken.
+        // An own job that waits to start shows that all lanes are taken.
         if worker.own.iter().any(|own| own.awaits_start && now > own.sent + START_NOTICE_TIMEOUT) {
-            return seen.max(told).max(self.lane_count(at).saturating_sub(worker.running()) as f64);
+            return estimated
+                .max(reported)
+                .max(self.lane_count(index).saturating_sub(worker.running()) as f64);
         }
-        seen.max(told)
+        estimated.max(reported)
     }
 
-    /// Where no free-slot figure is given, lanes gain one after a finish at full model and lose one on 'full'.
-    pub(super) fn adjust_lanes(&mut self, at: usize, slots: usize, clean: bool) {
+    /// Adjusts the estimate where no free slots are reported: one lane more after a job ended with all estimated lanes
+    /// in use, and one lane less after the worker refused a job as full.
+    pub(super) fn adjust_lanes(&mut self, index: usize, slots: usize, completed: bool) {
         if self.settings.reports_free_slots || self.counts_lanes_by_starts() {
             return;
         }
-        let lanes = self.lane_count(at);
-        let busy = slots + self.workers[at].busy();
-        if clean && busy >= lanes {
-            self.workers[at].lanes = Some(lanes as f64 + 1.0);
-        } else if !clean {
-            self.workers[at].lanes = Some((lanes as f64 - 1.0).max(1.0));
+        let lanes = self.lane_count(index);
+        let busy = slots + self.workers[index].busy();
+        if completed && busy >= lanes {
+            self.workers[index].lanes = Some(lanes as f64 + 1.0);
+        } else if !completed {
+            self.workers[index].lanes = Some((lanes as f64 - 1.0).max(1.0));
         }
     }
 
-    /// When each lane of a worker comes free, by what is known to be there.
-    pub(super) fn lane_end_times(&self, at: usize, now: Micros, lanes: &mut Vec<Micros>) {
-        let worker = &self.workers[at];
+    /// Writes to `lanes` the times at which the lanes of the worker become free, as far as its load is known.
+    pub(super) fn lane_end_times(&self, index: usize, now: Micros, lanes: &mut Vec<Micros>) {
+        let worker = &self.workers[index];
         let mut busy: Vec<Micros> = Vec::with_capacity(16);
         for own in &worker.own {
-            // A job past its estimate is taken to run on for a part of what it has run already.
+            // A job past its estimated end is assumed to run on for a quarter of the time that it has run so far.
             let end =
                 if own.end > now { own.end } else { now + (now - own.start.min(now)) / 4 + MILLISECOND };
             busy.extend(std::iter::repeat_n(end, own.slots));
         }
-        let foreign = self.foreign_lanes(at, now).round() as usize;
-        let mut told = 0;
+        let foreign = self.foreign_lanes(index, now).round() as usize;
+        let mut reported = 0;
         for peer in worker.told(now) {
             busy.extend(peer.ends(now + MILLISECOND));
-            told += peer.lanes;
+            reported += peer.lanes;
         }
-        for nr in told..foreign {
+        for number in reported..foreign {
             busy.push(
-                now + (self.knowledge.mean_time / 2.0) as Micros * (1 + (nr - told) as Micros) / 2
+                now + (self.knowledge.mean_time / 2.0) as Micros * (1 + (number - reported) as Micros) / 2
                     + MILLISECOND,
             );
         }
-        let count = self.lane_count(at);
+        let count = self.lane_count(index);
         lanes.clear();
         lanes.resize(count, now);
         busy.sort_unstable();
-        for (nr, end) in busy.into_iter().enumerate() {
-            lanes[nr % count] = end;
+        for (number, end) in busy.into_iter().enumerate() {
+            lanes[number % count] = end;
         }
     }
 }
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -1,18 +1,21 @@
-//! Membership: what the list says of each worker, and when it is asked for.
+//! Worker list: the entries of the workers, and when the list is requested.
 
 use super::*;
 
 impl Dispatcher {
+    /// Handles an event of the worker list. Sets a timer for the next call where one is due, updates the workers and
+    /// rebuilds the size maps.
     pub(super) fn on_members(&mut self, now: Micros, kind: ListKind, members: Vec<Member>) {
         let after = match kind {
-            // Soon, and again soon: what is missed counts a few seconds after discovery can be reached.
+            // The next call follows soon each time. A missed change counts as notified a few seconds after discovery
+            // can be reached again.
             ListKind::Lost => {
                 self.worker_list.subscribed = false;
-                let rest = if std::mem::replace(&mut self.worker_list.lost, true) { SECOND / 2 } else { 1 };
-                Some(rest + self.rng.u64(0..SECOND))
+                let pause = if std::mem::replace(&mut self.worker_list.lost, true) { SECOND / 2 } else { 1 };
+                Some(pause + self.rng.u64(0..SECOND))
             }
-            // Spread over time, so that dispatchers which start together do not swamp the list; and soon, since nothing
-            // may be sent by a saved list before it is confirmed.
+            // Calls are spread over time, so that dispatchers that start together do not overload discovery. They are
+            // also soon, because nothing may be sent by a saved list before it is confirmed.
             ListKind::Saved if self.settings.list_on_request && !self.worker_list.subscribed => {
                 Some(1 + self.rng.u64(0..(self.settings.rules.ask_every / 2).clamp(1, MAX_FIRST_CALL_DELAY)))
             }
@@ -24,8 +27,8 @@
         }
         self.worker_list.lost &= kind == ListKind::Saved;
         if kind != ListKind::Changes {
-            let gone = |of: &&mut Worker| members.iter().all(|member| member.worker != of.id);
-            self.workers.iter_mut().filter(gone).for_each(|worker| worker.standing = Standing::Gone);
+            let unlisted = |worker: &&mut Worker| members.iter().all(|member| member.worker != worker.id);
+            self.workers.iter_mut().filter(unlisted).for_each(|worker| worker.standing = Standing::Gone);
         }
         members.into_iter().for_each(|member| self.update_worker(member));
         self.rebuild_size_maps();
@@ -34,20 +37,22 @@
                 self.actions
                     .push(Action::Tell { to: None, body: peer::greeting(self.settings.zone.0, true) });
             }
-            let homes: Vec<usize> = (0..self.workers.len()).filter(|&at| self.workers[at].home).collect();
-            self.probe_home_workers(now, &homes, homes.len());
+            let home_workers: Vec<usize> =
+                (0..self.workers.len()).filter(|&index| self.workers[index].home).collect();
+            self.probe_home_workers(now, &home_workers, home_workers.len());
         }
         self.process_hold_queue(now);
     }
 
+    /// Adds a worker of the list or updates its entry.
     pub(super) fn update_worker(&mut self, member: Member) {
-        let at = *self.worker_index.entry(member.worker).or_insert_with(|| {
+        let index = *self.worker_index.entry(member.worker).or_insert_with(|| {
             self.workers.push(Worker { id: member.worker, started: member.started, ..Worker::default() });
             self.workers.len() - 1
         });
-        let worker = &mut self.workers[at];
+        let worker = &mut self.workers[index];
         if member.started != worker.started && member.started.is_some() {
-            // A new process: nothing learned of the old one's health or load holds.
+            // The worker has a new process. Nothing learned about the health or load of the old process applies to it.
             worker.trust = Trust::default();
             worker.foreign = None;
             worker.peers.clear();
@@ -62,6 +67,7 @@
         worker.weight = if member.weight.is_finite() && member.weight > 0.0 { member.weight } else { 1.0 };
     }
 
+    /// Subscribes to the worker list, where it must be requested and is not subscribed to yet.
     pub(crate) fn subscribe_to_list(&mut self) {
         if self.settings.list_on_request && !self.worker_list.subscribed {
             self.worker_list.subscribed = true;
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -1,5 +1,8 @@
-//! All decisions of a dispatcher. The ordinary path: the size map names a range of workers, an EDF demand test over a
-//! worker's lanes admits the job, and held jobs leave earliest deadline first as lanes free.
+//! All decisions of a dispatcher. On the ordinary path the size map selects a range of workers, an
+//! earliest-deadline-first (EDF) demand test over the lanes of a worker admits the job, and held jobs are sent in
+//! order of their deadlines as lanes become free.
+//!
+//! Functions in this module identify a worker by its index in `Dispatcher::workers`.
 
 mod admission;
 mod adoption;
@@ -24,76 +27,96 @@
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Dispatchers, at most, that tell each other what they send, so that together they know their workers.
+/// Maximum number of dispatchers in a cohort. The members tell each other what they send, so that together they know
+/// the load of their workers.
 const MAX_COHORT_SIZE: usize = 8;
-/// Workers that a cohort's share holds at least, if it has not the most members.
+/// Minimum number of workers in the share of a cohort, unless the cohort has reached its maximum size.
 const MIN_WORKERS_PER_COHORT: usize = 8;
-/// Ranges of the size map at most; with few workers there are fewer.
+/// Maximum number of ranges in a size map. With few workers there are fewer.
 const MAX_RANGES: usize = 4;
-/// Workers a range needs at least, over all cohorts' shares of it, to be worth having.
+/// Minimum number of workers in a range, over the shares of all cohorts. Smaller ranges are not worthwhile.
 const MIN_WORKERS_PER_RANGE: usize = 8;
-/// Sizes that must have been seen for each range: boundaries drawn from fewer would crowd some ranges.
+/// Minimum number of job sizes seen per range. Boundaries drawn from fewer sizes would overload some ranges.
 const MIN_SIZES_PER_RANGE: usize = 8;
-/// Lanes that a worker in another zone must have free more than one in this zone to be spilled to.
+/// Number of free lanes that a worker in another zone needs beyond those of a worker in the own zone to be preferred.
 const CROSS_ZONE_MARGIN: f64 = 0.5;
-/// Held jobs without a lane that are looked at in one go: bounds the work of an event under overload.
+/// Maximum number of held jobs without a free lane that one pass over the hold queue examines. It bounds the work per
+/// event under overload.
 const MAX_BLOCKED_JOBS_PER_PASS: usize = 8;
-/// Held jobs are looked at again after this time at the soonest, unless a lane frees before.
+/// Minimum time until held jobs are examined again, unless a lane becomes free before that.
 const RECHECK_INTERVAL: Micros = 20 * MILLISECOND;
-/// Age that a report is taken to have when it comes: the settings do not tell.
+/// Age that a report is assumed to have on arrival. The settings do not state it.
 const ASSUMED_REPORT_AGE: Micros = 500 * MILLISECOND;
-/// Age that no report is beyond: what has run for so long was running when it was made.
+/// Upper bound of the age of a report. A job that has run longer than this was running when the report was made.
 const MAX_REPORT_AGE: Micros = 1_800 * MILLISECOND;
-/// A worker is probed at most this often: reports are refreshed about as slowly.
+/// Minimum time between two probes of a worker. Workers refresh their reports about this slowly.
 const MIN_PROBE_INTERVAL: Micros = 500 * MILLISECOND;
-/// Workers outside the cohort's share that are looked at, and probed, for one job.
+/// Maximum number of workers outside the cohort's share that are examined and probed for one job.
 const MAX_SAMPLED_WORKERS: usize = 4;
-/// News of a start takes this long at most; after that a job is taken to wait.
+/// Maximum delay of the notice that a job has started. A job without a notice after this time is assumed to wait at
+/// its worker.
 const START_NOTICE_TIMEOUT: Micros = 50 * MILLISECOND;
-/// Share of a cold worker's stated budget that is used: its true size is only estimated.
+/// Share of a cold worker's budget that is used, because the worker's true capacity is only estimated.
 const COLD_BUDGET_SHARE: f64 = 0.4;
-/// A planned job gives way to one that is worth so many times as much for its work.
+/// A planned job yields to a job whose value per unit of work is at least this many times as high.
 const YIELD_VALUE_RATIO: f64 = 2.0;
-/// A process that starts calls for the list within this time.
+/// Maximum delay of the first call for the worker list after a process starts.
 const MAX_FIRST_CALL_DELAY: Micros = 2 * SECOND;
+/// Timer for the next pass over the hold queue.
 const HOLD_QUEUE_TIMER: TimerId = TimerId(1);
+/// Timer for the next call for the worker list.
 const WORKER_LIST_TIMER: TimerId = TimerId(2);
 
-/// A job's start and end; the same, and at which worker; when lanes come free; a job's class and hint.
+/// Start and end of a job.
 type JobInterval = (Micros, Micros);
+/// Index of the worker chosen for a job, and the start and end of the job there.
 type Placement = (usize, Micros, Micros);
+/// Times at which the lanes of a worker become free.
 type LaneEnds = Vec<Micros>;
+/// Index of the class of a job, and the work that its client expects.
 type ClassAndHint = (usize, Option<f64>);
 
-/// One dispatcher's decisions.
+/// Decision state of one dispatcher: takes events and returns the actions to carry out.
 pub struct Dispatcher {
+    /// Settings in force.
     pub(crate) settings: Settings,
-    /// What is to be done.
+    /// Actions collected while an event is handled.
     pub(crate) actions: Vec<Action>,
     pub(crate) rng: fastrand::Rng,
+    /// All workers seen so far, including those that left the worker list.
     pub(crate) workers: Vec<Worker>,
+    /// Index of each worker in `workers`.
     pub(crate) worker_index: Table<WorkerId, usize>,
+    /// Figures learned over time.
     pub(crate) knowledge: Knowledge,
+    /// Size maps: the first covers all kinds of machine, the following ones a single kind each.
     pub(crate) size_maps: Vec<SizeMap>,
+    /// Whether the size maps must be rebuilt before the next choice of a worker.
     pub(crate) size_maps_stale: bool,
+    /// Requests that are open or still have an attempt in flight.
     pub(crate) requests: Table<RequestId, Request>,
+    /// Jobs that wait to be sent, and jobs sent without a start notice.
     pub(crate) hold_queue: Queue,
-    /// Another process has taken over: this one ends its work, and that one alone speaks for both.
+    /// Whether another process of this dispatcher has taken over. This process then only completes its work, and the
+    /// successor alone sends messages to other dispatchers for both.
     pub(crate) has_successor: bool,
+    /// State of the worker list subscription.
     pub(crate) worker_list: Listing,
+    /// Rotates with every arrival, so that successive jobs examine different workers outside the cohort.
     pub(crate) sample_offset: usize,
-    /// The zone, if it is known, and the ranks of each cohort.
+    /// Zone and member ranks of each cohort. The zone is `None` if the cohort is not limited to one or the zone is not
+    /// known.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
-    /// The other dispatchers, and what is assumed of them.
+    /// Membership of the other dispatchers, and how far their messages are relied on.
     pub(crate) company: Company,
-    /// What has been spent of what all dispatchers share, for operators.
+    /// Use of resources that all dispatchers share, for operators.
     pub shared_spending: Spending,
-    /// Why requests got no result, for operators.
+    /// Counts of requests without a result by reason, for operators.
     pub rejections: Rejections,
 }
 
 impl Dispatcher {
-    /// A dispatcher without any knowledge but its settings.
+    /// Creates a dispatcher that knows only its settings. `now` is in microseconds.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let company = Company::new(settings.instances, settings.rank, settings.limits.peers);
         Dispatcher {
@@ -117,7 +140,7 @@
         }
     }
 
-    /// Takes in one event and adds what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.handle_event(now, event);
         out.append(&mut self.actions);
@@ -127,9 +150,9 @@
         match event {
             Event::Members(kind, members) => self.on_members(now, kind, members),
             Event::Arrival(arrival) => self.on_arrival(now, arrival),
-            // Timers cannot be withdrawn: one that an earlier one has overtaken is passed over.
+            // Timers cannot be cancelled. A timer that an earlier one has superseded is ignored.
             Event::Timer(HOLD_QUEUE_TIMER) => {
-                if self.hold_queue.wake.is_some_and(|at| at <= now) {
+                if self.hold_queue.wake.is_some_and(|wake| wake <= now) {
                     self.hold_queue.wake = None;
                     self.process_hold_queue(now);
                 }
@@ -147,7 +170,7 @@
             Event::Handed(knowledge) => self.on_handed(knowledge),
             Event::Succeeded(succeeded) => {
                 self.has_successor = succeeded;
-                (0..self.workers.len()).for_each(|at| self.send_load(now, at, None));
+                (0..self.workers.len()).for_each(|index| self.send_load(now, index, None));
             }
             Event::Streaming { request, attempt } => {
                 self.on_started(now, request, attempt);
@@ -155,21 +178,21 @@
             }
             Event::Note { request, attempt, note } => self.on_note(now, request, attempt, note),
             Event::Outcome(outcome) => {
-                if let Some(&at) = self.worker_index.get(&outcome.worker) {
-                    self.on_report(now, at, outcome.report);
+                if let Some(&index) = self.worker_index.get(&outcome.worker) {
+                    self.on_report(now, index, outcome.report);
                 }
                 self.on_outcome(now, outcome);
             }
             Event::Probed { worker, ending, report, .. } => {
-                let Some(&at) = self.worker_index.get(&worker) else { return };
-                self.on_report(now, at, report);
+                let Some(&index) = self.worker_index.get(&worker) else { return };
+                self.on_report(now, index, report);
                 if ending == Ending::Unreachable {
-                    self.record_fault(now, at, 1);
+                    self.record_fault(now, index, 1);
                 }
-                self.offer_freed_lane(now, at);
+                self.offer_freed_lane(now, index);
             }
             Event::Lapsed(request) => self.on_lapsed(request),
-            Event::Ends(at) => self.on_process_end(now, at),
+            Event::Ends(end) => self.on_process_end(now, end),
             Event::MovedAway(request) => self.on_moved_away(now, request),
             Event::Conclude(request) => self.on_conclude(now, request),
             Event::Peer { from, body } => self.on_peer(now, from, &body),
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -1,77 +1,90 @@
-//! Talk: what dispatchers and workers tell, and whom to believe for how long.
+//! Messages between dispatchers, probes of workers, and the reaction to faults and failed connections.
 
 use super::*;
 
 impl Dispatcher {
-    /// Connections that fail one after the other across another zone point to the link, not to its workers:
-    /// the zone is left alone for a while, and the next job after that is a trial.
-    pub(super) fn record_connection(&mut self, now: Micros, at: usize, made: bool) {
-        let (zone, own) = (self.workers[at].zone, self.settings.zone);
-        let (failed, until) = self.knowledge.cuts[zone.0];
-        let until = if zone != own && failed >= 2 { now + SECOND } else { until };
-        self.knowledge.cuts[zone.0] = if made { (0, 0) } else { (failed + 1, until) };
+    /// Counts failed connections to a zone in a row. Three or more failures to another zone point to the link rather
+    /// than to the workers: nothing is sent to the zone for a second, and the next job after that is a trial.
+    pub(super) fn record_connection(&mut self, now: Micros, index: usize, established: bool) {
+        let (zone, own_zone) = (self.workers[index].zone, self.settings.zone);
+        let (failed, avoided_until) = self.knowledge.cuts[zone.0];
+        let avoided_until = if zone != own_zone && failed >= 2 { now + SECOND } else { avoided_until };
+        self.knowledge.cuts[zone.0] = if established { (0, 0) } else { (failed + 1, avoided_until) };
     }
 
-    /// Probes bring reports: no job goes to another cohort's worker on a guess.
+    /// Whether workers are probed for load reports. If they are, no job is sent to a worker of another cohort without
+    /// a recent report.
     pub(super) fn uses_probes(&self) -> bool {
         self.settings.reports != ReportSource::Nowhere && self.settings.limits.probes
     }
 
-    /// Asks workers for a report: of these, those of which nothing is known of late.
-    pub(super) fn probe_workers(&mut self, now: Micros, among: &[usize], most: usize) {
-        let rested = |worker: &Worker| now >= worker.probed.max(worker.known) + MIN_PROBE_INTERVAL;
-        let due = |at: &&usize| self.workers[**at].standing == Standing::On && rested(&self.workers[**at]);
-        let due: Vec<usize> =
-            among.iter().filter(due).take(if self.uses_probes() { most } else { 0 }).copied().collect();
-        for at in due {
-            self.workers[at].probed = now;
-            self.actions.push(Action::Probe(self.workers[at].id));
+    /// Probes at most `max_probes` of these workers, those in service without recent knowledge of their load.
+    pub(super) fn probe_workers(&mut self, now: Micros, candidates: &[usize], max_probes: usize) {
+        let probe_due = |worker: &Worker| now >= worker.probed.max(worker.known) + MIN_PROBE_INTERVAL;
+        let due = |index: &&usize| {
+            self.workers[**index].standing == Standing::On && probe_due(&self.workers[**index])
+        };
+        let due: Vec<usize> = candidates
+            .iter()
+            .filter(due)
+            .take(if self.uses_probes() { max_probes } else { 0 })
+            .copied()
+            .collect();
+        for index in due {
+            self.workers[index].probed = now;
+            self.actions.push(Action::Probe(self.workers[index].id));
         }
     }
 
-    /// The same of the own share, where no answer brings a report.
-    pub(super) fn probe_home_workers(&mut self, now: Micros, among: &[usize], most: usize) {
+    /// Probes workers of the own share, where load reports come with probe results only.
+    pub(super) fn probe_home_workers(&mut self, now: Micros, candidates: &[usize], max_probes: usize) {
         let needed = self.settings.reports == ReportSource::Probes;
-        self.probe_workers(now, among, if needed { most } else { 0 });
+        self.probe_workers(now, candidates, if needed { max_probes } else { 0 });
     }
 
-    /// Probes for a job: of its own share of the range, and, if that has no lane for it now, a few others.
+    /// Probes workers for a job: one in the own share of its size range, and, if no lane there is free now (`spill`),
+    /// a sample of other workers.
     pub(super) fn probe_for_job(&mut self, now: Micros, id: RequestId, spill: bool) {
-        let Some((need, range)) = self.size_range(&self.requests[&id]) else { return };
-        let range = &self.size_maps[need].ranges[range];
-        let (home, few) =
+        let Some((map_index, range)) = self.size_range(&self.requests[&id]) else { return };
+        let range = &self.size_maps[map_index].ranges[range];
+        let (home, sample) =
             (range.home[..range.home.len().min(2)].to_vec(), self.sample_outside_workers(range));
         self.probe_home_workers(now, &home, 1);
-        self.probe_workers(now, &few, if spill { MAX_SAMPLED_WORKERS } else { 0 });
+        self.probe_workers(now, &sample, if spill { MAX_SAMPLED_WORKERS } else { 0 });
     }
 
-    /// Something went wrong there: it is left alone for a while, and the others hear of it.
-    pub(super) fn record_fault(&mut self, now: Micros, at: usize, by: u32) {
-        let before = self.workers[at].trust.strikes(now);
-        self.workers[at].trust.fault(now, by);
-        self.send_fault_report(now, at, before);
+    /// Records `strikes` faults of a worker. Nothing is sent to it for a while, and the other dispatchers are
+    /// notified.
+    pub(super) fn record_fault(&mut self, now: Micros, index: usize, strikes: u32) {
+        let strikes_before = self.workers[index].trust.strikes(now);
+        self.workers[index].trust.fault(now, strikes);
+        self.send_fault_report(now, index, strikes_before);
     }
 
-    /// Tells all others what has just been seen of a worker, if they are to hear of it.
-    pub(super) fn send_fault_report(&mut self, now: Micros, at: usize, before: u32) {
-        let news = self.workers[at].trust.news(now, before);
-        if let Some(strikes) = news.filter(|_| self.company.speaks()) {
-            self.actions.push(Action::Tell { to: None, body: peer::trouble(self.workers[at].id, strikes) });
+    /// Sends a fault report about the worker to all dispatchers if one is due.
+    pub(super) fn send_fault_report(&mut self, now: Micros, index: usize, strikes_before: u32) {
+        let report = self.workers[index].trust.news(now, strikes_before);
+        if let Some(strikes) = report.filter(|_| self.company.speaks()) {
+            self.actions
+                .push(Action::Tell { to: None, body: peer::trouble(self.workers[index].id, strikes) });
         }
     }
 
+    /// Handles a message from the dispatcher of rank `from`. Messages that cannot be read are ignored.
     pub(super) fn on_peer(&mut self, now: Micros, from: u32, body: &[u8]) {
-        let own_rank = from == self.settings.rank;
-        let said = peer::read(body).filter(|_| from < MOST_RANKS);
-        // There are as many dispatchers as that at least.
-        if said.is_some() && !own_rank && self.company.hear(now, from) {
+        let from_own_rank = from == self.settings.rank;
+        let message = peer::read(body).filter(|_| from < MOST_RANKS);
+        // A sender with this rank implies at least that many dispatchers.
+        if message.is_some() && !from_own_rank && self.company.hear(now, from) {
             self.knowledge.zones.resize(self.company.size() as usize, None);
             self.size_maps_stale = true;
         }
-        let load = match said {
-            Some(Said::Greeting { zone, asks }) if usize::from(zone) < self.settings.zones && !own_rank => {
+        let load = match message {
+            Some(Said::Greeting { zone, asks })
+                if usize::from(zone) < self.settings.zones && !from_own_rank =>
+            {
                 self.size_maps_stale |= self.knowledge.zones[from as usize].replace(zone) != Some(zone);
-                // One that has just started does not know where this one stands.
+                // A dispatcher that has just started does not know the zone of this one.
                 if asks {
                     let body = peer::greeting(self.settings.zone.0, false);
                     self.actions.push(Action::Tell { to: Some(from), body });
@@ -79,47 +92,52 @@
                 return;
             }
             Some(Said::Trouble { worker, strikes }) => {
-                // What is heard may keep a part of the workers idle, not most of them.
-                let on = self.workers.iter().filter(|worker| worker.standing == Standing::On).count();
-                let heard = strikes == 0 || self.avoided_worker_count(now) * 4 <= on;
-                let Some(&at) = self.worker_index.get(&worker).filter(|_| heard && !own_rank) else { return };
-                return self.workers[at].trust.hear(now, from, strikes, self.rng.f64());
+                // Fault reports are accepted while at most a quarter of the workers in service are avoided, so that
+                // reports of others cannot keep most workers idle.
+                let in_service = self.workers.iter().filter(|worker| worker.standing == Standing::On).count();
+                let accepted = strikes == 0 || self.avoided_worker_count(now) * 4 <= in_service;
+                let Some(&index) = self.worker_index.get(&worker).filter(|_| accepted && !from_own_rank)
+                else {
+                    return;
+                };
+                return self.workers[index].trust.hear(now, from, strikes, self.rng.f64());
             }
             Some(Said::Load(load)) => load,
             _ => return,
         };
-        let Some(&at) = self.worker_index.get(&load.worker) else { return };
-        if let Some(speed) = load.ln_speed.filter(|_| !own_rank) {
-            self.learn_speed(at, self.speed(at).ln() - speed);
+        let Some(&index) = self.worker_index.get(&load.worker) else { return };
+        if let Some(ln_speed) = load.ln_speed.filter(|_| !from_own_rank) {
+            self.learn_speed(index, self.speed(index).ln() - ln_speed);
         }
-        let peers = &mut self.workers[at].peers;
-        let before = peers.iter().position(|peer| peer.from == from).map(|nr| peers.swap_remove(nr));
+        let peers = &mut self.workers[index].peers;
+        let previous_load =
+            peers.iter().position(|peer| peer.from == from).map(|position| peers.swap_remove(position));
         if load.lanes > 0 || load.cold > 0.0 {
             let (soonest, latest) = (now + load.soonest, now + load.latest);
             peers.push(PeerLoad { from, lanes: load.lanes, soonest, latest, cold: load.cold, told: now });
         }
-        if load.lanes == 0 && before.is_some() {
-            self.offer_freed_lane(now, at);
+        if load.lanes == 0 && previous_load.is_some() {
+            self.offer_freed_lane(now, index);
         }
-        if own_rank {
-            self.send_load(now, at, None);
+        if from_own_rank {
+            self.send_load(now, index, None);
         }
     }
 
-    /// Tells the worker's cohort what this dispatcher has there now, both its processes if there are two; the
-    /// one that was succeeded tells the other.
-    pub(super) fn send_load(&mut self, now: Micros, at: usize, ln_speed: Option<f64>) {
+    /// Sends the load of this dispatcher at the worker to the worker's cohort. The load includes both processes of
+    /// this dispatcher if there are two: the process with a successor sends its own load to the successor.
+    pub(super) fn send_load(&mut self, now: Micros, index: usize, ln_speed: Option<f64>) {
         if !self.has_successor && !self.company.speaks() {
             return;
         }
-        let (worker, rank) = (&self.workers[at], self.settings.rank);
-        let own_rank = worker.told(now).find(|peer| peer.from == rank);
-        let lanes = worker.busy() + own_rank.map_or(0, |own_rank| own_rank.lanes);
+        let (worker, rank) = (&self.workers[index], self.settings.rank);
+        let predecessor = worker.told(now).find(|peer| peer.from == rank);
+        let lanes = worker.busy() + predecessor.map_or(0, |predecessor| predecessor.lanes);
         let span = |end: Option<Micros>| end.unwrap_or(now).saturating_sub(now);
         let ends = worker.own.iter().map(|own| own.end);
-        let soonest = span(ends.clone().chain(own_rank.map(|own_rank| own_rank.soonest)).min());
-        let latest = span(ends.chain(own_rank.map(|own_rank| own_rank.latest)).max());
-        let cold = self.cold_work_sent(now, at) + own_rank.map_or(0.0, |own_rank| own_rank.cold);
+        let soonest = span(ends.clone().chain(predecessor.map(|predecessor| predecessor.soonest)).min());
+        let latest = span(ends.chain(predecessor.map(|predecessor| predecessor.latest)).max());
+        let cold = self.cold_work_sent(now, index) + predecessor.map_or(0.0, |predecessor| predecessor.cold);
         let body = peer::load(&Load { worker: worker.id, lanes, soonest, latest, cold, ln_speed });
         if self.has_successor {
             return self.actions.push(Action::Tell { to: Some(rank), body });
