--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -16,7 +16,7 @@
 impl Dispatcher {
     /// Requests of a tenant with a quota since this process started, and how many of them counted as within its share.
     pub fn counted(&self, tenant: TenantIx) -> Option<(u64, u64)> {
-        self.know.buckets.get(tenant.0).map(|bucket| (bucket.asked, bucket.given))
+        self.knowledge.buckets.get(tenant.0).map(|bucket| (bucket.asked, bucket.given))
     }
 }
 
@@ -260,7 +260,8 @@
 impl Request {
     /// An attempt of these may still be running at this worker.
     pub(crate) fn may_run(attempts: &[Attempt], at: usize) -> bool {
-        let there = |attempt: &Attempt| matches!(attempt.state, AttemptState::Out | AttemptState::MayRun);
+        let there =
+            |attempt: &Attempt| matches!(attempt.state, AttemptState::InFlight | AttemptState::MayRun);
         attempts.iter().any(|attempt| attempt.worker == at && there(attempt))
     }
 
@@ -277,7 +278,7 @@
 
     /// An attempt of it is out.
     pub(crate) fn out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.state == AttemptState::Out)
+        self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 }
 
