--- a/crates/freshness/src/witness.rs
+++ b/crates/freshness/src/witness.rs
@@ -13,12 +13,12 @@
 //! | question | version, 1, number of the question (2) |
 //! | answer | version, 2, number of the question (2), digest of the list (8), age of its last confirmation in ms (4) |
 
-use crate::{ListClock, Micros, Mode};
+use crate::{ListLease, ListSource, Micros};
 
 /// The version of the messages: no message of the decision module begins so.
 pub const VERSION: u8 = 0xf1;
 /// So many others are asked at once.
-pub const AUDIENCE: usize = 3;
+pub const PEERS_PER_QUESTION: usize = 3;
 /// A list that was confirmed so lately needs no witness: discovery itself has time to speak.
 const RECENT: Micros = 4_000_000;
 /// Questions follow each other at this distance at first, and at twice the last one after each.
@@ -110,8 +110,8 @@
 
 impl Inquiry {
     /// When the next question is due; `None` where nobody needs to be asked.
-    pub fn due(&self, clock: &ListClock) -> Option<Micros> {
-        if clock.mode() != Mode::Asked {
+    pub fn due(&self, clock: &ListLease) -> Option<Micros> {
+        if clock.mode() != ListSource::SharedService {
             return None;
         }
         let needed = clock.confirmed().map_or(clock.started(), |confirmed| confirmed + RECENT);
@@ -127,21 +127,21 @@
     }
 
     /// Discovery has spoken itself: the next time of doubt begins with quick questions again.
-    pub fn rest(&mut self) {
+    pub fn reset(&mut self) {
         self.asked = None;
     }
 
     /// The answer to a question, for a list of this digest.
-    pub fn answer(number: u16, clock: &ListClock, digest: u64, now: Micros) -> Option<Message> {
+    pub fn answer(number: u16, clock: &ListLease, digest: u64, now: Micros) -> Option<Message> {
         let age = now.saturating_sub(clock.confirmed()?);
         let age_ms = u32::try_from(age.div_ceil(1_000)).unwrap_or(u32::MAX);
         Some(Message::Answer { number, digest, age_ms })
     }
 
     /// Takes in an answer, for a list of this digest.
-    pub fn answered(
+    pub fn handle_answer(
         &self,
-        clock: &mut ListClock,
+        clock: &mut ListLease,
         own: u64,
         (number, digest, age_ms): (u16, u64, u32),
     ) -> Verdict {
@@ -153,7 +153,7 @@
         if digest == own {
             return if clock.confirm(at) { Verdict::Confirmed } else { Verdict::Nothing };
         }
-        clock.reachable(at);
+        clock.discovery_reachable(at);
         Verdict::Behind
     }
 }
--- a/crates/freshness/tests/witness.rs
+++ b/crates/freshness/tests/witness.rs
@@ -1,7 +1,7 @@
 //! What schedulers make of each other's words on the list.
 
 use calicolb_freshness::witness::{Inquiry, Message, Verdict};
-use calicolb_freshness::{ListClock, Micros, Mode};
+use calicolb_freshness::{ListLease, ListSource, Micros};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
@@ -9,8 +9,8 @@
 const START: Micros = 100 * SECOND;
 const LIST: u64 = 0x5eed;
 
-fn new_process() -> ListClock {
-    ListClock::new(Mode::Asked, GRACE, START)
+fn new_process() -> ListLease {
+    ListLease::new(ListSource::SharedService, GRACE, START)
 }
 
 fn ask(inquiry: &mut Inquiry, now: Micros) -> u16 {
@@ -36,11 +36,11 @@
 #[test]
 fn nobody_is_asked_while_discovery_speaks_or_where_there_is_nothing_to_ask() {
     let (mut clock, inquiry) = (new_process(), Inquiry::default());
-    clock.opened(START);
-    clock.heard(START + SECOND);
+    clock.watch_requested(START);
+    clock.message_received(START + SECOND);
     assert_eq!(inquiry.due(&clock), Some(START + 5 * SECOND));
-    for mode in [Mode::Pushed, Mode::Fixed] {
-        assert_eq!(inquiry.due(&ListClock::new(mode, GRACE, START)), None);
+    for mode in [ListSource::LocalAgent, ListSource::Fixed] {
+        assert_eq!(inquiry.due(&ListLease::new(mode, GRACE, START)), None);
     }
 }
 
@@ -48,40 +48,40 @@
 fn the_same_list_is_vouched_for_as_of_the_question_less_the_age() {
     let (mut clock, mut inquiry) = (new_process(), Inquiry::default());
     let number = ask(&mut inquiry, START + 10);
-    assert_eq!(inquiry.answered(&mut clock, LIST, (number, LIST, 1_500)), Verdict::Confirmed);
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, (number, LIST, 1_500)), Verdict::Confirmed);
     let confirmed = START + 10 - 1_500_000;
     assert_eq!(clock.confirmed(), Some(confirmed));
     let (older, same) = ((number, LIST, 1_600), (number, LIST, 1_500));
-    assert_eq!(inquiry.answered(&mut clock, LIST, older), Verdict::Nothing);
-    assert_eq!(inquiry.answered(&mut clock, LIST, same), Verdict::Nothing);
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, older), Verdict::Nothing);
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, same), Verdict::Nothing);
     assert_eq!(clock.confirmed(), Some(confirmed));
 }
 
 #[test]
 fn another_list_confirms_nothing_and_ends_the_excuse_of_refused_calls() {
     let (mut clock, mut inquiry) = (new_process(), Inquiry::default());
-    clock.opened(START);
-    clock.heard(START);
-    clock.broke(START + SECOND);
-    let lease = clock.until();
+    clock.watch_requested(START);
+    clock.message_received(START);
+    clock.watch_failed(START + SECOND);
+    let lease = clock.lease_end();
     let number = ask(&mut inquiry, START + 6 * SECOND);
     // One that has had no word since either shows nothing.
-    assert_eq!(inquiry.answered(&mut clock, LIST, (number, 7, 6_000)), Verdict::Nothing);
-    assert_eq!(inquiry.answered(&mut clock, LIST, (number, 7, 100)), Verdict::Behind);
-    clock.opened(START + 6 * SECOND);
-    clock.broke(START + 8 * SECOND);
-    assert_eq!(clock.until(), lease, "discovery could be reached meanwhile");
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, (number, 7, 6_000)), Verdict::Nothing);
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, (number, 7, 100)), Verdict::Behind);
+    clock.watch_requested(START + 6 * SECOND);
+    clock.watch_failed(START + 8 * SECOND);
+    assert_eq!(clock.lease_end(), lease, "discovery could be reached meanwhile");
 }
 
 #[test]
 fn an_answer_to_an_earlier_question_or_to_none_counts_for_nothing() {
     let (mut clock, mut inquiry) = (new_process(), Inquiry::default());
-    assert_eq!(inquiry.answered(&mut clock, LIST, (0, LIST, 0)), Verdict::Nothing);
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, (0, LIST, 0)), Verdict::Nothing);
     let first = ask(&mut inquiry, START);
     let second = ask(&mut inquiry, START + SECOND);
-    assert_eq!(inquiry.answered(&mut clock, LIST, (first, LIST, 0)), Verdict::Nothing);
-    inquiry.rest();
-    assert_eq!(inquiry.answered(&mut clock, LIST, (second, LIST, 0)), Verdict::Nothing);
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, (first, LIST, 0)), Verdict::Nothing);
+    inquiry.reset();
+    assert_eq!(inquiry.handle_answer(&mut clock, LIST, (second, LIST, 0)), Verdict::Nothing);
     assert_eq!(clock.confirmed(), None);
 }
 
@@ -89,7 +89,7 @@
 fn only_who_was_confirmed_answers_and_an_age_is_rounded_up() {
     let mut clock = new_process();
     assert_eq!(Inquiry::answer(1, &clock, LIST, START + SECOND), None);
-    clock.heard(START);
+    clock.message_received(START);
     let answer = Inquiry::answer(1, &clock, LIST, START + 1);
     assert_eq!(answer, Some(Message::Answer { number: 1, digest: LIST, age_ms: 1 }));
 }
@@ -112,7 +112,7 @@
     #[test]
     fn a_chain_of_witnesses_makes_no_list_fresher(delays in prop::collection::vec((0_u64..3 * SECOND, 0_u64..SECOND, 0_u64..SECOND), 1..20)) {
         let mut first = new_process();
-        first.heard(START);
+        first.message_received(START);
         let (mut witness, mut now) = (first, START);
         for (rest, there, back) in delays {
             let (mut clock, mut inquiry) = (new_process(), Inquiry::default());
@@ -123,7 +123,7 @@
                 panic!("a confirmed scheduler answers")
             };
             now += back;
-            prop_assert_eq!(inquiry.answered(&mut clock, LIST, (told, digest, age_ms)), Verdict::Confirmed);
+            prop_assert_eq!(inquiry.handle_answer(&mut clock, LIST, (told, digest, age_ms)), Verdict::Confirmed);
             prop_assert!(clock.confirmed().is_some_and(|confirmed| confirmed <= START));
             witness = clock;
         }
--- a/crates/hollow/src/discovery.rs
+++ b/crates/hollow/src/discovery.rs
@@ -12,7 +12,7 @@
 /// Changes are told together at this interval.
 pub(crate) const GATHER: Micros = 200 * MILLI;
 /// A watch brings an empty line after so long without any other.
-pub(crate) const BEAT: Micros = calicolb_freshness::BEAT;
+pub(crate) const BEAT: Micros = calicolb_freshness::KEEPALIVE_INTERVAL;
 /// What a call takes, and what each line of its answer takes.
 const CALL: Micros = MILLI;
 const LINE: Micros = 6;
--- a/crates/hollow/src/schedulers.rs
+++ b/crates/hollow/src/schedulers.rs
@@ -7,7 +7,7 @@
 use crate::ledger::Ledger;
 use calicolb::api::*;
 use calicolb::rules::Dispatcher;
-use calicolb_freshness::{Act, ListClock, MISSED, Mode};
+use calicolb_freshness::{ListLease, ListSource, MISSED_CHANGE_DELAY, WatchAction};
 use std::collections::{BTreeMap, VecDeque};
 use std::mem;
 
@@ -108,7 +108,7 @@
     ends: Micros,
     /// That binds what was open before, too.
     limited: bool,
-    clock: ListClock,
+    clock: ListLease,
     /// When the list's clock is looked at next.
     armed: Option<Micros>,
     until: Option<Micros>,
@@ -151,7 +151,7 @@
             copies: settings.limits.copies,
             ends: Micros::MAX,
             limited: false,
-            clock: ListClock::new(Mode::Asked, settings.rules.drain_grace, now),
+            clock: ListLease::new(ListSource::SharedService, settings.rules.drain_grace, now),
             dispatcher: Dispatcher::new(settings, seed, now),
             entries: BTreeMap::new(),
             next: 0,
@@ -325,7 +325,7 @@
                     return;
                 }
                 self.armed = None;
-                if self.clock.act(now) == Some(Act::Lose) {
+                if self.clock.poll(now) == Some(WatchAction::GiveUp) {
                     self.watch = None;
                     self.events.push_back(Event::Members(ListKind::Lost, Vec::new()));
                 }
--- a/crates/hollow/src/schedulers/list.rs
+++ b/crates/hollow/src/schedulers/list.rs
@@ -17,17 +17,19 @@
     pub(crate) fn watches(&mut self, now: Micros, call: Option<u64>) {
         self.watch = call;
         if call.is_some() {
-            self.clock.opened(now)
+            self.clock.watch_requested(now)
         } else {
-            self.clock.closed(now)
+            self.clock.watch_closed(now)
         }
         self.keep_time();
     }
 
     /// The watch has brought something, an empty line perhaps.
     pub(crate) fn heard(&mut self, now: Micros, update: Option<&Update>) {
-        self.clock.heard(now);
-        if let Some(update) = update.filter(|update| update.seq >= self.seq || now >= self.seq_at + MISSED) {
+        self.clock.message_received(now);
+        if let Some(update) =
+            update.filter(|update| update.seq >= self.seq || now >= self.seq_at + MISSED_CHANGE_DELAY)
+        {
             (self.seq, self.seq_at) = (update.seq, now);
             self.events.push_back(Event::Members(update.kind, update.members.clone()));
         }
@@ -37,7 +39,7 @@
     /// The watch, or the call for it, was refused or ended.
     pub(crate) fn unwatched(&mut self, now: Micros) {
         self.watch = None;
-        self.clock.broke(now);
+        self.clock.watch_failed(now);
         self.keep_time();
         self.events.push_back(Event::Members(ListKind::Lost, Vec::new()));
     }
@@ -50,7 +52,7 @@
             self.armed = Some(at);
             self.work.push(Work::Due(at, Due::Watch));
         }
-        let until = self.clock.until();
+        let until = self.clock.lease_end();
         if until != self.until {
             self.until = until;
             self.events.push_back(Event::ListUntil(until));
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -20,7 +20,7 @@
 use crate::net::protocol::Spare;
 use calicolb::api::{ListKind, Micros, WorkerId};
 use calicolb_freshness::witness::Inquiry;
-use calicolb_freshness::{Act, ListClock, Mode, State, TURN};
+use calicolb_freshness::{ListLease, ListSource, SERVICE_TIMEOUT, WatchAction, WatchState};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::collections::HashMap;
@@ -38,7 +38,7 @@
     /// Where discovery is, if there is any.
     discovery: Option<SocketAddr>,
     /// How fresh the list is.
-    clock: ListClock,
+    clock: ListLease,
     seq: u64,
     listed: HashMap<WorkerId, Line>,
     fetch: Option<Call>,
@@ -76,13 +76,13 @@
     /// The list of this discovery. `grace`: how long after it was told of a change a scheduler may go on as before.
     pub fn new(discovery: Option<SocketAddr>, asked: bool, grace: Micros, now: Micros) -> Self {
         let mode = match discovery {
-            None => Mode::Fixed,
-            Some(_) if asked => Mode::Asked,
-            Some(_) => Mode::Pushed,
+            None => ListSource::Fixed,
+            Some(_) if asked => ListSource::SharedService,
+            Some(_) => ListSource::LocalAgent,
         };
         RouteSet {
             discovery,
-            clock: ListClock::new(mode, grace, now),
+            clock: ListLease::new(mode, grace, now),
             seq: 0,
             listed: HashMap::new(),
             fetch: None,
@@ -106,7 +106,7 @@
         confirmed_ago: Option<Micros>,
     ) {
         // What an agent holds counts from the first moment of a process, whatever the one before it was told.
-        if let Some(ago) = confirmed_ago.filter(|_| self.clock.mode() == Mode::Asked) {
+        if let Some(ago) = confirmed_ago.filter(|_| self.clock.mode() == ListSource::SharedService) {
             self.clock.confirm(self.clock.started().saturating_sub(ago));
         }
         let update = known.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
@@ -137,7 +137,7 @@
     pub fn figures(&self, now: Micros) -> [(&'static str, u64); 9] {
         [
             ("list.version", self.seq),
-            ("list.watch_open", u64::from(matches!(self.clock.state(), State::Told(_)))),
+            ("list.watch_open", u64::from(matches!(self.clock.state(), WatchState::Open(_)))),
             ("list.stale", u64::from(self.stale(now))),
             ("list.calls", self.counters.calls),
             ("list.lost", self.counters.lost),
@@ -160,7 +160,7 @@
         if self.fetch.is_none() {
             self.fetch = self.call(ctx, spare, "/discovery/hosts");
             if self.fetch.is_some() {
-                ctx.deadlines.set(Due::Fetch, ctx.now + TURN);
+                ctx.deadlines.set(Due::Fetch, ctx.now + SERVICE_TIMEOUT);
             }
         }
     }
@@ -177,14 +177,14 @@
         }
         if want {
             let target = format!("/discovery/hosts?watch=1&from={}", self.seq);
-            self.clock.opened(ctx.now);
+            self.clock.watch_requested(ctx.now);
             self.watch = self.call(ctx, spare, &target);
             if self.watch.is_none() {
-                self.clock.closed(ctx.now);
+                self.clock.watch_closed(ctx.now);
             }
         } else {
             self.leave_before(ctx);
-            self.clock.closed(ctx.now);
+            self.clock.watch_closed(ctx.now);
         }
         self.keep_time(ctx);
     }
@@ -199,7 +199,7 @@
             Some(due) => ctx.deadlines.set(Due::Witness, due),
             None => ctx.deadlines.clear(Due::Witness),
         }
-        let until = self.clock.until();
+        let until = self.clock.lease_end();
         if until != self.until {
             self.until = until;
             ctx.desk.list_until(until);
@@ -217,7 +217,7 @@
 
     /// The list has not been confirmed for so long, or at all, that nothing new may be sent by it.
     fn stale(&self, now: Micros) -> bool {
-        self.clock.until().is_some_and(|until| now >= until)
+        self.clock.lease_end().is_some_and(|until| now >= until)
     }
 
     /// The list has grown too old to be acted on.
@@ -238,7 +238,7 @@
     pub fn move_to(&mut self, ctx: &mut Ctx<'_>, discovery: Option<SocketAddr>) {
         if self.discovery != discovery {
             self.discovery = discovery;
-            self.clock.moved(ctx.now);
+            self.clock.discovery_moved(ctx.now);
             ctx.desk.list_moved();
             self.keep_time(ctx);
         }
@@ -324,10 +324,10 @@
             // An older list than the known one says nothing of that one.
             _ if taken.is_err() => {}
             _ if overdue => note!("discovery: what was not read for too long confirms nothing"),
-            Word::Partial => self.clock.received(ctx.now),
+            Word::Partial => self.clock.bytes_received(ctx.now),
             Word::Whole => {
-                self.clock.heard(ctx.now);
-                self.inquiry.rest();
+                self.clock.message_received(ctx.now);
+                self.inquiry.reset();
             }
         }
         if let Some(why) = taken.err().or(end) {
@@ -348,9 +348,9 @@
             }
             return;
         }
-        match self.clock.act(ctx.now) {
-            Some(Act::Open) => return self.watch(ctx, spare, true),
-            Some(Act::Lose) => {
+        match self.clock.poll(ctx.now) {
+            Some(WatchAction::Open) => return self.watch(ctx, spare, true),
+            Some(WatchAction::GiveUp) => {
                 if let Some(call) = self.watch.take() {
                     self.lose(ctx, call, due, "nothing came for too long");
                 }
@@ -367,7 +367,7 @@
         if due == Due::Fetch {
             ctx.deadlines.clear(due);
         } else {
-            self.clock.broke(ctx.now);
+            self.clock.watch_failed(ctx.now);
             self.keep_time(ctx);
         }
         self.tell_lost(ctx);
@@ -375,7 +375,7 @@
 
     /// The module says when a service that all share is asked again. An agent is asked without it.
     fn tell_lost(&self, ctx: &mut Ctx<'_>) {
-        if self.clock.mode() == Mode::Asked {
+        if self.clock.mode() == ListSource::SharedService {
             ctx.desk.members(Source::Listed, ListKind::Lost, Vec::new());
         }
     }
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -9,7 +9,7 @@
 use crate::net::http::next_hop::NextHops;
 use calicolb::api::{ListKind, Member, Standing, WorkerId};
 use calicolb::wire::WireError;
-use calicolb_freshness::MISSED;
+use calicolb_freshness::MISSED_CHANGE_DELAY;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
         update: Update,
     ) -> Result<(), &'static str> {
         let confirmed = self.clock.confirmed().unwrap_or(self.clock.started());
-        if update.seq < self.seq && ctx.now < confirmed + MISSED {
+        if update.seq < self.seq && ctx.now < confirmed + MISSED_CHANGE_DELAY {
             self.counters.outdated += 1;
             return Err("the list is older than the one that is known");
         }
--- a/src/net/platform/route_set/witnesses.rs
+++ b/src/net/platform/route_set/witnesses.rs
@@ -4,14 +4,14 @@
 use super::digest::digest;
 use crate::log::note;
 use crate::net::{Audience, Ctx};
-use calicolb_freshness::witness::{AUDIENCE, Inquiry, Message, Verdict};
+use calicolb_freshness::witness::{Inquiry, Message, PEERS_PER_QUESTION, Verdict};
 
 impl RouteSet {
     /// It is time to ask some other schedulers how fresh their lists are.
     pub fn ask_witnesses(&mut self, ctx: &mut Ctx<'_>) {
         if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
-            ctx.tell(Audience::Some(AUDIENCE), question.encode());
+            ctx.tell(Audience::Some(PEERS_PER_QUESTION), question.encode());
         }
         self.keep_time(ctx);
     }
@@ -26,7 +26,7 @@
                 }
             }
             Message::Answer { number, digest, age_ms } => {
-                let verdict = self.inquiry.answered(&mut self.clock, own, (number, digest, age_ms));
+                let verdict = self.inquiry.handle_answer(&mut self.clock, own, (number, digest, age_ms));
                 match verdict {
                     Verdict::Nothing => return,
                     Verdict::Confirmed => self.counters.vouched += 1,
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -540,7 +540,7 @@
 /// What happens: where schedulers may not talk, discovery is back and has a drain, and refuses this one scheduler again and
 /// again as one caller too many. It goes on sending to the worker that drains, where a change counts as told 6 s after
 /// discovery had it and could be reached. Why: a refusal of a crowd and one of an outage look alike on the wire (a 503 after a
-/// wait), `ListClock::broke` takes each for an outage and moves the end of the lease on, and nobody is there to say otherwise.
+/// wait), `ListLease::watch_failed` takes each for an outage and moves the end of the lease on, and nobody is there to say otherwise.
 /// The figure: after 16 refusals, 8 s or more after the last word with 6.5 s allowed, the request is still sent to `h1`.
 #[test]
 fn where_nobody_may_talk_calls_that_are_refused_give_the_list_no_more_time() {
