--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -65,16 +65,16 @@
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
         let (rank, sent) = (self.settings.rank, self.cold_sent(now, at));
         if !self.settings.limits.peers {
-            let rota = Rota::new(budget, usual, self.company.size(), self.settings.zones);
+            let rota = ColdRotation::new(budget, usual, self.company.size(), self.settings.zones);
             let (near, turn) = (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
-            return self.spent.looked(rota.allows(near, turn, rank, sent, work));
+            return self.spent.count_allowance(rota.allows(near, turn, rank, sent, work));
         }
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
-        let share = ColdShare::new(budget, members, usual, self.company.size());
-        let sender = Sender::of(worker.home, share.warden(draw, rank, self.company.size()));
+        let share = ColdBudget::new(budget, members, usual, self.company.size());
+        let sender = Sender::of(worker.home, share.is_designated(draw, rank, self.company.size()));
         let fresh = |peer: &&PeerLoad| peer.told + rules.fall_window > now && peer.from != rank;
         let told = worker.peers.iter().filter(fresh).map(|peer| peer.cold).sum();
-        self.spent.looked(share.allows(sender, sent, told, work))
+        self.spent.count_allowance(share.allows(sender, sent, told, work))
     }
 
     pub(super) fn send(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
@@ -226,7 +226,7 @@
         match ending {
             Ending::Ok => {
                 let before = self.workers[at].trust.strikes(now);
-                self.workers[at].trust.fine(now);
+                self.workers[at].trust.record_success(now);
                 self.tell_trust(now, at, before);
                 self.on_connection(now, at, true);
                 self.step_lanes(at, own.slots, true);
--- a/crates/decisions/src/rules/estimates.rs
+++ b/crates/decisions/src/rules/estimates.rs
@@ -36,14 +36,16 @@
 
     pub(super) fn warmth(&self, at: usize, now: Micros) -> f64 {
         let (rules, started) = (&self.settings.rules, self.workers[at].started);
-        started.map_or(1.0, |start| warmth(now.saturating_sub(start), rules.cold, rules.start_capacity))
+        started.map_or(1.0, |start| {
+            capacity_fraction(now.saturating_sub(start), rules.cold, rules.start_capacity)
+        })
     }
 
     pub(super) fn on_report(&mut self, now: Micros, at: usize, report: Option<Report>) {
         let Some(report) = report else { return };
         let errors = report.errors_per_s.unwrap_or(0.0) * self.know.mean_time / SECOND as f64;
         let share = errors / self.lanes(at) as f64;
-        self.workers[at].trust.reported(now, share);
+        self.workers[at].trust.record_error_share(now, share);
         let guessed = self.workers[at].exact.is_none();
         let Some(free) = report.free_slots.filter(|free| free.is_finite() && guessed) else { return };
         let free = free.clamp(0.0, 1024.0);
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -32,7 +32,7 @@
         let worker = &self.workers[at];
         let told = worker.told(now).map(|peer| peer.lanes).sum::<usize>() as f64;
         // What others use of the own share they tell, as far as they speak; elsewhere it is as reports or starts show.
-        let silent = if worker.home { 1.0 - self.company.trust(now) } else { 1.0 };
+        let silent = if worker.home { 1.0 - self.company.confidence(now) } else { 1.0 };
         let share = if worker.exact.is_some() { 0.0 } else { self.know.mean_foreign[worker.zone.0] * silent };
         let prior = share * self.lanes(at) as f64;
         let seen = match worker.foreign {
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -30,7 +30,7 @@
         members.into_iter().for_each(|member| self.on_member(member));
         self.rebuild_maps();
         if kind == ListKind::Saved {
-            if self.company.speaks() {
+            if self.company.sends_peer_messages() {
                 self.out.push(Action::Tell { to: None, body: peer::greeting(self.settings.zone.0, true) });
             }
             let homes: Vec<usize> = (0..self.workers.len()).filter(|&at| self.workers[at].home).collect();
@@ -47,7 +47,7 @@
         let worker = &mut self.workers[at];
         if member.started != worker.started && member.started.is_some() {
             // A new process: nothing learned of the old one's health or load holds.
-            worker.trust = Trust::default();
+            worker.trust = WorkerHealth::default();
             worker.foreign = None;
             worker.peers.clear();
             worker.cold_sent.clear();
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -15,12 +15,12 @@
 use crate::peer::{self, Load, Said};
 use crate::rejections::Rejections;
 use crate::state::*;
-use calicolb_fleet::census::MOST_RANKS;
-use calicolb_fleet::cold::{Allowance, ColdShare, Rota, Sender, warmth};
-use calicolb_fleet::company::Company;
-use calicolb_fleet::draw::mix;
-use calicolb_fleet::spending::Spending;
-use calicolb_fleet::trust::Trust;
+use calicolb_fleet::cold::{Allowance, ColdBudget, ColdRotation, Sender, capacity_fraction};
+use calicolb_fleet::fleet_size::MAX_RANKS;
+use calicolb_fleet::hash::mix;
+use calicolb_fleet::health::WorkerHealth;
+use calicolb_fleet::peer_set::PeerSet;
+use calicolb_fleet::usage::Usage;
 
 const MILLI: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -85,9 +85,9 @@
     /// The zone, if it is known, and the ranks of each cohort.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
     /// The other dispatchers, and what is assumed of them.
-    pub(crate) company: Company,
+    pub(crate) company: PeerSet,
     /// What has been spent of what all dispatchers share, for operators.
-    pub spent: Spending,
+    pub spent: Usage,
     /// Why requests got no result, for operators.
     pub rejections: Rejections,
 }
@@ -95,7 +95,7 @@
 impl Dispatcher {
     /// A dispatcher without any knowledge but its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let company = Company::new(settings.instances, settings.rank, settings.limits.peers);
+        let company = PeerSet::new(settings.instances, settings.rank, settings.limits.peers);
         Dispatcher {
             out: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
@@ -111,7 +111,7 @@
             spill_from: 0,
             cohorts: Vec::new(),
             company,
-            spent: Spending::default(),
+            spent: Usage::default(),
             rejections: Rejections::default(),
             settings,
         }
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -47,23 +47,23 @@
     /// Something went wrong there: it is left alone for a while, and the others hear of it.
     pub(super) fn strike(&mut self, now: Micros, at: usize, by: u32) {
         let before = self.workers[at].trust.strikes(now);
-        self.workers[at].trust.fault(now, by);
+        self.workers[at].trust.record_fault(now, by);
         self.tell_trust(now, at, before);
     }
 
     /// Tells all others what has just been seen of a worker, if they are to hear of it.
     pub(super) fn tell_trust(&mut self, now: Micros, at: usize, before: u32) {
-        let news = self.workers[at].trust.news(now, before);
-        if let Some(strikes) = news.filter(|_| self.company.speaks()) {
+        let news = self.workers[at].trust.take_report(now, before);
+        if let Some(strikes) = news.filter(|_| self.company.sends_peer_messages()) {
             self.out.push(Action::Tell { to: None, body: peer::trouble(self.workers[at].id, strikes) });
         }
     }
 
     pub(super) fn on_peer(&mut self, now: Micros, from: u32, body: &[u8]) {
         let own_rank = from == self.settings.rank;
-        let said = peer::read(body).filter(|_| from < MOST_RANKS);
+        let said = peer::read(body).filter(|_| from < MAX_RANKS);
         // There are as many dispatchers as that at least.
-        if said.is_some() && !own_rank && self.company.hear(now, from) {
+        if said.is_some() && !own_rank && self.company.record_message(now, from) {
             self.know.zones.resize(self.company.size() as usize, None);
             self.maps_stale = true;
         }
@@ -82,7 +82,7 @@
                 let on = self.workers.iter().filter(|worker| worker.standing == Standing::On).count();
                 let heard = strikes == 0 || self.avoided(now) * 4 <= on;
                 let Some(&at) = self.index.get(&worker).filter(|_| heard && !own_rank) else { return };
-                return self.workers[at].trust.hear(now, from, strikes, self.rng.f64());
+                return self.workers[at].trust.record_peer_report(now, from, strikes, self.rng.f64());
             }
             Some(Said::Load(load)) => load,
             _ => return,
@@ -108,7 +108,7 @@
     /// Tells the worker's cohort what this dispatcher has there now, both its processes if there are two; the
     /// one that was succeeded tells the other.
     pub(super) fn tell_peers(&mut self, now: Micros, at: usize, ln_speed: Option<f64>) {
-        if !self.succeeded && !self.company.speaks() {
+        if !self.succeeded && !self.company.sends_peer_messages() {
             return;
         }
         let (worker, rank) = (&self.workers[at], self.settings.rank);
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -2,9 +2,9 @@
 
 use crate::api::*;
 use crate::rules::Dispatcher;
-use calicolb_fleet::draw::mix;
+use calicolb_fleet::hash::mix;
+use calicolb_fleet::health::WorkerHealth;
 use calicolb_fleet::speed::Speed;
-use calicolb_fleet::trust::Trust;
 use calicolb_knowledge::classes::ClassModel;
 use calicolb_knowledge::lanes::LaneCount;
 use calicolb_knowledge::rate::Rate;
@@ -167,7 +167,7 @@
     #[serde(default)]
     pub(crate) speed: Speed,
     #[serde(default)]
-    pub(crate) trust: Trust,
+    pub(crate) trust: WorkerHealth,
     pub(crate) probed: Micros,
     /// Its load is known from a report, or from being full, at this time.
     pub(crate) known: Micros,
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/fleet_size.rs
@@ -5,25 +5,25 @@
 //! which costs service but keeps every worker within what it bears.
 
 /// Ranks that are kept in mind at most: a peer that names ever higher ones must not fill the memory.
-pub const MOST_RANKS: u32 = 4096;
+pub const MAX_RANKS: u32 = 4096;
 
 /// Whom a scheduler has heard from, by rank, and so how many there are at least.
 #[derive(Clone, Debug)]
-pub struct Census {
+pub struct FleetSize {
     heard: Vec<bool>,
     size: u32,
 }
 
-impl Census {
+impl FleetSize {
     /// A census of `told` schedulers, as the settings say, of which this one has rank `own`.
     pub fn new(told: u32, own: u32) -> Self {
-        Census { heard: Vec::new(), size: told.max(own.saturating_add(1)).clamp(1, MOST_RANKS) }
+        FleetSize { heard: Vec::new(), size: told.max(own.saturating_add(1)).clamp(1, MAX_RANKS) }
     }
 
     /// A message came from this rank; tells whether the fleet is larger than was thought. Ranks from [`MOST_RANKS`]
     /// on are not counted.
-    pub fn hear(&mut self, rank: u32) -> bool {
-        if rank >= MOST_RANKS {
+    pub fn record_rank(&mut self, rank: u32) -> bool {
+        if rank >= MAX_RANKS {
             return false;
         }
         if self.heard.len() <= rank as usize {
@@ -42,7 +42,7 @@
     }
 
     /// How many ranks have been heard from since the start.
-    pub fn heard(&self) -> u32 {
+    pub fn ranks_seen(&self) -> u32 {
         self.heard.iter().filter(|&&heard| heard).count() as u32
     }
 }
@@ -53,27 +53,27 @@
 
     #[test]
     fn what_is_heard_raises_the_figure_and_nothing_lowers_it() {
-        let mut census = Census::new(30, 4);
+        let mut census = FleetSize::new(30, 4);
         assert_eq!(census.size(), 30);
         // Told thirty, but rank 299 speaks: there are three hundred at least.
-        assert!(census.hear(299));
-        assert!(!census.hear(12));
-        assert_eq!((census.size(), census.heard()), (300, 2));
+        assert!(census.record_rank(299));
+        assert!(!census.record_rank(12));
+        assert_eq!((census.size(), census.ranks_seen()), (300, 2));
         // Told three thousand, hearing ten: a figure too large costs service only, so it stays.
-        let mut census = Census::new(3000, 4);
-        (0..10).for_each(|rank| assert!(!census.hear(rank)));
+        let mut census = FleetSize::new(3000, 4);
+        (0..10).for_each(|rank| assert!(!census.record_rank(rank)));
         assert_eq!(census.size(), 3000);
         // The own rank counts, whatever is told.
-        assert_eq!(Census::new(0, 41).size(), 42);
+        assert_eq!(FleetSize::new(0, 41).size(), 42);
     }
 
     #[test]
     fn a_peer_that_names_any_rank_does_not_fill_the_memory() {
-        let mut census = Census::new(1, 0);
-        assert!(!census.hear(u32::MAX) && !census.hear(MOST_RANKS));
+        let mut census = FleetSize::new(1, 0);
+        assert!(!census.record_rank(u32::MAX) && !census.record_rank(MAX_RANKS));
         assert_eq!(census.size(), 1);
-        assert!(census.hear(MOST_RANKS - 1));
-        assert_eq!(census.size(), MOST_RANKS);
-        assert_eq!(Census::new(u32::MAX, u32::MAX).size(), MOST_RANKS);
+        assert!(census.record_rank(MAX_RANKS - 1));
+        assert_eq!(census.size(), MAX_RANKS);
+        assert_eq!(FleetSize::new(u32::MAX, u32::MAX).size(), MAX_RANKS);
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,10 +17,10 @@
 //! Which worker a job goes to, whether it is tried again and what is turned away are decided elsewhere, by the
 //! decision module; it asks here what it may spend. See `docs/fleet.md`.
 
-pub mod census;
 pub mod cold;
-pub mod company;
-pub mod draw;
+pub mod fleet_size;
+pub mod hash;
+pub mod health;
+pub mod peer_set;
 pub mod speed;
-pub mod spending;
-pub mod trust;
+pub mod usage;
--- a/crates/fleet/src/spending.rs
+++ b/crates/fleet/src/usage.rs
@@ -5,7 +5,7 @@
 
 /// Counts since the start. What is counted while it is only looked at is counted in place.
 #[derive(Clone, Debug, Default)]
-pub struct Spending {
+pub struct Usage {
     /// Jobs sent to workers that were cold.
     pub cold_jobs: u64,
     cold_barred: Cell<u64>,
@@ -18,13 +18,13 @@
     pub list_calls: u64,
 }
 
-impl Spending {
+impl Usage {
     /// Notes how a look at a cold worker for a job ended, and gives it on.
-    pub fn looked(&self, allowance: Allowance) -> Allowance {
+    pub fn count_allowance(&self, allowance: Allowance) -> Allowance {
         let count = match allowance {
             Allowance::Yes => return allowance,
-            Allowance::NoSender => &self.cold_foreign,
-            Allowance::OverPart | Allowance::OverPool => &self.cold_barred,
+            Allowance::NotASender => &self.cold_foreign,
+            Allowance::OverSenderShare | Allowance::OverPool => &self.cold_barred,
         };
         count.set(count.get() + 1);
         allowance
@@ -49,9 +49,11 @@
 
     #[test]
     fn what_the_budget_held_back_is_counted_apart_from_what_is_others_to_send() {
-        let spending = Spending::default();
-        for allowance in [Allowance::Yes, Allowance::OverPart, Allowance::OverPool, Allowance::NoSender] {
-            assert_eq!(spending.looked(allowance), allowance);
+        let spending = Usage::default();
+        for allowance in
+            [Allowance::Yes, Allowance::OverSenderShare, Allowance::OverPool, Allowance::NotASender]
+        {
+            assert_eq!(spending.count_allowance(allowance), allowance);
         }
         let count = |name| spending.figures().iter().find(|figure| figure.0 == name).map(|figure| figure.1);
         assert_eq!(count("fleet.cold.held_by_budget"), Some(2));
--- a/crates/slopes/src/scene.rs
+++ b/crates/slopes/src/scene.rs
@@ -5,7 +5,7 @@
     RuleFigures, Settings, Standing, Tenant, WorkerId, ZoneIx,
 };
 use calicolb_decisions::rules::Dispatcher;
-use calicolb_fleet::draw::mix;
+use calicolb_fleet::hash::mix;
 use serde::{Deserialize, Serialize};
 
 /// A millisecond on the module's clock.
