--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -29,7 +29,7 @@
 pub struct TenantIx(pub usize);
 
 /// How many skills there can be: each is a bit of [`Member::refuses`].
-pub const SKILLS: usize = u64::BITS as usize;
+pub const MAX_SKILLS: usize = u64::BITS as usize;
 
 /// A zone, numbered from 0 by the host.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -138,9 +138,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Attempts for one request at most.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub copies: bool,
+    pub concurrent_attempts: bool,
     /// Attempts may be called off.
     pub cancel: bool,
     /// Workers may be probed.
@@ -157,7 +157,7 @@
 
 /// Figures of the four rules.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RuleFigures {
+pub struct RuleParameters {
     /// Grace after the client's deadline in which a final answer still counts.
     pub answer_slack: Micros,
     /// Sends to a draining worker must have ended this long after the dispatcher was told.
@@ -227,7 +227,7 @@
     /// What is allowed.
     pub limits: Limits,
     /// Figures of the four rules.
-    pub rules: RuleFigures,
+    pub rules: RuleParameters,
     /// Prices.
     pub prices: Prices,
     /// Events arrive at this interval at the shortest.
@@ -236,7 +236,7 @@
 
 /// State of a worker in the list.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerStatus {
     /// In service.
     #[default]
     On,
@@ -258,7 +258,7 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub standing: Standing,
+    pub status: WorkerStatus,
     /// A figure of its size, for comparison between workers.
     pub weight: f64,
     /// When its process started, if lately.
@@ -306,23 +306,23 @@
     /// What a worker must be able to do for it, below [`SKILLS`].
     pub skill: u32,
     /// Another process of this dispatcher hands it on.
-    pub handed_on: Option<HandedOn>,
+    pub transferred: Option<TransferredRequest>,
 }
 
 /// What another process of this dispatcher has done for a request that it hands on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HandedOn {
+pub struct TransferredRequest {
     /// When the request came in.
     pub arrived: Micros,
     /// What a repeat would do, by the tightest word on that so far. The tighter of this and the class's binds.
     pub effect: Effect,
     /// Its attempts, in the order in which they were sent.
-    pub attempts: Vec<PastAttempt>,
+    pub attempts: Vec<PriorAttempt>,
 }
 
 /// An attempt that another process sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PastAttempt {
+pub struct PriorAttempt {
     /// The worker.
     pub worker: WorkerId,
     /// When it was sent.
@@ -394,7 +394,7 @@
 
 /// News of an attempt that is still out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum AttemptNote {
     /// The job has started.
     Started,
     /// This share of it is done.
@@ -450,7 +450,7 @@
         /// The attempt, in order of sending from 0.
         attempt: u32,
         /// What is told.
-        note: Note,
+        note: AttemptNote,
     },
     /// An attempt has ended.
     Outcome(Outcome),
@@ -467,25 +467,25 @@
     },
     /// Another process of this same dispatcher hands on what it has learned (see
     /// [`Dispatcher::knowledge`](crate::rules::Dispatcher::knowledge)), and ends when its work is done.
-    Handed(serde_json::Value),
+    KnowledgeReceived(serde_json::Value),
     /// Another process of this same dispatcher has taken over, or, with `false`, has gone again.
-    Succeeded(bool),
+    SuccessorActive(bool),
     /// The worker list is to be had elsewhere from now on; the subscription, if any, will end.
     ListMoved,
     /// The list may be acted on until this time: what may have been missed of it counts as told for too long from then
     /// on. `None`: nothing has been missed.
-    ListUntil(Option<Micros>),
+    ListLease(Option<Micros>),
     /// Other settings are in force from now on, whole; or, where one of them cannot change, none. Classes and tenants keep
     /// their places: what is no longer wanted stays in its list, and nothing new arrives for it.
     Settings(Box<Settings>),
     /// The client has left, or the answer is overdue; the request is over.
-    Lapsed(RequestId),
+    RequestAbandoned(RequestId),
     /// The process ends: nobody is answered after this time, so that whoever waits longer counts as leaving then.
-    Ends(Micros),
+    ShutdownAt(Micros),
     /// The request goes on at another process of this same dispatcher.
-    MovedAway(RequestId),
+    RequestTransferred(RequestId),
     /// The process ends now: the request gets its final answer, and what is out for it is called off.
-    Conclude(RequestId),
+    FinishRequest(RequestId),
     /// A message from another dispatcher.
     Peer {
         /// Its number.
@@ -512,9 +512,9 @@
         /// The request.
         request: RequestId,
         /// How long the client should stay away.
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
         /// Why it is refused.
-        why: Rejection,
+        reason: Rejection,
     },
     /// Final answer: failed, nothing is promised about its effect.
     Fail(RequestId),
@@ -528,7 +528,7 @@
     /// Ask a worker for its load report.
     Probe(WorkerId),
     /// Send a message to one dispatcher, or to all others.
-    Tell {
+    SendMessage {
         /// Its number; `None`: all. The own one: the process that has taken over.
         to: Option<u32>,
         /// What is said; 256 bytes at most.
--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -14,7 +14,7 @@
 
     /// What was learned, with classes and tenants at other places: for each place where it was before, if anywhere. What
     /// cannot be read stays as it is, and will not fit.
-    pub fn placed(
+    pub fn remap_knowledge(
         mut knowledge: serde_json::Value,
         classes: &[Option<usize>],
         tenants: &[Option<usize>],
@@ -34,7 +34,7 @@
 
     /// What was learned by a process whose clock is so far behind this one's (microseconds; negative: ahead). When workers
     /// started is told by their own clocks, and stays. What cannot be read stays as it is, and will not fit.
-    pub fn on_clock(mut knowledge: serde_json::Value, behind: i64) -> serde_json::Value {
+    pub fn shift_knowledge(mut knowledge: serde_json::Value, behind: i64) -> serde_json::Value {
         let read = (Vec::deserialize(&knowledge[0]), Knowledge::deserialize(&knowledge[2]));
         let (Ok(mut workers), Ok(mut know)): (Result<Vec<Worker>, _>, Result<Knowledge, _>) = read else {
             return knowledge;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -6,8 +6,8 @@
 
 pub mod api;
 mod handover;
-mod peer;
+mod peer_message;
 pub mod rejections;
-pub mod renewal;
 pub mod rules;
+pub mod settings_update;
 mod state;
--- a/crates/decisions/src/rejections.rs
+++ b/crates/decisions/src/rejections.rs
@@ -14,7 +14,7 @@
     /// An attempt may have run, and the class does not allow another one.
     NotRepeatable,
     /// An attempt came too late to begin.
-    Moot,
+    SentTooLate,
     /// No worker can use the request as it is.
     Unusable,
     /// Settings came into force by which no worker may run it.
--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -59,12 +59,12 @@
     pub(super) fn avoids(&self, now: Micros, at: usize) -> bool {
         let worker = &self.workers[at];
         let cut = self.know.cuts[worker.zone.0].1 > now;
-        worker.standing != Standing::On || worker.trust.avoided(now) || cut
+        worker.standing != WorkerStatus::On || worker.trust.avoided(now) || cut
     }
 
     /// Listed workers that nothing is sent to for now.
     pub fn avoided(&self, now: Micros) -> usize {
-        let shunned = |&at: &usize| self.workers[at].standing != Standing::Gone && self.avoids(now, at);
+        let shunned = |&at: &usize| self.workers[at].standing != WorkerStatus::Gone && self.avoids(now, at);
         (0..self.workers.len()).filter(shunned).count()
     }
 
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -1,11 +1,11 @@
 //! Requests that another process of this dispatcher hands on, with all that it has done for them.
 
 use super::*;
-use crate::renewal::binding;
+use crate::settings_update::binding;
 
 impl Dispatcher {
     /// Takes on a request with its attempts. What is out goes on, and nothing is repeated beyond its effect.
-    pub(super) fn adopt(&mut self, now: Micros, id: RequestId, handed: HandedOn) {
+    pub(super) fn adopt(&mut self, now: Micros, id: RequestId, handed: TransferredRequest) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_have_run = handed.attempts.iter().any(|past| past.state != AttemptState::NeverRan);
         let ran_unnoted = may_have_run && handed.effect == Effect::Safe;
@@ -34,8 +34,8 @@
         self.requests.get(&id).map(|request| request.effect)
     }
 
-    fn adopt_attempt(&mut self, now: Micros, id: RequestId, past: PastAttempt) {
-        let PastAttempt { worker, sent, state } = past;
+    fn adopt_attempt(&mut self, now: Micros, id: RequestId, past: PriorAttempt) {
+        let PriorAttempt { worker, sent, state } = past;
         let known = self.index.get(&worker).copied();
         let at = known.unwrap_or_else(|| self.add_unlisted(worker));
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -60,7 +60,7 @@
     /// A worker that is on no list here: it may bring a result, and gets nothing new.
     fn add_unlisted(&mut self, id: WorkerId) -> usize {
         let at = self.workers.len();
-        self.workers.push(Worker { id, standing: Standing::Gone, ..Worker::default() });
+        self.workers.push(Worker { id, standing: WorkerStatus::Gone, ..Worker::default() });
         self.index.insert(id, at);
         at
     }
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -6,7 +6,7 @@
     /// Deals the dispatchers into cohorts of as many as it takes to share enough workers to even out their bursts, in
     /// powers of two so that lists which differ a little give the same: large ones over all zones, small ones in one.
     pub(super) fn deal_cohorts(&mut self) {
-        let workers = self.workers.iter().filter(|worker| worker.standing == Standing::On).count().max(1);
+        let workers = self.workers.iter().filter(|worker| worker.standing == WorkerStatus::On).count().max(1);
         let size = (SHARE * self.company.size() as usize / workers).clamp(1, COHORT).next_power_of_two();
         self.cohorts.clear();
         let apart = size < 2 * self.settings.zones;
@@ -24,7 +24,7 @@
     /// count, or they would not agree on whose a worker is. Every cohort gets an even part of every kind, and within a zone
     /// an even part of the zone's.
     pub(super) fn deal_workers(&mut self) {
-        let on = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == Standing::On);
+        let on = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == WorkerStatus::On);
         let mut order: Vec<_> = on.map(|(at, worker)| (worker.kind, worker.id, at)).collect();
         order.sort_unstable();
         let all: Vec<usize> = (0..self.cohorts.len()).collect();
@@ -82,7 +82,8 @@
     /// Until run times tell more, kinds are as fast as their listed weights say.
     pub(super) fn seed_speeds(&mut self) {
         let mean = |wanted: Option<usize>| {
-            let on = |of: &&Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
+            let on =
+                |of: &&Worker| of.standing == WorkerStatus::On && wanted.is_none_or(|kind| kind == of.kind);
             let weights = self.workers.iter().filter(on).map(|worker| worker.weight);
             weights.clone().sum::<f64>() / weights.count() as f64
         };
@@ -95,7 +96,7 @@
     }
 
     pub(super) fn rebuild_map(&mut self, need: usize, wanted: Option<usize>) {
-        let on = |of: &Worker| of.standing == Standing::On && wanted.is_none_or(|kind| kind == of.kind);
+        let on = |of: &Worker| of.standing == WorkerStatus::On && wanted.is_none_or(|kind| kind == of.kind);
         let mut order: Vec<usize> = (0..self.workers.len()).filter(|&at| on(&self.workers[at])).collect();
         let speed = |at: usize| self.know.kinds[self.workers[at].kind].speed.ln;
         let key = |at: usize| (self.workers[at].kind, self.workers[at].id);
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -15,7 +15,7 @@
     /// The rules on where the attempt of this number may go that hold up to its first byte.
     fn may_go(&self, now: Micros, request: &Request, attempt: usize, at: usize) -> bool {
         let worker = &self.workers[at];
-        if request.done || attempt >= self.settings.limits.tries as usize {
+        if request.done || attempt >= self.settings.limits.max_attempts as usize {
             return false;
         }
         // Rule 2, and nothing goes where an earlier attempt has not surely ended, copies allowed or not.
@@ -35,7 +35,7 @@
         harmless
             && !twice
             && !self.list.stale(now)
-            && worker.standing == Standing::On
+            && worker.standing == WorkerStatus::On
             && !worker.refuses(request.skill)
     }
 
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn send(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
-        let doubled = !self.settings.limits.copies && self.requests[&id].out();
+        let doubled = !self.settings.limits.concurrent_attempts && self.requests[&id].out();
         if doubled || !self.may_send(now, &self.requests[&id], at) {
             return false;
         }
@@ -122,7 +122,7 @@
             let left = request.expires.saturating_sub(now);
             let pause = (self.know.mean_time / 4.0) as Micros;
             let come_back = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
-            self.out.push(Action::Refuse { request: id, come_back, why });
+            self.out.push(Action::Refuse { request: id, retry_after: come_back, reason: why });
         } else {
             self.out.push(Action::Fail(id));
         }
@@ -183,14 +183,14 @@
         }
     }
 
-    pub(super) fn on_note(&mut self, now: Micros, id: RequestId, attempt: u32, note: Note) {
-        if note == Note::Over {
+    pub(super) fn on_note(&mut self, now: Micros, id: RequestId, attempt: u32, note: AttemptNote) {
+        if note == AttemptNote::Over {
             self.requests.entry(id).and_modify(|request| request.over(attempt));
         }
         let Some((at, nr)) = self.own(id, attempt) else { return };
         match note {
-            Note::Started => self.on_started(now, id, attempt),
-            Note::Silent if self.workers[at].own[nr].awaits_start => {
+            AttemptNote::Started => self.on_started(now, id, attempt),
+            AttemptNote::Silent if self.workers[at].own[nr].awaits_start => {
                 // The way there is dead, or the worker: nothing of a queue there shows in this. A job that may
                 // run twice is tried elsewhere, any other can only be waited for.
                 self.workers[at].own[nr].awaits_start = false;
@@ -199,7 +199,7 @@
                     self.out.push(Action::Cancel { request: id, attempt });
                 }
             }
-            Note::Progress(done) if done > 0.0 && done <= 1.0 => {
+            AttemptNote::Progress(done) if done > 0.0 && done <= 1.0 => {
                 let own = &mut self.workers[at].own[nr];
                 // The pace between two notes, or from the start, where that is known, to the first.
                 let pace = match own.progress {
@@ -210,7 +210,7 @@
                 own.progress = Some((now, done));
                 own.end = now + ((1.0 - done) / pace).min(3600.0 * SECOND as f64) as Micros;
             }
-            Note::Silent | Note::Progress(_) | Note::Over => {}
+            AttemptNote::Silent | AttemptNote::Progress(_) | AttemptNote::Over => {}
         }
     }
 
@@ -266,11 +266,11 @@
         }
         let risky = request.may_have_run();
         let once = request.effect == Effect::Unsafe && risky;
-        let spent = request.attempts.len() >= self.settings.limits.tries as usize;
+        let spent = request.attempts.len() >= self.settings.limits.max_attempts as usize;
         let over = now + 2 * self.settings.tick >= request.expires;
         let rejection = match ending {
             Ending::Unusable => Some(Rejection::Unusable),
-            Ending::Moot => Some(Rejection::Moot),
+            Ending::Moot => Some(Rejection::SentTooLate),
             _ if once => Some(Rejection::NotRepeatable),
             _ if spent => Some(Rejection::AttemptsSpent),
             _ if over => Some(Rejection::Expired),
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -19,7 +19,7 @@
     /// A job has started there, after a wait, in which others had the lanes that ours had not, or at once.
     pub(super) fn count_start(&mut self, now: Micros, at: usize, waited: bool) {
         let (running, kind) = (self.workers[at].running(), self.workers[at].kind);
-        self.know.kinds[kind].counted.started(running, waited);
+        self.know.kinds[kind].counted.record_start(running, waited);
         let others = self.lanes(at).saturating_sub(running) as f64;
         self.on_zone_load(at, if waited { others } else { 0.0 });
         let part = if waited { 1.0 } else { self.know.mean_foreign[self.workers[at].zone.0] };
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -25,13 +25,16 @@
         self.list.lost &= kind == ListKind::Saved;
         if kind != ListKind::Changes {
             let gone = |of: &&mut Worker| members.iter().all(|member| member.worker != of.id);
-            self.workers.iter_mut().filter(gone).for_each(|worker| worker.standing = Standing::Gone);
+            self.workers.iter_mut().filter(gone).for_each(|worker| worker.standing = WorkerStatus::Gone);
         }
         members.into_iter().for_each(|member| self.on_member(member));
         self.rebuild_maps();
         if kind == ListKind::Saved {
             if self.company.sends_peer_messages() {
-                self.out.push(Action::Tell { to: None, body: peer::greeting(self.settings.zone.0, true) });
+                self.out.push(Action::SendMessage {
+                    to: None,
+                    body: peer_message::greeting(self.settings.zone.0, true),
+                });
             }
             let homes: Vec<usize> = (0..self.workers.len()).filter(|&at| self.workers[at].home).collect();
             self.probe_home(now, &homes, homes.len());
@@ -52,7 +55,7 @@
             worker.peers.clear();
             worker.cold_sent.clear();
         }
-        worker.standing = member.standing;
+        worker.standing = member.status;
         worker.started = member.started.or(worker.started);
         worker.zone = ZoneIx(member.zone.0.min(self.know.mean_foreign.len() - 1));
         worker.kind = member.kind.0.min(self.know.kinds.len() - 1);
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -12,7 +12,7 @@
 mod talk;
 
 use crate::api::*;
-use crate::peer::{self, Load, Said};
+use crate::peer_message::{self, Load, Said};
 use crate::rejections::Rejections;
 use crate::state::*;
 use calicolb_fleet::cold::{Allowance, ColdBudget, ColdRotation, Sender, capacity_fraction};
@@ -135,7 +135,7 @@
                 }
             }
             Event::Timer(_) => self.ask_list(),
-            Event::ListUntil(until) => {
+            Event::ListLease(until) => {
                 self.list.until = until;
                 self.pump(now);
             }
@@ -144,8 +144,8 @@
                 self.ask_list();
             }
             Event::Settings(settings) => self.on_settings(now, *settings),
-            Event::Handed(knowledge) => self.on_handed(knowledge),
-            Event::Succeeded(succeeded) => {
+            Event::KnowledgeReceived(knowledge) => self.on_handed(knowledge),
+            Event::SuccessorActive(succeeded) => {
                 self.succeeded = succeeded;
                 (0..self.workers.len()).for_each(|at| self.tell_peers(now, at, None));
             }
@@ -168,10 +168,10 @@
                 }
                 self.offer(now, at);
             }
-            Event::Lapsed(request) => self.on_lapsed(request),
-            Event::Ends(at) => self.on_ends(now, at),
-            Event::MovedAway(request) => self.on_moved_away(now, request),
-            Event::Conclude(request) => self.on_conclude(now, request),
+            Event::RequestAbandoned(request) => self.on_lapsed(request),
+            Event::ShutdownAt(at) => self.on_ends(now, at),
+            Event::RequestTransferred(request) => self.on_moved_away(now, request),
+            Event::FinishRequest(request) => self.on_conclude(now, request),
             Event::Peer { from, body } => self.on_peer(now, from, &body),
         }
     }
--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -14,10 +14,10 @@
         let slots = arrival.slots.clamp(1, 1024) as usize;
         self.know.most_slots = self.know.most_slots.max(slots);
         // A client's retry belongs to its first try, whose aim has been running since.
-        let came = arrival.handed_on.as_ref().map_or(now, |handed| handed.arrived.min(now));
+        let came = arrival.transferred.as_ref().map_or(now, |handed| handed.arrived.min(now));
         let origin =
             if arrival.retry { arrival.expires.saturating_sub(spec.deadline).min(came) } else { came };
-        let doubt = self.know.classes[class].doubt();
+        let doubt = self.know.classes[class].lower_bound_factor();
         let aim = origin + spec.aim + (spec.stretch.max(0.0) * size * doubt) as Micros;
         let deadline = aim.min(arrival.expires);
         let order = if over { arrival.expires } else { deadline };
@@ -32,7 +32,7 @@
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
         let request = Request { deadline, order, yields: over, value, doubt, ..told };
         self.requests.insert(arrival.request, request);
-        if let Some(handed) = arrival.handed_on {
+        if let Some(handed) = arrival.transferred {
             return self.adopt(now, arrival.request, handed);
         }
         self.spill_from = self.spill_from.wrapping_add(1);
@@ -138,7 +138,8 @@
             }
             let open = self.requests.get(&id).filter(|request| !request.done);
             let Some(last) = open.and_then(|request| request.attempts.len().checked_sub(1)) else { continue };
-            let own = self.own(id, last as u32).filter(|_| last + 2 < self.settings.limits.tries as usize);
+            let own =
+                self.own(id, last as u32).filter(|_| last + 2 < self.settings.limits.max_attempts as usize);
             let waits = |of: &Own| of.awaits_start && now >= of.sent + START_NEWS;
             let Some((at, _)) = own.filter(|&(at, nr)| waits(&self.workers[at].own[nr])) else { continue };
             // A new connection has its price: who hears of loads moves a job only if it would be late where it is.
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -20,7 +20,8 @@
     /// Asks workers for a report: of these, those of which nothing is known of late.
     pub(super) fn probe(&mut self, now: Micros, among: &[usize], most: usize) {
         let rested = |worker: &Worker| now >= worker.probed.max(worker.known) + PROBE_EVERY;
-        let due = |at: &&usize| self.workers[**at].standing == Standing::On && rested(&self.workers[**at]);
+        let due =
+            |at: &&usize| self.workers[**at].standing == WorkerStatus::On && rested(&self.workers[**at]);
         let due: Vec<usize> =
             among.iter().filter(due).take(if self.asks() { most } else { 0 }).copied().collect();
         for at in due {
@@ -55,13 +56,16 @@
     pub(super) fn tell_trust(&mut self, now: Micros, at: usize, before: u32) {
         let news = self.workers[at].trust.take_report(now, before);
         if let Some(strikes) = news.filter(|_| self.company.sends_peer_messages()) {
-            self.out.push(Action::Tell { to: None, body: peer::trouble(self.workers[at].id, strikes) });
+            self.out.push(Action::SendMessage {
+                to: None,
+                body: peer_message::trouble(self.workers[at].id, strikes),
+            });
         }
     }
 
     pub(super) fn on_peer(&mut self, now: Micros, from: u32, body: &[u8]) {
         let own_rank = from == self.settings.rank;
-        let said = peer::read(body).filter(|_| from < MAX_RANKS);
+        let said = peer_message::read(body).filter(|_| from < MAX_RANKS);
         // There are as many dispatchers as that at least.
         if said.is_some() && !own_rank && self.company.record_message(now, from) {
             self.know.zones.resize(self.company.size() as usize, None);
@@ -72,14 +76,14 @@
                 self.maps_stale |= self.know.zones[from as usize].replace(zone) != Some(zone);
                 // One that has just started does not know where this one stands.
                 if asks {
-                    let body = peer::greeting(self.settings.zone.0, false);
-                    self.out.push(Action::Tell { to: Some(from), body });
+                    let body = peer_message::greeting(self.settings.zone.0, false);
+                    self.out.push(Action::SendMessage { to: Some(from), body });
                 }
                 return;
             }
             Some(Said::Trouble { worker, strikes }) => {
                 // What is heard may keep a part of the workers idle, not most of them.
-                let on = self.workers.iter().filter(|worker| worker.standing == Standing::On).count();
+                let on = self.workers.iter().filter(|worker| worker.standing == WorkerStatus::On).count();
                 let heard = strikes == 0 || self.avoided(now) * 4 <= on;
                 let Some(&at) = self.index.get(&worker).filter(|_| heard && !own_rank) else { return };
                 return self.workers[at].trust.record_peer_report(now, from, strikes, self.rng.f64());
@@ -119,12 +123,12 @@
         let soonest = span(ends.clone().chain(own_rank.map(|own_rank| own_rank.soonest)).min());
         let latest = span(ends.chain(own_rank.map(|own_rank| own_rank.latest)).max());
         let cold = self.cold_sent(now, at) + own_rank.map_or(0.0, |own_rank| own_rank.cold);
-        let body = peer::load(&Load { worker: worker.id, lanes, soonest, latest, cold, ln_speed });
+        let body = peer_message::load(&Load { worker: worker.id, lanes, soonest, latest, cold, ln_speed });
         if self.succeeded {
-            return self.out.push(Action::Tell { to: Some(rank), body });
+            return self.out.push(Action::SendMessage { to: Some(rank), body });
         }
         let others = self.cohorts.get(worker.cohort).into_iter().flat_map(|cohort| &cohort.1);
         let others = others.filter(|&&other| other != rank);
-        self.out.extend(others.map(|&other| Action::Tell { to: Some(other), body: body.clone() }));
+        self.out.extend(others.map(|&other| Action::SendMessage { to: Some(other), body: body.clone() }));
     }
 }
--- a/crates/decisions/src/renewal.rs
+++ b/crates/decisions/src/settings_update.rs
@@ -25,11 +25,11 @@
 
 /// Why settings are not taken up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct RejectedSetting {
     /// The field of [`Settings`].
     pub field: &'static str,
     /// What is wrong with it.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 impl Settings {
@@ -91,8 +91,8 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn could_take(&self, new: &Settings) -> Result<(), Refused> {
-        let refuse = |field, why| Err(Refused { field, why });
+    pub fn check_settings(&self, new: &Settings) -> Result<(), RejectedSetting> {
+        let refuse = |field, why| Err(RejectedSetting { field, reason: why });
         if let Some(field) = self.settings.fixed_change(new) {
             return refuse(field, "it cannot change without a restart");
         }
@@ -101,7 +101,7 @@
         let (classes, tenants) = (new.classes.len(), new.tenants.len());
         if classes < self.settings.classes.len() {
             refuse("classes", "there are fewer than before, and open requests hold their places")
-        } else if classes > MOST_CLASSES || (skills && classes > SKILLS) {
+        } else if classes > MOST_CLASSES || (skills && classes > MAX_SKILLS) {
             refuse("classes", "there are too many")
         } else if new.classes.iter().any(|class| class.kind.is_some_and(|kind| kind.0 >= new.kinds)) {
             refuse("classes", "one needs a kind of machine that there is not")
@@ -116,7 +116,7 @@
 
     /// Takes up new settings whole, or, with a line for the log, not at all.
     pub(crate) fn on_settings(&mut self, now: Micros, new: Settings) {
-        if let Err(Refused { field, why }) = self.could_take(&new) {
+        if let Err(RejectedSetting { field, reason: why }) = self.check_settings(&new) {
             return self.out.push(Action::Log(format!("the settings stay as they are: '{field}': {why}")));
         }
         if new == self.settings {
@@ -160,7 +160,7 @@
 
     /// A worker that counts as cold only by the new figures was sent what nobody wrote down, and of a longer window the
     /// beginning may be forgotten: it gets nothing more for one window.
-    fn renew_warmth(&mut self, now: Micros, old: &RuleFigures) {
+    fn renew_warmth(&mut self, now: Micros, old: &RuleParameters) {
         let new = &self.settings.rules;
         let longer = new.fall_window > old.fall_window;
         let since = now.saturating_sub(old.fall_window.max(new.fall_window));
@@ -175,7 +175,7 @@
 
     /// Held jobs that no worker may get any more are answered at once.
     fn renew_held(&mut self, now: Micros) {
-        let tries = self.settings.limits.tries as usize;
+        let tries = self.settings.limits.max_attempts as usize;
         let over = |request: &Request| {
             let risky = request.may_have_run();
             request.attempts.len() >= tries || (risky && request.effect == Effect::Unsafe)
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -8,14 +8,14 @@
 use calicolb_knowledge::classes::ClassModel;
 use calicolb_knowledge::lanes::LaneCount;
 use calicolb_knowledge::rate::Rate;
-use calicolb_knowledge::sizes::Sizes;
+use calicolb_knowledge::sizes::SizeSample;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
 
 impl Dispatcher {
     /// Requests of a tenant with a quota since this process started, and how many of them counted as within its share.
-    pub fn counted(&self, tenant: TenantIx) -> Option<(u64, u64)> {
+    pub fn quota_counts(&self, tenant: TenantIx) -> Option<(u64, u64)> {
         self.know.buckets.get(tenant.0).map(|bucket| (bucket.asked, bucket.given))
     }
 }
@@ -144,7 +144,7 @@
     pub(crate) zone: ZoneIx,
     pub(crate) kind: usize,
     pub(crate) cell: u32,
-    pub(crate) standing: Standing,
+    pub(crate) standing: WorkerStatus,
     /// Its lanes, where the list tells them exactly; by its older name to another process.
     #[serde(default, rename = "told")]
     pub(crate) exact: Option<usize>,
@@ -322,7 +322,7 @@
 pub(crate) struct SizeMap {
     #[serde(skip)]
     pub(crate) ranges: Vec<Range>,
-    pub(crate) sizes: Sizes,
+    pub(crate) sizes: SizeSample,
 }
 
 #[derive(Serialize, Deserialize)]
--- a/crates/hollow/src/discovery.rs
+++ b/crates/hollow/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::Micros;
 use crate::encode::{self, Line, Listing};
 use crate::plan::{MILLI, SECOND};
-use calicolb::api::{KindIx, ListKind, Member, Standing, ZoneIx};
+use calicolb::api::{KindIx, ListKind, Member, WorkerStatus, ZoneIx};
 use calicolb::wire::hop_id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -201,10 +201,10 @@
         zone: ZoneIx(zone),
         kind: KindIx(kind),
         cell: line.block,
-        standing: match line.health {
-            "in_service" => Standing::On,
-            "terminating" => Standing::Draining,
-            _ => Standing::Gone,
+        status: match line.health {
+            "in_service" => WorkerStatus::On,
+            "terminating" => WorkerStatus::Draining,
+            _ => WorkerStatus::Gone,
         },
         weight: line.share,
         started: Some(line.born_ms * 1_000).filter(|&at| at > 0),
--- a/crates/hollow/src/schedulers.rs
+++ b/crates/hollow/src/schedulers.rs
@@ -131,12 +131,12 @@
         event,
         Event::Members(..)
             | Event::Timer(_)
-            | Event::ListUntil(_)
+            | Event::ListLease(_)
             | Event::ListMoved
             | Event::Peer { .. }
             | Event::Probed { .. }
-            | Event::Handed(_)
-            | Event::Succeeded(_)
+            | Event::KnowledgeReceived(_)
+            | Event::SuccessorActive(_)
             | Event::Settings(_)
     )
 }
@@ -147,8 +147,8 @@
             rank: settings.rank,
             zone: settings.zone.0,
             alive: true,
-            tries: settings.limits.tries,
-            copies: settings.limits.copies,
+            tries: settings.limits.max_attempts,
+            copies: settings.limits.concurrent_attempts,
             ends: Micros::MAX,
             limited: false,
             clock: ListLease::new(ListSource::SharedService, settings.rules.drain_grace, now),
@@ -201,7 +201,7 @@
         let found = self.entries.iter_mut().find(|(_, entry)| entry.job == job && !entry.concluded);
         if let Some((&number, entry)) = found {
             entry.concluded = true;
-            self.events.push_back(Event::Lapsed(RequestId(number)));
+            self.events.push_back(Event::RequestAbandoned(RequestId(number)));
             self.closing.push(number);
         }
     }
@@ -269,7 +269,7 @@
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
         let Some(attempt) = attempt.filter(|attempt| attempt.loose) else { return };
         attempt.loose = false;
-        let note = Note::Over;
+        let note = AttemptNote::Over;
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
 
@@ -280,7 +280,7 @@
         self.end(now, id, ending, ending == Ending::Broken, None);
     }
 
-    pub(crate) fn note(&mut self, id: AttemptId, note: Note) {
+    pub(crate) fn note(&mut self, id: AttemptId, note: AttemptNote) {
         if self.attempt(id).is_some() {
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
         }
@@ -311,7 +311,7 @@
             }
             Due::Silent(id) => {
                 if self.attempt(id).is_some_and(|attempt| !attempt.taken) {
-                    self.note(id, Note::Silent);
+                    self.note(id, AttemptNote::Silent);
                 }
             }
             Due::Unwanted(id) => {
@@ -354,7 +354,7 @@
             if control(&event) {
                 ledger.timed(now, rank, || dispatcher.on_event(now, event, &mut actions));
             } else if let Event::Arrival(Arrival { request, tenant: Some(tenant), .. }) = event {
-                let given = |of: &Dispatcher| of.counted(tenant).map_or(0, |counted| counted.1);
+                let given = |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
                 let before = given(dispatcher);
                 dispatcher.on_event(now, event, &mut actions);
                 let within = given(dispatcher) > before;
--- a/crates/hollow/src/schedulers/actions.rs
+++ b/crates/hollow/src/schedulers/actions.rs
@@ -26,7 +26,7 @@
             }
             Action::SetTimer { timer, after } => self.work.push(Work::Due(now + after, Due::Timer(timer))),
             Action::Probe(worker) => self.work.push(Work::Probe(worker)),
-            Action::Tell { to, body } => self.work.push(Work::Tell { to, body }),
+            Action::SendMessage { to, body } => self.work.push(Work::Tell { to, body }),
             Action::FetchList => self.work.push(Work::FetchList),
             Action::Subscribe(want) => self.work.push(Work::Watch(want)),
             Action::CloseIdle(worker) => drop(self.idle.remove(&worker)),
--- a/crates/hollow/src/schedulers/end_of_process.rs
+++ b/crates/hollow/src/schedulers/end_of_process.rs
@@ -10,7 +10,7 @@
     pub(crate) job: u32,
     /// Its number at the process that it leaves.
     pub(crate) request: u32,
-    pub(crate) history: HandedOn,
+    pub(crate) history: TransferredRequest,
 }
 
 impl Attempt {
@@ -26,7 +26,7 @@
     }
 
     /// One that another process sent.
-    fn past(past: &PastAttempt) -> Self {
+    fn past(past: &PriorAttempt) -> Self {
         let ending = match past.state {
             AttemptState::Out => None,
             AttemptState::NeverRan => Some(Ending::Unreachable),
@@ -56,7 +56,7 @@
             match self.duty(number, phase, successor) {
                 Duty::Wait => {}
                 Duty::Move => moved.extend(self.move_away(number)),
-                Duty::Answer(_) => self.events.push_back(Event::Conclude(RequestId(number))),
+                Duty::Answer(_) => self.events.push_back(Event::FinishRequest(RequestId(number))),
             }
         }
         moved
@@ -64,7 +64,7 @@
 
     fn limit_to_end(&mut self) {
         self.limited = true;
-        self.events.push_back(Event::Ends(self.ends));
+        self.events.push_back(Event::ShutdownAt(self.ends));
         for (&request, entry) in self.entries.iter().filter(|(_, entry)| entry.expires > self.ends) {
             let out = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
             let dues = out.map(|(number, _)| Due::Attempt(AttemptId { request, number }));
@@ -96,19 +96,19 @@
     fn move_away(&mut self, number: u32) -> Option<Moved> {
         let effect = self.effect(number);
         let entry = self.entries.remove(&number)?;
-        self.events.push_back(Event::MovedAway(RequestId(number)));
-        let past = |attempt: &Attempt| PastAttempt {
+        self.events.push_back(Event::RequestTransferred(RequestId(number)));
+        let past = |attempt: &Attempt| PriorAttempt {
             worker: attempt.worker,
             sent: attempt.sent,
             state: attempt.progress().state(),
         };
         let attempts = entry.attempts.iter().map(past).collect();
-        let history = HandedOn { arrived: entry.arrived, effect, attempts };
+        let history = TransferredRequest { arrived: entry.arrived, effect, attempts };
         Some(Moved { job: entry.job, request: number, history })
     }
 
     /// A request that the process before this one has worked on goes on here; gives its number.
-    pub(crate) fn adopt(&mut self, job: u32, mut arrival: Arrival, history: HandedOn) -> u32 {
+    pub(crate) fn adopt(&mut self, job: u32, mut arrival: Arrival, history: TransferredRequest) -> u32 {
         let number = self.enter(job, history.arrived, arrival.expires);
         arrival.request = RequestId(number);
         let ends = arrival.expires.min(self.ends);
@@ -119,14 +119,14 @@
             let dues = out.map(|(attempt, _)| Due::Attempt(AttemptId { request: number, number: attempt }));
             self.work.extend(dues.map(|due| Work::Due(ends, due)));
         }
-        arrival.handed_on = Some(history);
+        arrival.transferred = Some(history);
         self.events.push_back(Event::Arrival(arrival));
         number
     }
 
     /// Another process takes over: gives what this one has learned.
     pub(crate) fn hand_over(&mut self) -> serde_json::Value {
-        self.events.push_back(Event::Succeeded(true));
+        self.events.push_back(Event::SuccessorActive(true));
         self.dispatcher.knowledge()
     }
 
@@ -138,7 +138,7 @@
     /// Takes what the process before this one had learned.
     pub(crate) fn inherit(&mut self, knowledge: serde_json::Value, next: u32) {
         self.next = next;
-        self.events.push_back(Event::Handed(knowledge));
+        self.events.push_back(Event::KnowledgeReceived(knowledge));
     }
 
     pub(crate) fn next(&self) -> u32 {
--- a/crates/hollow/src/schedulers/list.rs
+++ b/crates/hollow/src/schedulers/list.rs
@@ -55,7 +55,7 @@
         let until = self.clock.lease_end();
         if until != self.until {
             self.until = until;
-            self.events.push_back(Event::ListUntil(until));
+            self.events.push_back(Event::ListLease(until));
         }
     }
 }
--- a/crates/hollow/src/world/tasks.rs
+++ b/crates/hollow/src/world/tasks.rs
@@ -129,8 +129,8 @@
             (process, id) = (successor, there);
         }
         self.with(process, |process, now| match news {
-            News::Started => process.note(id, Note::Started),
-            News::Progress(share) => process.note(id, Note::Progress(share)),
+            News::Started => process.note(id, AttemptNote::Started),
+            News::Progress(share) => process.note(id, AttemptNote::Progress(share)),
             News::Over(ending, report) => process.over(now, id, ending, report),
         });
     }
--- a/crates/knowledge/src/classes.rs
+++ b/crates/knowledge/src/classes.rs
@@ -37,7 +37,7 @@
     }
 
     /// What a size may well be instead, as a part of it.
-    pub fn doubt(&self) -> f64 {
+    pub fn lower_bound_factor(&self) -> f64 {
         (-self.spread).exp()
     }
 
@@ -67,7 +67,7 @@
         }
         assert!((model.estimate(Some(500.0), 1.0) - 1_000.0).abs() < 20.0);
         assert!((model.estimate(None, 1.0) - 2_000.0).abs() < 1.0);
-        assert!(model.doubt() > 0.95, "the hints are sure, once corrected");
+        assert!(model.lower_bound_factor() > 0.95, "the hints are sure, once corrected");
     }
 
     #[test]
--- a/crates/knowledge/src/lanes.rs
+++ b/crates/knowledge/src/lanes.rs
@@ -20,7 +20,7 @@
     }
 
     /// A job has started, beside which so many run there now, itself included; it had to wait for that, or not.
-    pub fn started(&mut self, running: usize, waited: bool) {
+    pub fn record_start(&mut self, running: usize, waited: bool) {
         if running > self.most {
             (self.most, self.capped) = (running, false);
         } else if waited && running == self.most {
@@ -37,24 +37,24 @@
     fn lanes_grow_with_what_runs_at_once_and_stop_where_a_job_had_to_wait() {
         let mut count = LaneCount::default();
         assert_eq!(count.lanes(), 1);
-        count.started(1, false);
+        count.record_start(1, false);
         assert_eq!(count.lanes(), 2);
-        count.started(2, false);
+        count.record_start(2, false);
         // A third had to wait until one of the two had ended.
-        count.started(2, true);
-        count.started(2, true);
+        count.record_start(2, true);
+        count.record_start(2, true);
         assert_eq!(count.lanes(), 2);
     }
 
     #[test]
     fn a_wait_that_anothers_jobs_caused_is_set_right_by_what_runs_later() {
         let mut count = LaneCount::default();
-        count.started(1, false);
-        count.started(1, true);
+        count.record_start(1, false);
+        count.record_start(1, true);
         assert_eq!(count.lanes(), 1);
-        count.started(2, true);
+        count.record_start(2, true);
         assert_eq!(count.lanes(), 3);
-        count.started(1, true);
+        count.record_start(1, true);
         assert_eq!(count.lanes(), 3, "fewer at work than were seen before say nothing");
     }
 }
--- a/crates/knowledge/src/sizes.rs
+++ b/crates/knowledge/src/sizes.rs
@@ -9,14 +9,14 @@
 /// The last sizes, as times on a standard core in microseconds, times the slots taken.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Sizes {
+pub struct SizeSample {
     last: VecDeque<f64>,
     /// Sizes added since [`Sizes::bounds`] was last asked.
     #[serde(skip)]
     fresh: usize,
 }
 
-impl Sizes {
+impl SizeSample {
     /// Remembers a size; tells whether so many are new, and `least` at the least, that bounds should be drawn anew.
     pub fn add(&mut self, size: f64, least: usize) -> bool {
         self.last.push_back(size);
@@ -65,18 +65,18 @@
 
     #[test]
     fn each_range_gets_work_in_the_measure_of_its_power() {
-        let mut sizes = Sizes::default();
+        let mut sizes = SizeSample::default();
         (1..=100).for_each(|size| assert!(sizes.add(f64::from(size), 1)));
         let bounds = sizes.bounds(&[1.0, 1.0]);
         // Half of the 5,050 of work is in the jobs up to 70.
         assert!((69.0..=72.0).contains(&bounds[0]) && bounds[1] == f64::INFINITY, "{bounds:?}");
-        assert_eq!(Sizes::default().bounds(&[1.0, 2.0]), [0.0, f64::INFINITY]);
-        assert!(Sizes::default().bounds(&[]).is_empty());
+        assert_eq!(SizeSample::default().bounds(&[1.0, 2.0]), [0.0, f64::INFINITY]);
+        assert!(SizeSample::default().bounds(&[]).is_empty());
     }
 
     #[test]
     fn new_bounds_are_due_when_half_of_the_sample_is_new_and_the_sample_is_bounded() {
-        let mut sizes = Sizes::default();
+        let mut sizes = SizeSample::default();
         let due: Vec<bool> = (0..16).map(|nr| sizes.add(f64::from(nr), 16)).collect();
         assert_eq!(due.iter().position(|&due| due), Some(7));
         sizes.bounds(&[1.0]);
--- a/crates/slopes/src/play.rs
+++ b/crates/slopes/src/play.rs
@@ -205,7 +205,7 @@
                 self.sent.remove(&(at, request));
             }
             Action::Probe(worker) => self.probe(at, worker),
-            Action::Tell { to, body } => {
+            Action::SendMessage { to, body } => {
                 let all = to.map_or(0..self.size.schedulers, |to| to..to + 1);
                 for to in all.filter(|&to| to != at) {
                     self.count(at, sort(&body), body.len() as u64);
@@ -239,7 +239,7 @@
             let Some(task) = self.hosts[host].waiting.pop_front() else { return };
             self.hosts[host].running.push(task);
             let (request, attempt) = (task.request, task.attempt);
-            let note = Event::Note { request, attempt, note: Note::Started };
+            let note = Event::Note { request, attempt, note: AttemptNote::Started };
             self.lay(2 * DELAY, What::Reach(task.at, note));
             self.lay(DELAY + task.length, What::End(host, task));
         }
--- a/crates/slopes/src/probe.rs
+++ b/crates/slopes/src/probe.rs
@@ -99,8 +99,8 @@
     let all = scene::members(size, seed);
     let line = |nr: u64| {
         // One drains, and is in service again.
-        let standing = if nr.is_multiple_of(2) { Standing::On } else { Standing::Draining };
-        Member { standing, ..all[(nr.div_ceil(2) % all.len() as u64) as usize].clone() }
+        let standing = if nr.is_multiple_of(2) { WorkerStatus::On } else { WorkerStatus::Draining };
+        Member { status: standing, ..all[(nr.div_ceil(2) % all.len() as u64) as usize].clone() }
     };
     let text = scene::list_text(&[line(1)], false) + "\n";
     let chunk = format!("{:x}\r\n{text}\r\n", text.len()).len() as f64;
@@ -152,7 +152,7 @@
 
 /// The own load at one worker told to its cohort.
 pub fn load_told(size: &Size, seed: u64, times: bool) -> Cost {
-    let all = event_us(size, seed, 4, times, |_| Event::Succeeded(false));
+    let all = event_us(size, seed, 4, times, |_| Event::SuccessorActive(false));
     // Those that have gone are told of as well.
     let told = f64::from(size.workers + size.days * size.replaced_a_day);
     Cost { cpu_us: all.map(|all| all / told), ..Cost::default() }
@@ -167,7 +167,7 @@
         let text = serde_json::to_vec(&dispatcher.knowledge()).unwrap_or_default();
         bytes = text.len();
         let handed = serde_json::from_slice(&text).unwrap_or_default();
-        dispatcher.on_event(now, Event::Handed(handed), out);
+        dispatcher.on_event(now, Event::KnowledgeReceived(handed), out);
         out.clear();
     };
     let mut out = Vec::new();
--- a/crates/slopes/src/probe_jobs.rs
+++ b/crates/slopes/src/probe_jobs.rs
@@ -56,7 +56,7 @@
             });
             if let Some(worker) = sent {
                 *now += MILLI;
-                let note = Event::Note { request, attempt: 0, note: Note::Started };
+                let note = Event::Note { request, attempt: 0, note: AttemptNote::Started };
                 dispatcher.on_event(*now, note, &mut out);
                 let elapsed = (size.task_s() * SECOND as f64) as Micros;
                 *now += elapsed;
@@ -72,7 +72,7 @@
                 };
                 dispatcher.on_event(*now, Event::Outcome(outcome), &mut out);
             } else {
-                dispatcher.on_event(*now, Event::Lapsed(request), &mut out);
+                dispatcher.on_event(*now, Event::RequestAbandoned(request), &mut out);
             }
             out.clear();
         };
@@ -122,7 +122,7 @@
         let mut out = Vec::new();
         let before = self.job.saturating_sub(HELD)..self.job;
         for id in before {
-            self.dispatcher.on_event(self.now, Event::Lapsed(RequestId(id)), &mut out);
+            self.dispatcher.on_event(self.now, Event::RequestAbandoned(RequestId(id)), &mut out);
         }
         for nr in 0..size.workers {
             let worker = scene::worker_at(size, seed, u64::from(nr));
--- a/crates/slopes/src/quota.rs
+++ b/crates/slopes/src/quota.rs
@@ -73,7 +73,7 @@
                 running: false,
                 report: None,
             }),
-            None => Event::Lapsed(request),
+            None => Event::RequestAbandoned(request),
         };
         self.schedulers[at].on_event(now, ended, &mut out);
         sent.is_some()
--- a/crates/slopes/src/scene.rs
+++ b/crates/slopes/src/scene.rs
@@ -2,7 +2,7 @@
 
 use calicolb_decisions::api::{
     Action, Class, Effect, Event, KindIx, Limits, ListKind, Member, Micros, Prices, QueueOrder, ReportSource,
-    RuleFigures, Settings, Standing, Tenant, WorkerId, ZoneIx,
+    RuleParameters, Settings, Tenant, WorkerId, WorkerStatus, ZoneIx,
 };
 use calicolb_decisions::rules::Dispatcher;
 use calicolb_fleet::hash::mix;
@@ -137,8 +137,8 @@
         queue_order: QueueOrder::Fifo,
         weights: false,
         limits: Limits {
-            tries: 3,
-            copies: false,
+            max_attempts: 3,
+            concurrent_attempts: false,
             cancel: true,
             probes: true,
             peers: true,
@@ -146,7 +146,7 @@
             retry_advice_max: SECOND,
             connect_timeout: SECOND,
         },
-        rules: RuleFigures {
+        rules: RuleParameters {
             answer_slack: 50 * MILLI,
             drain_grace: 500 * MILLI,
             cold: 2 * SECOND,
@@ -181,7 +181,7 @@
 pub fn replacements(size: &Size, seed: u64) -> impl Iterator<Item = Vec<Member>> {
     (0..size.days).map(move |day| {
         let first = day * size.replaced_a_day;
-        let gone = |nr| Member { standing: Standing::Gone, ..member(size, seed, nr) };
+        let gone = |nr| Member { status: WorkerStatus::Gone, ..member(size, seed, nr) };
         let pair = |nr| [gone(nr), member(size, seed, size.workers + nr)];
         (first..first + size.replaced_a_day).flat_map(pair).collect()
     })
@@ -235,10 +235,10 @@
         site: char::from(b'a' + member.zone.0 as u8 % 26).to_string(),
         class: format!("m{}", member.kind.0 + 1),
         block: member.cell,
-        health: match member.standing {
-            Standing::On => "in_service",
-            Standing::Draining => "terminating",
-            Standing::Gone => "terminated",
+        health: match member.status {
+            WorkerStatus::On => "in_service",
+            WorkerStatus::Draining => "terminating",
+            WorkerStatus::Gone => "terminated",
         }
         .to_owned(),
         share: 1.0,
--- a/crates/slopes/src/suspicions.rs
+++ b/crates/slopes/src/suspicions.rs
@@ -116,7 +116,7 @@
             Event::Peer { from: 1, body: scene::greeting(zone, false) }
         }
         2 => Event::Arrival(arrival(scene::today(base) + SECOND, nr as u32, 0, None, 1.0)),
-        _ => Event::Lapsed(RequestId(nr as u32 - 1)),
+        _ => Event::RequestAbandoned(RequestId(nr as u32 - 1)),
     };
     probe::event_us(base, seed, 3, true, events).map_or(0.0, |us| us * 3.0)
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -3,7 +3,8 @@
 use super::sheet::{Faults, Reading, Sheet, like};
 use super::*;
 use calicolb::api::{
-    Class, Effect, Group, Limits, Prices, QueueOrder, ReportSource, RuleFigures, SKILLS, Standing, Tenant,
+    Class, Effect, Group, Limits, MAX_SKILLS, Prices, QueueOrder, ReportSource, RuleParameters, Tenant,
+    WorkerStatus,
 };
 use kdl::{KdlDocument, KdlNode};
 use miette::{IntoDiagnostic, Report, WrapErr};
@@ -270,9 +271,9 @@
             let function = Function { name: name_owned, skill, grades, background, takes_http };
             functions.push((name, function, on_http));
         }
-        if classes.len() + functions.len() > SKILLS {
+        if classes.len() + functions.len() > MAX_SKILLS {
             let count = classes.len() + functions.len();
-            let mend = format!("keep them to {SKILLS} together");
+            let mend = format!("keep them to {MAX_SKILLS} together");
             self.reading.fault((0, 0).into(), format!("there are {count} classes and functions"), mend);
         }
         functions
@@ -334,7 +335,7 @@
             let member = Member {
                 worker,
                 kind: KindIx(kinds.iter().position(|known| *known == kind).unwrap_or(0)),
-                standing: Standing::On,
+                status: WorkerStatus::On,
                 weight,
                 lanes: lanes.map(|lanes| lanes as u32),
                 refuses: !takes_bits,
@@ -452,9 +453,9 @@
             queue_order: QueueOrder::Fifo,
             weights: true,
             limits: Limits {
-                tries,
+                max_attempts: tries,
                 // What one branch has passed on to its caller, no other may go on with.
-                copies: false,
+                concurrent_attempts: false,
                 cancel: true,
                 probes,
                 peers: false,
@@ -462,7 +463,7 @@
                 retry_advice_max: come_back.unwrap_or(2 * SECOND),
                 connect_timeout: connect_timeout.unwrap_or(250 * MILLI),
             },
-            rules: RuleFigures {
+            rules: RuleParameters {
                 answer_slack: 8 * MILLI,
                 drain_grace: 2 * SECOND,
                 cold,
--- a/src/net/core/desk.rs
+++ b/src/net/core/desk.rs
@@ -51,8 +51,8 @@
 impl<P: Clone> Desk<P> {
     pub fn new(settings: Settings, seed: u64, now: Micros, most_open: usize) -> Self {
         Desk {
-            most_tries: settings.limits.tries,
-            copies: settings.limits.copies,
+            most_tries: settings.limits.max_attempts,
+            copies: settings.limits.concurrent_attempts,
             takes: journey::silence(settings.limits.connect_timeout),
             slots: settings.classes.iter().map(|class| class.slots).collect(),
             figures: Figures::new(settings.classes.len()),
@@ -127,7 +127,7 @@
             key: job.key,
             retry: job.retry,
             skill: job.skill,
-            handed_on: history.map(|history| history.handed_on(of_class)),
+            transferred: history.map(|history| history.handed_on(of_class)),
         }));
         number
     }
@@ -137,7 +137,7 @@
         let Some(number) = self.clients.remove(&client) else { return };
         if let Some(entry) = self.entries.get_mut(&number) {
             entry.concluded = true;
-            self.events.push_back(Event::Lapsed(RequestId(number)));
+            self.events.push_back(Event::RequestAbandoned(RequestId(number)));
         }
         self.closing.push(number);
     }
@@ -177,7 +177,7 @@
 
     /// Until when the route set may be acted on; `None` while nothing can have been missed of it.
     pub fn list_until(&mut self, until: Option<Micros>) {
-        self.events.push_back(Event::ListUntil(until));
+        self.events.push_back(Event::ListLease(until));
     }
 
     /// A message from another scheduler.
@@ -202,14 +202,16 @@
     /// # Errors
     /// The field of the module's that stands in the way.
     pub fn could_take(&self, new: &Settings) -> Result<(), Fault> {
-        self.dispatcher.could_take(new).map_err(|refused| Fault::new(key_of(refused.field), refused.why))
+        self.dispatcher
+            .check_settings(new)
+            .map_err(|refused| Fault::new(key_of(refused.field), refused.reason))
     }
 
     /// Takes up settings that [`Desk::could_take`] let pass. No action of the module's waits between two batches, so what
     /// it decided by the old ones has been carried out by them.
     pub fn take_up(&mut self, now: Micros, settings: Settings, deadlines: &mut Deadlines) {
         let (limits, classes) = (&settings.limits, &settings.classes);
-        (self.most_tries, self.copies) = (limits.tries, limits.copies);
+        (self.most_tries, self.copies) = (limits.max_attempts, limits.concurrent_attempts);
         self.takes = journey::silence(limits.connect_timeout);
         self.slots = classes.iter().map(|class| class.slots).collect();
         self.figures.grow(classes.len());
--- a/src/net/core/desk/actions.rs
+++ b/src/net/core/desk/actions.rs
@@ -6,7 +6,7 @@
     pub(super) fn carry_out(&mut self, now: Micros, action: Action, deadlines: &mut Deadlines) {
         match action {
             Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, deadlines),
-            Action::Refuse { request, come_back, why } => {
+            Action::Refuse { request, retry_after: come_back, reason: why } => {
                 note!(debug: request = request.0, ?why, "a request is refused");
                 self.conclude(request.0, Answer::Busy { come_back });
             }
@@ -37,7 +37,7 @@
                 self.dispatcher.spent.probes += 1;
                 self.work.push(Work::Probe(hop));
             }
-            Action::Tell { to, body } => {
+            Action::SendMessage { to, body } => {
                 self.dispatcher.spent.messages += 1;
                 self.work.push(Work::Tell { to, body });
             }
--- a/src/net/core/desk/attempts.rs
+++ b/src/net/core/desk/attempts.rs
@@ -41,15 +41,15 @@
     /// The next hop should have taken the job long since, and has not said so.
     pub fn silent(&mut self, id: AttemptId) {
         if self.attempt(id).is_some() {
-            let note = Note::Silent;
+            let note = AttemptNote::Silent;
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
         }
     }
 
     /// The job has started, or gone on.
-    pub fn note(&mut self, id: AttemptId, note: Note) {
+    pub fn note(&mut self, id: AttemptId, note: AttemptNote) {
         if self.attempt(id).is_some() {
-            if note == Note::Started
+            if note == AttemptNote::Started
                 && let Some(entry) = self.entries.get(&id.request)
                 && entry.hears != Hears::Nothing
                 && !entry.concluded
@@ -68,7 +68,7 @@
         let (request, attempt) = (RequestId(id.request), id.number);
         let result = matches!(part, Part::Data(_) | Part::Warning(_));
         if let Part::Progress(done, of) = part {
-            let note = Note::Progress(if of > 0 { done as f64 / of as f64 } else { 0.0 });
+            let note = AttemptNote::Progress(if of > 0 { done as f64 / of as f64 } else { 0.0 });
             self.events.push_back(Event::Note { request, attempt, note });
         }
         if entry.concluded {
@@ -138,7 +138,7 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.loose) else { return };
         attempt.loose = false;
         note!(debug: request = id.request, attempt = id.number, hop = attempt.hop.0, "an attempt is surely over");
-        let note = Note::Over;
+        let note = AttemptNote::Over;
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
 
@@ -175,7 +175,7 @@
             |ending| entry.attempts[..nr].iter().any(|old| old.hop == hop && old.ended_by == Some(ending));
         let id = AttemptId { request: number, number: nr as u32 };
         match news {
-            News::Note(Note::Progress(share)) if entry.hears != Hears::Nothing => {
+            News::Note(AttemptNote::Progress(share)) if entry.hears != Hears::Nothing => {
                 self.part(id, Part::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
             }
             News::Note(note) => self.note(id, note),
--- a/src/net/core/desk/end_of_process.rs
+++ b/src/net/core/desk/end_of_process.rs
@@ -40,13 +40,13 @@
 
 impl History {
     /// The same for the decision module. `of_class`: what a repeat would do by its class.
-    pub(super) fn handed_on(&self, of_class: Effect) -> HandedOn {
-        let past = |attempt: &PastSend| PastAttempt {
+    pub(super) fn handed_on(&self, of_class: Effect) -> TransferredRequest {
+        let past = |attempt: &PastSend| PriorAttempt {
             worker: attempt.worker,
             sent: attempt.sent,
             state: attempt.state,
         };
-        HandedOn {
+        TransferredRequest {
             arrived: self.arrived,
             effect: self.effect.unwrap_or(of_class),
             attempts: self.attempts.iter().map(past).collect(),
@@ -94,7 +94,7 @@
     /// What is open already has to be done by then, too: no other process goes on with it.
     pub fn limit_to_end(&mut self, deadlines: &mut Deadlines) {
         self.limited = true;
-        self.events.push_back(Event::Ends(self.ends));
+        self.events.push_back(Event::ShutdownAt(self.ends));
         for (&number, entry) in self.entries.iter().filter(|(_, entry)| entry.expires > self.ends) {
             let out = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
             out.for_each(|(nr, _)| deadlines.set(Due::Attempt(number, nr), self.ends));
@@ -160,7 +160,7 @@
         let Some(entry) = self.entries.remove(&number) else { return };
         self.names.remove(&entry.name);
         self.clients.remove(&entry.client);
-        self.events.push_back(Event::MovedAway(RequestId(number)));
+        self.events.push_back(Event::RequestTransferred(RequestId(number)));
     }
 
     /// A request that another process of this scheduler has worked on goes on here, and its client with it.
@@ -188,7 +188,7 @@
         match self.entries.get(&number) {
             // The module has done with it.
             Some(entry) if entry.streaming => self.conclude(number, Answer::Failed),
-            Some(_) => self.events.push_back(Event::Conclude(RequestId(number))),
+            Some(_) => self.events.push_back(Event::FinishRequest(RequestId(number))),
             None => {}
         }
     }
--- a/src/net/core/desk/request.rs
+++ b/src/net/core/desk/request.rs
@@ -88,7 +88,7 @@
 /// What is told of an attempt, apart from the connection that it went out on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
-    Note(Note),
+    Note(AttemptNote),
     Served(Vec<u8>),
     Over(Ending),
 }
--- a/src/net/core/desk/tests.rs
+++ b/src/net/core/desk/tests.rs
@@ -25,7 +25,7 @@
             {"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}],
             "extra":{"class_stretch":[2.0,2.0]}}"#;
         let (mut settings, _) = wire::settings(info).expect("the settings are sound");
-        settings.limits.copies = copies;
+        settings.limits.concurrent_attempts = copies;
         let (now, connect_timeout) = (50 * SECOND, settings.limits.connect_timeout);
         let mut table = Table {
             connect_timeout,
@@ -38,7 +38,7 @@
             zone: ZoneIx(0),
             kind: KindIx(0),
             cell: 0,
-            standing: Standing::On,
+            status: WorkerStatus::On,
             weight: 1.0,
             ..Member::default()
         };
@@ -250,7 +250,7 @@
     };
     assert!(running(&mut table), "the word is on its way");
     let over = |table: &mut Table| {
-        matches!(table.desk.events.pop_front(), Some(Event::Note { note: Note::Over, .. }))
+        matches!(table.desk.events.pop_front(), Some(Event::Note { note: AttemptNote::Over, .. }))
     };
     table.desk.called_off(table.now, attempt);
     assert!(over(&mut table));
@@ -275,7 +275,7 @@
         // What the hop itself tells of the job's end is believed, and answers nobody.
         let news = if tells { News::Served(b"r".to_vec()) } else { News::Over(Ending::Broken) };
         assert!(!table.news(news));
-        assert!(matches!(table.desk.events.pop_front(), Some(Event::Note { note: Note::Over, .. })));
+        assert!(matches!(table.desk.events.pop_front(), Some(Event::Note { note: AttemptNote::Over, .. })));
     }
 }
 
--- a/src/net/core/desk/upgrade.rs
+++ b/src/net/core/desk/upgrade.rs
@@ -5,18 +5,18 @@
 impl<P: Clone> Desk<P> {
     /// Another process takes over: gives what the module has learned. From now on that one speaks for both.
     pub fn hand_over(&mut self) -> serde_json::Value {
-        self.events.push_back(Event::Succeeded(true));
+        self.events.push_back(Event::SuccessorActive(true));
         self.dispatcher.knowledge()
     }
 
     /// The process that had taken over has gone.
     pub fn resume(&mut self) {
-        self.events.push_back(Event::Succeeded(false));
+        self.events.push_back(Event::SuccessorActive(false));
     }
 
     /// What the module of the process before this one had learned.
     pub fn inherit(&mut self, knowledge: serde_json::Value) {
-        self.events.push_back(Event::Handed(knowledge));
+        self.events.push_back(Event::KnowledgeReceived(knowledge));
     }
 
     /// A request of this name is open here.
--- a/src/net/core/roster.rs
+++ b/src/net/core/roster.rs
@@ -1,7 +1,7 @@
 //! Who the next hops are, from all sources: discovery's list, the operator file, and workers that came by themselves.
 //! The module knows one list only, in which a whole list from one source must not remove what another brought.
 
-use calicolb::api::{ListKind, Member, Standing, WorkerId};
+use calicolb::api::{ListKind, Member, WorkerId, WorkerStatus};
 use std::collections::HashMap;
 
 /// Who names a next hop.
@@ -38,7 +38,7 @@
             self.0.retain(|_, (whose, _)| *whose != source);
         }
         for member in &members {
-            if member.standing == Standing::Gone {
+            if member.status == WorkerStatus::Gone {
                 self.0.remove(&member.worker);
             } else {
                 self.0.insert(member.worker, (source, member.clone()));
@@ -56,8 +56,8 @@
 mod tests {
     use super::*;
 
-    fn member(id: u32, standing: Standing) -> Member {
-        Member { worker: WorkerId(id), standing, ..Member::default() }
+    fn member(id: u32, standing: WorkerStatus) -> Member {
+        Member { worker: WorkerId(id), status: standing, ..Member::default() }
     }
 
     fn ids(members: &[Member]) -> Vec<u32> {
@@ -69,7 +69,7 @@
     #[test]
     fn a_whole_list_of_one_source_keeps_what_others_named() {
         let mut roster = Roster::default();
-        let on = |id| member(id, Standing::On);
+        let on = |id| member(id, WorkerStatus::On);
         assert_eq!(ids(&roster.merge(Source::Fixed, ListKind::Saved, vec![on(1)])), [1]);
         assert_eq!(ids(&roster.merge(Source::Arrived("g"), ListKind::Changes, vec![on(2)])), [2]);
         assert_eq!(ids(&roster.merge(Source::Listed, ListKind::Full, vec![on(3), on(4)])), [1, 2, 3, 4]);
@@ -80,10 +80,12 @@
     #[test]
     fn a_number_stays_with_who_named_it_first() {
         let mut roster = Roster::default();
-        roster.merge(Source::Fixed, ListKind::Saved, vec![member(1, Standing::On)]);
+        roster.merge(Source::Fixed, ListKind::Saved, vec![member(1, WorkerStatus::On)]);
         assert!(roster.foreign(WorkerId(1), Source::Listed));
-        assert!(roster.merge(Source::Listed, ListKind::Changes, vec![member(1, Standing::Gone)]).is_empty());
-        roster.merge(Source::Fixed, ListKind::Changes, vec![member(1, Standing::Gone)]);
+        assert!(
+            roster.merge(Source::Listed, ListKind::Changes, vec![member(1, WorkerStatus::Gone)]).is_empty()
+        );
+        roster.merge(Source::Fixed, ListKind::Changes, vec![member(1, WorkerStatus::Gone)]);
         assert_eq!(roster.known(), 0);
     }
 }
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -8,7 +8,7 @@
 use crate::net::core::deadlines::{Alarm, Due};
 use crate::net::core::desk::AttemptId;
 use crate::net::protocol::Spare;
-use calicolb::api::{Micros, Note};
+use calicolb::api::{AttemptNote, Micros};
 use calicolb_gearman::ConnId;
 use calicolb_gearman::admin::LINE;
 use calicolb_gearman::book::Mail;
@@ -160,7 +160,7 @@
             Ok(true) => {
                 if let Some((attempt, limit)) = conn.assigning.take() {
                     ctx.desk.written(ctx.now, attempt);
-                    ctx.desk.note(attempt, Note::Started);
+                    ctx.desk.note(attempt, AttemptNote::Started);
                     if limit > 0 {
                         let ends = ctx.now + Micros::from(limit) * SECOND;
                         ctx.deadlines.set(Due::Conn(token, Alarm::Rested), ends);
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -17,7 +17,7 @@
 use crate::net::core::envelope::Payload;
 use crate::net::core::roster::Source;
 use crate::net::protocol::{Protocol, Shares, Spare};
-use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, Standing, WorkerId};
+use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, WorkerId, WorkerStatus};
 use calicolb::renewal::Fault;
 use calicolb::wire::Names;
 use calicolb_gearman::ConnId;
@@ -249,15 +249,15 @@
             }
             note!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
             let standing = match (change.here, change.functions.is_empty()) {
-                (false, _) => Standing::Gone,
-                (true, true) => Standing::Draining,
-                (true, false) => Standing::On,
+                (false, _) => WorkerStatus::Gone,
+                (true, true) => WorkerStatus::Draining,
+                (true, false) => WorkerStatus::On,
             };
             members.push(Member {
                 worker,
                 zone: self.config.zone,
                 kind: self.config.kind,
-                standing,
+                status: standing,
                 weight: 1.0,
                 started: Some(change.since),
                 lanes: Some(now.1),
--- a/src/net/http/call_back.rs
+++ b/src/net/http/call_back.rs
@@ -4,7 +4,7 @@
 use crate::net::Ctx;
 use crate::net::core::desk::News;
 use crate::net::http::framing::Reject;
-use calicolb::api::{Ending, Note, Report};
+use calicolb::api::{AttemptNote, Ending, Report};
 use calicolb::wire::{Names, hop_id};
 use serde::Deserialize;
 use serde_json::Value;
@@ -29,8 +29,8 @@
         return Ok(());
     }
     let news = match (call.state.as_str(), call.result) {
-        ("started", _) => News::Note(Note::Started),
-        ("running", _) => News::Note(Note::Progress(call.share.unwrap_or(0.0))),
+        ("started", _) => News::Note(AttemptNote::Started),
+        ("running", _) => News::Note(AttemptNote::Progress(call.share.unwrap_or(0.0))),
         ("done", Some(Value::String(text))) => News::Served(text.into_bytes()),
         ("done", Some(other)) => News::Served(other.to_string().into_bytes()),
         // It ran, but there is no result to serve.
--- a/src/net/platform/route_set/entry.rs
+++ b/src/net/platform/route_set/entry.rs
@@ -1,6 +1,6 @@
 //! The lines of the list, as discovery writes them.
 
-use calicolb::api::{Member, Standing};
+use calicolb::api::{Member, WorkerStatus};
 use calicolb::wire::{Names, WireError, hop_id};
 use serde::{Deserialize, Serialize};
 
@@ -27,9 +27,9 @@
 /// What the decision module is told of a line.
 pub(super) fn read_member(names: &Names, line: &Line) -> Result<Member, WireError> {
     let standing = match line.health.as_str() {
-        "in_service" => Standing::On,
-        "terminating" => Standing::Draining,
-        "terminated" => Standing::Gone,
+        "in_service" => WorkerStatus::On,
+        "terminating" => WorkerStatus::Draining,
+        "terminated" => WorkerStatus::Gone,
         other => return Err(WireError(format!("unknown health '{other}'"))),
     };
     Ok(Member {
@@ -37,7 +37,7 @@
         zone: names.zone(&line.site)?,
         kind: names.kind(&line.class)?,
         cell: line.block,
-        standing,
+        status: standing,
         weight: line.share,
         // The module's clock is Unix time, in its unit; 0 stands for long ago.
         started: line.born_ms.checked_mul(1_000).filter(|&at| at > 0),
@@ -66,8 +66,8 @@
         // A start before ours is as good as a later one: both are Unix time.
         let young = member(1_700_000_000_123, "terminating").expect("it is sound");
         assert_eq!(young.started, Some(1_700_000_000_123_000));
-        assert_eq!((young.standing, young.worker), (Standing::Draining, hop_id("s-1")));
-        assert_eq!(member(0, "terminated").map(|member| member.standing), Ok(Standing::Gone));
+        assert_eq!((young.status, young.worker), (WorkerStatus::Draining, hop_id("s-1")));
+        assert_eq!(member(0, "terminated").map(|member| member.status), Ok(WorkerStatus::Gone));
         assert!(member(0, "resting").is_err());
         // No time at all must come of a figure that does not fit.
         assert_eq!(member(u64::MAX, "in_service").map(|member| member.started), Ok(None));
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -7,7 +7,7 @@
 use crate::net::Ctx;
 use crate::net::core::roster::Source;
 use crate::net::http::next_hop::NextHops;
-use calicolb::api::{ListKind, Member, Standing, WorkerId};
+use calicolb::api::{ListKind, Member, WorkerId, WorkerStatus};
 use calicolb::wire::WireError;
 use calicolb_freshness::MISSED_CHANGE_DELAY;
 use serde_json::Value;
@@ -56,12 +56,12 @@
                 hops.forget(ctx, id);
             }
         }
-        for member in members.iter().filter(|member| member.standing == Standing::Gone) {
+        for member in members.iter().filter(|member| member.status == WorkerStatus::Gone) {
             self.listed.remove(&member.worker);
             hops.forget(ctx, member.worker);
         }
-        let count = |standing| members.iter().filter(|member| member.standing == standing).count();
-        let (draining, gone) = (count(Standing::Draining), count(Standing::Gone));
+        let count = |standing| members.iter().filter(|member| member.status == standing).count();
+        let (draining, gone) = (count(WorkerStatus::Draining), count(WorkerStatus::Gone));
         self.counters.versions += 1;
         if self.discovery.is_some() {
             note!(seq = self.seq, before, ?kind, lines, draining, gone, "discovery: a version is taken in");
--- a/src/net/turn/renewal.rs
+++ b/src/net/turn/renewal.rs
@@ -109,7 +109,7 @@
 
 /// What the process before learned, by this process's clock. `ahead`: by how much the other clock is ahead.
 pub(super) fn on_clock(knowledge: Value, ahead: i64) -> Value {
-    if ahead.unsigned_abs() < SAME_CLOCK { knowledge } else { Dispatcher::on_clock(knowledge, -ahead) }
+    if ahead.unsigned_abs() < SAME_CLOCK { knowledge } else { Dispatcher::shift_knowledge(knowledge, -ahead) }
 }
 
 /// What another process learned, by the places that classes and tenants have here: there they may have come and gone in
@@ -119,5 +119,5 @@
     let place = |list: &[String], name: &str| list.iter().position(|other| other == name);
     let classes: Vec<_> = names.classes().map(|name| place(&told.classes, name)).collect();
     let tenants: Vec<_> = names.tenants().map(|name| place(&told.tenants, name)).collect();
-    Dispatcher::placed(knowledge, &classes, &tenants, now)
+    Dispatcher::remap_knowledge(knowledge, &classes, &tenants, now)
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -138,7 +138,7 @@
         zone: ZoneIx(0),
         kind: KindIx(0),
         cell: 0,
-        standing: Standing::On,
+        status: WorkerStatus::On,
         weight: 1.0,
         ..Member::default()
     };
@@ -148,10 +148,10 @@
             ("sku", value) => member.kind = KindIx(index("kind", &names.kinds, value)?),
             ("pack", value) => member.cell = number("pack", value)?,
             ("health", value) => {
-                member.standing = match value {
-                    "on" => Standing::On,
-                    "fading" => Standing::Draining,
-                    "off" => Standing::Gone,
+                member.status = match value {
+                    "on" => WorkerStatus::On,
+                    "fading" => WorkerStatus::Draining,
+                    "off" => WorkerStatus::Gone,
                     other => return bad(format!("unknown health '{other}'")),
                 }
             }
@@ -176,7 +176,7 @@
                 None => bad(format!("TIMEOUT_FIRED: timer '{name}' was never set")),
             }
         }
-        "LAPSED" => Ok(Event::Lapsed(RequestId(number("txn", fields.need("txn")?)?))),
+        "LAPSED" => Ok(Event::RequestAbandoned(RequestId(number("txn", fields.need("txn")?)?))),
         "PEER_DATA" => {
             let contents = match fields.need("contents")? {
                 "-" => Vec::new(),
@@ -269,8 +269,8 @@
         "FIRST_BYTE" => Ok(Event::Streaming { request, attempt }),
         "HINT_UPDATE" => {
             let note = match topic {
-                Some(1) => Note::Started,
-                Some(2) => Note::Progress(level.unwrap_or(0.0)),
+                Some(1) => AttemptNote::Started,
+                Some(2) => AttemptNote::Progress(level.unwrap_or(0.0)),
                 _ => return bad("HINT_UPDATE: 'topic' is neither 1 nor 2"),
             };
             Ok(Event::Note { request, attempt, note })
@@ -321,7 +321,7 @@
         Action::Fail(_) => "ERROR",
         Action::Cancel { .. } => "REVOKE",
         Action::Probe(_) => "ASK_LOAD",
-        Action::Tell { .. } => "ANNOUNCE",
+        Action::SendMessage { .. } => "ANNOUNCE",
         Action::SetTimer { .. } => "ARM",
         Action::FetchList => "FETCH",
         Action::Subscribe(_) => "TAIL",
@@ -339,7 +339,7 @@
                 pair(out, "\tgive_up_after_us=", *span);
             }
         }
-        Action::Refuse { request, come_back, .. } => {
+        Action::Refuse { request, retry_after: come_back, .. } => {
             pair(out, "\ttxn=", request.0.into());
             if let Some(span) = come_back {
                 pair(out, "\tcome_back_us=", *span);
@@ -351,7 +351,7 @@
             pair(out, "\tsend_no=", (*attempt).into());
         }
         Action::Probe(worker) | Action::CloseIdle(worker) => pair(out, "\tworker=", worker.0.into()),
-        Action::Tell { to, body } => {
+        Action::SendMessage { to, body } => {
             match to {
                 Some(rank) => pair(out, "\taddressee=", (*rank).into()),
                 None => out.push_str("\taddressee=-1"),
@@ -610,8 +610,8 @@
         },
         weights: !matches!(info.weight_source.as_str(), "none" | ""),
         limits: Limits {
-            tries: info.ceilings.most_tries.unwrap_or(1),
-            copies: info.ceilings.may_duplicate,
+            max_attempts: info.ceilings.most_tries.unwrap_or(1),
+            concurrent_attempts: info.ceilings.may_duplicate,
             cancel: info.ceilings.cancelling,
             probes: info.ceilings.probes,
             peers: info.ceilings.peers,
@@ -619,7 +619,7 @@
             retry_advice_max: info.ceilings.max_retry_after_us,
             connect_timeout: info.ceilings.connect_timeout_us,
         },
-        rules: RuleFigures {
+        rules: RuleParameters {
             answer_slack: info.rules.answer_slack_us,
             drain_grace: info.rules.drain_grace_us,
             cold: info.rules.cold_us,
--- a/tests/alone.rs
+++ b/tests/alone.rs
@@ -11,7 +11,7 @@
     let mut settings = settings();
     (settings.reports, settings.reports_free_slots, settings.tells_start) =
         (ReportSource::Nowhere, false, true);
-    (settings.limits.copies, settings.limits.probes) = (false, true);
+    (settings.limits.concurrent_attempts, settings.limits.probes) = (false, true);
     let keyed = Effect::Keyed { group: Group::All, span: 40 * SECOND };
     settings.classes.push(Class { worth: 8.0, ..class(keyed) });
     settings.classes.iter_mut().for_each(|class| class.late_worth = 0.3);
@@ -19,7 +19,7 @@
 }
 
 fn started(bench: &mut Bench, id: u32, attempt: u32) -> Vec<Action> {
-    bench.tell(Event::Note { request: RequestId(id), attempt, note: Note::Started })
+    bench.tell(Event::Note { request: RequestId(id), attempt, note: AttemptNote::Started })
 }
 
 #[test]
@@ -44,7 +44,7 @@
 /// What becomes of a job of this class that does not start, while another worker is free.
 fn stuck(class: usize, tries: u32) -> Vec<Action> {
     let mut settings = alone();
-    settings.limits.tries = tries;
+    settings.limits.max_attempts = tries;
     let mut bench = Bench::with_workers(settings, &[11, 12]);
     let first = sends(&bench.arrive(1, class, 100 * MS))[0].1;
     let mut actions = bench.wait(300 * MS);
@@ -131,12 +131,12 @@
     settings.classes.iter_mut().for_each(|class| class.late_worth = 0.0);
     let mut bench = Bench::with_workers(settings, &[11]);
     let until = bench.now + SECOND;
-    bench.tell(Event::ListUntil(Some(until)));
+    bench.tell(Event::ListLease(Some(until)));
     assert_eq!(sends(&bench.arrive(1, 0, 10 * MS)).len(), 1, "there is time");
     bench.outcome(1, 0, WorkerId(11), Ending::Ok);
     bench.at(SECOND);
     assert_eq!(answers(&bench.arrive(2, 1, 10 * MS)), [(2, true)], "refused at once: it never ran");
-    bench.tell(Event::ListUntil(None));
+    bench.tell(Event::ListLease(None));
     assert_eq!(sends(&bench.arrive(3, 0, 10 * MS)).len(), 1);
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -58,7 +58,7 @@
             }
             if day.talk == Talk::Heard {
                 for (to, body) in actions.into_iter().filter_map(|action| match action {
-                    Action::Tell { to, body } => Some((to, body)),
+                    Action::SendMessage { to, body } => Some((to, body)),
                     _ => None,
                 }) {
                     for hears in
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -107,9 +107,9 @@
         }
     }
 
-    fn member(&self, id: u32, standing: Standing) -> Member {
+    fn member(&self, id: u32, standing: WorkerStatus) -> Member {
         Member {
-            standing,
+            status: standing,
             started: self.started.get(&id).copied(),
             zone: ZoneIx(id as usize % 2),
             ..super::member(id)
@@ -174,7 +174,7 @@
             }
             15 => {
                 let id = 1 + step.pick % WORKERS;
-                let standing = [Standing::Draining, Standing::Gone][step.size as usize % 2];
+                let standing = [WorkerStatus::Draining, WorkerStatus::Gone][step.size as usize % 2];
                 self.off_since.entry(id).or_insert(self.now);
                 Some(Event::Members(ListKind::Changes, vec![self.member(id, standing)]))
             }
@@ -184,7 +184,7 @@
                 if step.size.is_multiple_of(2) {
                     self.started.insert(id, self.now);
                 }
-                Some(Event::Members(ListKind::Changes, vec![self.member(id, Standing::On)]))
+                Some(Event::Members(ListKind::Changes, vec![self.member(id, WorkerStatus::On)]))
             }
             17 => {
                 // A whole list that leaves one worker out.
@@ -192,18 +192,21 @@
                 self.off_since.clear();
                 self.off_since.insert(id, self.now);
                 let listed = (1..=WORKERS).filter(|&other| other != id);
-                Some(Event::Members(ListKind::Full, listed.map(|id| self.member(id, Standing::On)).collect()))
+                Some(Event::Members(
+                    ListKind::Full,
+                    listed.map(|id| self.member(id, WorkerStatus::On)).collect(),
+                ))
             }
             18 => {
                 let id = *self.jobs.iter().find(|(_, job)| !job.answered)?.0;
                 self.jobs.get_mut(&id)?.answered = true;
-                Some(Event::Lapsed(RequestId(id)))
+                Some(Event::RequestAbandoned(RequestId(id)))
             }
             20 => {
                 // A worker says of an attempt that had ended here that it is over there too.
                 let (&id, job) = self.jobs.iter_mut().find(|(_, job)| !job.running.is_empty())?;
                 let attempt = job.running.pop_first()? as u32;
-                Some(Event::Note { request: RequestId(id), attempt, note: Note::Over })
+                Some(Event::Note { request: RequestId(id), attempt, note: AttemptNote::Over })
             }
             RENEWALS..=25 if self.renews => Some(Event::Settings(Box::new(self.renewed(step)))),
             _ => {
@@ -229,8 +232,8 @@
                         Effect::Keyed { group: Group::All, span },
                     ][draw.usize(0..4)];
                 }
-                4 => new.limits.tries = draw.u32(1..6),
-                5 => new.limits.copies = draw.bool(),
+                4 => new.limits.max_attempts = draw.u32(1..6),
+                5 => new.limits.concurrent_attempts = draw.bool(),
                 6 => new.limits.cancel = draw.bool(),
                 7 => (new.classes[at].late_worth, new.classes[at].worth) = (draw.f64(), draw.f64() * 3.0),
                 _ if new.classes.len() < 6 => new.classes.push(new.classes[at].clone()),
@@ -264,10 +267,10 @@
         if !job.answered && dispatcher.may_begin(self.now, RequestId(id), nr as u32) {
             job.check_repeat(id, nr, worker, self.now);
             job.check_ended(id, nr, worker);
-            assert!(nr < self.settings.limits.tries as usize, "attempt {nr} of {id} is one too many");
+            assert!(nr < self.settings.limits.max_attempts as usize, "attempt {nr} of {id} is one too many");
             let out = |(other, of): (usize, &(u32, Micros, Option<Ending>))| other != nr && of.2.is_none();
             let alone = !job.attempts.iter().enumerate().any(out);
-            assert!(self.settings.limits.copies || alone, "second copy of {id}");
+            assert!(self.settings.limits.concurrent_attempts || alone, "second copy of {id}");
             return None;
         }
         let ending = if job.answered { Ending::Moot } else { Ending::Unreachable };
@@ -317,10 +320,10 @@
         }
         let job = self.jobs.get_mut(&id).expect("a known request");
         assert!(!job.answered, "sent {id} after its answer");
-        assert!(job.attempts.len() < settings.limits.tries as usize, "too many attempts of {id}");
+        assert!(job.attempts.len() < settings.limits.max_attempts as usize, "too many attempts of {id}");
         job.check_repeat(id, usize::MAX, worker, now);
         job.check_ended(id, usize::MAX, worker);
-        if !settings.limits.copies {
+        if !settings.limits.concurrent_attempts {
             assert!(job.attempts.iter().all(|attempt| attempt.2.is_some()), "second copy of {id}");
         }
         job.unbegun.push(job.attempts.len());
@@ -367,7 +370,7 @@
     let mut ledger = Ledger::new(settings.clone(), renews);
     let mut dispatcher = Dispatcher::new(settings, seed, T0);
     let mut all = Vec::new();
-    let members: Vec<Member> = (1..=WORKERS).map(|id| ledger.member(id, Standing::On)).collect();
+    let members: Vec<Member> = (1..=WORKERS).map(|id| ledger.member(id, WorkerStatus::On)).collect();
     let mut tell = |ledger: &mut Ledger, dispatcher: &mut Dispatcher, event: Event| {
         let mut actions = Vec::new();
         if let Event::Settings(new) = &event {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -46,8 +46,8 @@
         queue_order: QueueOrder::Fifo,
         weights: false,
         limits: Limits {
-            tries: 4,
-            copies: true,
+            max_attempts: 4,
+            concurrent_attempts: true,
             cancel: true,
             probes: false,
             peers: false,
@@ -55,7 +55,7 @@
             retry_advice_max: 2 * SECOND,
             connect_timeout: 250 * MS,
         },
-        rules: RuleFigures {
+        rules: RuleParameters {
             answer_slack: 10 * MS,
             drain_grace: 500 * MS,
             cold: 10 * SECOND,
@@ -78,12 +78,12 @@
     }
     let mut late = settings();
     late.classes.iter_mut().for_each(|class| class.late_worth = 0.3);
-    late.limits.copies = false;
+    late.limits.concurrent_attempts = false;
     late.tells_start = true;
     let mut peers = settings();
     peers.limits.peers = true;
     peers.instances = 12;
-    peers.limits.tries = 2;
+    peers.limits.max_attempts = 2;
     peers.classes[0].effect = Effect::Keyed { group: Group::Cell, span: SECOND };
     vec![settings(), keyed, late, peers]
 }
@@ -94,7 +94,7 @@
         zone: ZoneIx(0),
         kind: KindIx(0),
         cell: id % 2,
-        standing: Standing::On,
+        status: WorkerStatus::On,
         weight: 1.0,
         ..Member::default()
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -73,7 +73,7 @@
         let mut actions = bench.arrive(1, 0, 100 * MS);
         actions.extend(bench.wait(10 * SECOND));
         let advice = actions.iter().find_map(|action| match action {
-            Action::Refuse { come_back, .. } => Some(come_back.is_some()),
+            Action::Refuse { retry_after: come_back, .. } => Some(come_back.is_some()),
             _ => None,
         });
         assert_eq!(advice, Some(heeded));
@@ -137,7 +137,7 @@
 #[test]
 fn a_safe_job_is_tried_again_after_an_error_up_to_the_limit() {
     let mut settings = settings();
-    settings.limits.tries = 3;
+    settings.limits.max_attempts = 3;
     let mut bench = Bench::with_workers(settings, &[11, 12, 13, 14, 15, 16]);
     let mut sent = sends(&bench.arrive(1, 0, 100 * MS));
     let mut count = 0;
@@ -189,11 +189,11 @@
         let mut other = member(11);
         match case {
             0 => {
-                other.standing = Standing::Draining;
+                other.status = WorkerStatus::Draining;
                 bench.members(ListKind::Changes, vec![other]);
             }
             1 => {
-                other.standing = Standing::Gone;
+                other.status = WorkerStatus::Gone;
                 bench.members(ListKind::Changes, vec![other]);
             }
             _ => {
@@ -214,9 +214,9 @@
 fn a_drained_worker_that_returns_is_used_again() {
     let mut bench = Bench::with_workers(settings(), &[11]);
     let mut worker = member(11);
-    worker.standing = Standing::Gone;
+    worker.status = WorkerStatus::Gone;
     bench.members(ListKind::Changes, vec![worker.clone()]);
-    worker.standing = Standing::On;
+    worker.status = WorkerStatus::On;
     bench.members(ListKind::Changes, vec![worker]);
     assert_eq!(sends(&bench.arrive(1, 0, MS)), [(1, WorkerId(11))]);
 }
@@ -269,13 +269,13 @@
     let mut bench = Bench::with_workers(settings(), &[11]);
     bench.arrive(1, 0, SECOND);
     bench.arrive(2, 0, 10 * MS);
-    assert!(bench.tell(Event::Lapsed(RequestId(2))).is_empty());
+    assert!(bench.tell(Event::RequestAbandoned(RequestId(2))).is_empty());
     bench.at(100 * MS);
     let actions = bench.outcome(1, 0, WorkerId(11), Ending::Ok);
     assert!(sends(&actions).is_empty());
     assert!(answers(&bench.outcome(1, 0, WorkerId(11), Ending::Ok)).is_empty());
     assert!(answers(&bench.outcome(99, 3, WorkerId(77), Ending::Error)).is_empty());
-    let note = Event::Note { request: RequestId(1), attempt: 0, note: Note::Progress(0.5) };
+    let note = Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Progress(0.5) };
     assert!(bench.tell(note).is_empty());
 }
 
@@ -404,7 +404,7 @@
     assert_eq!(sends(&actions).len(), 1);
     let bodies = |actions: &[Action]| -> Vec<Vec<u8>> {
         let pick = |action: &Action| match action {
-            Action::Tell { to: Some(1), body } => Some(body.clone()),
+            Action::SendMessage { to: Some(1), body } => Some(body.clone()),
             _ => None,
         };
         actions.iter().filter_map(pick).collect()
@@ -525,7 +525,7 @@
         let mut bench = Bench::with_workers(settings, &[11, 12]);
         assert_eq!(sends(&bench.arrive(1, class, 100 * MS)).len(), 1);
         bench.at(500 * MS);
-        bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Silent })
+        bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Silent })
     };
     assert_eq!(silent(0), [Action::Cancel { request: RequestId(1), attempt: 0 }]);
     assert_eq!(silent(1), []);
@@ -539,7 +539,7 @@
         (ReportSource::Answers, true, true);
     let mut bench = Bench::with_workers(settings, &[11]);
     bench.arrive(1, 0, 3 * SECOND);
-    bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Started });
+    bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Started });
     bench.at(3 * SECOND);
     bench.report(1, 0, WorkerId(11), Ending::Ok, true, Some(1.0));
     // Both lanes take a job at once.
@@ -577,10 +577,10 @@
     }
     assert_eq!(sends(&predecessor.arrive(50, 1, 900 * MS)).len(), 1);
     let knowledge = predecessor.dispatcher.knowledge();
-    let told = predecessor.tell(Event::Succeeded(true));
+    let told = predecessor.tell(Event::SuccessorActive(true));
     let to_own_rank = |actions: &[Action]| -> Vec<Vec<u8>> {
         let pick = |action: &Action| match action {
-            Action::Tell { to: Some(0), body } => Some(body.clone()),
+            Action::SendMessage { to: Some(0), body } => Some(body.clone()),
             _ => None,
         };
         actions.iter().filter_map(pick).collect()
@@ -590,14 +590,14 @@
     let start = |knowledge: Option<serde_json::Value>| {
         let mut successor = Bench::new(peer_settings(0));
         successor.now = now;
-        knowledge.into_iter().for_each(|knowledge| drop(successor.tell(Event::Handed(knowledge))));
+        knowledge.into_iter().for_each(|knowledge| drop(successor.tell(Event::KnowledgeReceived(knowledge))));
         successor.members(ListKind::Saved, vec![member(11)]);
         successor
     };
     // What the predecessor has there takes the only lane ...
     let mut successor = start(Some(knowledge));
     let shared = successor.tell(Event::Peer { from: 0, body: to_own_rank(&told)[0].clone() });
-    assert!(shared.iter().any(|action| matches!(action, Action::Tell { to: Some(1), .. })), "told on");
+    assert!(shared.iter().any(|action| matches!(action, Action::SendMessage { to: Some(1), .. })), "told on");
     assert!(sends(&successor.arrive(1, 0, 300 * MS)).is_empty());
     // ... and when that is over, the job is sent at once, and taken to end when it will, not when its hint says.
     let done = to_own_rank(&predecessor.outcome(50, 0, WorkerId(11), Ending::Ok));
@@ -606,7 +606,7 @@
     assert_eq!(sends(&actions), [(1, WorkerId(11))]);
     let end = |actions: &[Action]| {
         let told = actions.iter().rev().find_map(|action| match action {
-            Action::Tell { to: Some(1), body } => body.last().copied(),
+            Action::SendMessage { to: Some(1), body } => body.last().copied(),
             _ => None,
         });
         told.expect("the other dispatcher is told")
@@ -632,7 +632,7 @@
         kind.as_object_mut().and_then(|kind| kind.remove("counted")).expect("it is there");
     }
     let mut successor = Bench::new(settings());
-    let actions = successor.tell(Event::Handed(handed));
+    let actions = successor.tell(Event::KnowledgeReceived(handed));
     assert!(actions.iter().all(|action| !matches!(action, Action::Log(_))), "{actions:?}");
     assert_eq!(sends(&successor.arrive(2, 0, 100 * MS)), [(2, WorkerId(11))]);
 }
@@ -663,10 +663,10 @@
 fn what_runs_for_a_client_that_has_left_is_called_off() {
     let mut bench = Bench::with_workers(settings(), &[11, 12]);
     assert_eq!(sends(&bench.arrive(1, 1, 100 * MS)).len(), 1);
-    let actions = bench.tell(Event::Lapsed(RequestId(1)));
+    let actions = bench.tell(Event::RequestAbandoned(RequestId(1)));
     assert_eq!(actions, [Action::Cancel { request: RequestId(1), attempt: 0 }]);
     bench.outcome(1, 0, WorkerId(11), Ending::Cancelled);
-    assert!(bench.tell(Event::Lapsed(RequestId(1))).is_empty());
+    assert!(bench.tell(Event::RequestAbandoned(RequestId(1))).is_empty());
 }
 
 #[test]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -103,7 +103,7 @@
     /// Carries messages to whom they are for.
     fn post(&mut self, from: usize, actions: &[Action]) {
         for action in actions {
-            let Action::Tell { to, body } = action else { continue };
+            let Action::SendMessage { to, body } = action else { continue };
             for rank in (0..self.benches.len()).filter(|&rank| rank != from) {
                 if to.is_none_or(|to| to as usize == rank) {
                     self.told += 1;
@@ -232,7 +232,7 @@
         let actions = bench.arrive(1, 0, 300 * MS);
         let told = actions.iter().find_map(|action| match action {
             // The end of what it has there, in units of 64 ms.
-            Action::Tell { to: Some(_), body } if body.len() >= 8 => Some(body[7]),
+            Action::SendMessage { to: Some(_), body } if body.len() >= 8 => Some(body[7]),
             _ => None,
         });
         told.expect("the others are told")
@@ -244,7 +244,7 @@
         let (attempt, ending, running, concluded, report) = (0, Ending::Ok, false, true, None);
         let outcome = Outcome { request, attempt, worker, ending, elapsed, running, concluded, report };
         for action in one.tell(Event::Outcome(outcome)) {
-            if let Action::Tell { to: Some(1), body } = action {
+            if let Action::SendMessage { to: Some(1), body } = action {
                 two.tell(Event::Peer { from: 0, body });
             }
         }
@@ -300,7 +300,7 @@
 /// Whom one action tells something, if it is one dispatcher.
 fn told_to(action: &Action) -> Option<u32> {
     match action {
-        Action::Tell { to, .. } => *to,
+        Action::SendMessage { to, .. } => *to,
         _ => None,
     }
 }
--- a/tests/handed_on.rs
+++ b/tests/handed_on.rs
@@ -10,10 +10,11 @@
 /// A request with this history, as a successor gets it.
 fn handed_on(bench: &Bench, id: u32, effect: Effect, attempts: &[(u32, AttemptState)]) -> Arrival {
     let sent = bench.now - 100 * MS;
-    let past = |&(worker, state): &(u32, AttemptState)| PastAttempt { worker: WorkerId(worker), sent, state };
+    let past =
+        |&(worker, state): &(u32, AttemptState)| PriorAttempt { worker: WorkerId(worker), sent, state };
     let attempts = attempts.iter().map(past).collect();
-    let history = HandedOn { arrived: bench.now - 200 * MS, effect, attempts };
-    Arrival { handed_on: Some(history), ..arrival(id, 0, bench.now, 50 * MS) }
+    let history = TransferredRequest { arrived: bench.now - 200 * MS, effect, attempts };
+    Arrival { transferred: Some(history), ..arrival(id, 0, bench.now, 50 * MS) }
 }
 
 /// Tells of the arrival and lets some time pass; gives what was decided.
@@ -54,7 +55,7 @@
     let loose = handed_on(&bench, 1, Effect::Safe, &[(11, AttemptState::MayRun)]);
     let mut actions = take(&mut bench, loose);
     assert_eq!(sends(&actions), []);
-    actions.extend(bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Over }));
+    actions.extend(bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Over }));
     assert_eq!(sends(&actions), []);
 }
 
@@ -100,11 +101,11 @@
     let mut bench = Bench::with_workers(settings(), &[11]);
     bench.arrive(1, 0, 5 * SECOND);
     bench.arrive(2, 0, 50 * MS);
-    assert_eq!(bench.tell(Event::MovedAway(RequestId(2))), []);
+    assert_eq!(bench.tell(Event::RequestTransferred(RequestId(2))), []);
     assert_eq!(sends(&bench.outcome(1, 0, WorkerId(11), Ending::Ok)), []);
     let mut bench = Bench::with_workers(settings(), &[11]);
     bench.arrive(1, 0, 5 * SECOND);
-    bench.tell(Event::MovedAway(RequestId(1)));
+    bench.tell(Event::RequestTransferred(RequestId(1)));
     assert_eq!(sends(&bench.arrive(2, 0, 50 * MS)), [(2, WorkerId(11))]);
 }
 
@@ -117,7 +118,7 @@
     let mut actions = bench.arrive(2, 0, 5 * SECOND);
     actions.extend(bench.arrive(3, 0, 100 * MS));
     assert_eq!((sends(&actions), answers(&actions)), (vec![], vec![]), "both wait for the lane");
-    let mut actions = bench.tell(Event::Ends(bench.now + 2 * SECOND));
+    let mut actions = bench.tell(Event::ShutdownAt(bench.now + 2 * SECOND));
     actions.extend(bench.wait(200 * MS));
     assert_eq!(answers(&actions), [(2, true)], "it cannot be done by then");
     assert_eq!(sends(&bench.outcome(1, 0, WorkerId(11), Ending::Ok)), [(3, WorkerId(11))]);
@@ -133,7 +134,7 @@
         bench.arrive(id, 0, 10 * MS);
     }
     let ends = bench.now + SECOND;
-    let mut actions = bench.tell(Event::Ends(ends));
+    let mut actions = bench.tell(Event::ShutdownAt(ends));
     actions.extend(bench.wait(SECOND));
     let answered: Vec<u32> = answers(&actions).into_iter().map(|(id, _)| id).collect();
     assert_eq!(answered.len(), 28, "{answered:?}");
@@ -144,13 +145,13 @@
     for (class, refused) in [(0, true), (1, false)] {
         let mut bench = Bench::with_workers(settings(), &[11]);
         bench.arrive(1, class, 5 * SECOND);
-        let actions = bench.tell(Event::Conclude(RequestId(1)));
+        let actions = bench.tell(Event::FinishRequest(RequestId(1)));
         assert_eq!((answers(&actions), cancels(&actions)), (vec![(1, refused)], vec![(1, 0)]));
-        assert_eq!(answers(&bench.tell(Event::Conclude(RequestId(1)))), [], "once");
+        assert_eq!(answers(&bench.tell(Event::FinishRequest(RequestId(1)))), [], "once");
     }
     let mut bench = Bench::with_workers(settings(), &[11]);
     assert_eq!(
-        answers(&bench.tell(Event::Conclude(RequestId(7)))),
+        answers(&bench.tell(Event::FinishRequest(RequestId(7)))),
         [(7, false)],
         "one that nothing is known of"
     );
@@ -164,13 +165,14 @@
         predecessor.arrive(1, 0, 50 * MS);
         predecessor.outcome(1, 0, WorkerId(11), Ending::Error);
         assert_eq!(predecessor.dispatcher.avoided(predecessor.now), 1);
-        let knowledge = calicolb::rules::Dispatcher::on_clock(predecessor.dispatcher.knowledge(), ahead);
+        let knowledge =
+            calicolb::rules::Dispatcher::shift_knowledge(predecessor.dispatcher.knowledge(), ahead);
         let mut successor = Bench::with_workers(settings(), &[11]);
         let now = predecessor.now.saturating_add_signed(ahead);
-        successor.dispatcher.on_event(now, Event::Handed(knowledge), &mut Vec::new());
+        successor.dispatcher.on_event(now, Event::KnowledgeReceived(knowledge), &mut Vec::new());
         assert_eq!(successor.dispatcher.avoided(now), 1, "{ahead} us ahead");
         assert_eq!(successor.dispatcher.avoided(now + 10 * SECOND), 0, "{ahead} us ahead");
     }
     let odd = serde_json::json!("no knowledge");
-    assert_eq!(calicolb::rules::Dispatcher::on_clock(odd.clone(), 5), odd);
+    assert_eq!(calicolb::rules::Dispatcher::shift_knowledge(odd.clone(), 5), odd);
 }
--- a/tests/renewal.rs
+++ b/tests/renewal.rs
@@ -78,7 +78,7 @@
         bench.arrive(1, 0, 300 * MS);
         let (before, known) = (bench.dispatcher.settings().clone(), bench.dispatcher.knowledge());
         let done = renew(&mut bench, |new| {
-            new.limits.tries = 1;
+            new.limits.max_attempts = 1;
             new.tenants[0].quota_per_s = 1.0;
             change(new);
         });
@@ -219,7 +219,7 @@
     done.extend(bench.wait(20 * MS));
     assert_eq!(sends(&done).len(), 1);
     assert!(bench.dispatcher.may_begin(bench.now, RequestId(1), 1));
-    renew(&mut bench, |new| new.limits.tries = 1);
+    renew(&mut bench, |new| new.limits.max_attempts = 1);
     assert!(!bench.dispatcher.may_begin(bench.now, RequestId(1), 1), "it would be one too many");
     // A job that waits for its second try, which is no longer to be had, is answered there and then.
     let mut settings = settings();
@@ -227,7 +227,7 @@
     let mut bench = Bench::with_workers(settings, &[1]);
     let sent = sends(&bench.arrive(1, 0, 200 * MS));
     bench.outcome(1, 0, sent[0].1, Ending::Unreachable);
-    assert_eq!(answers(&renew(&mut bench, |new| new.limits.tries = 1)), [(1, true)]);
+    assert_eq!(answers(&renew(&mut bench, |new| new.limits.max_attempts = 1)), [(1, true)]);
 }
 
 #[test]
@@ -383,11 +383,15 @@
     let mut settings = two_tenants(10.0);
     settings.classes.push(class(Effect::Safe));
     let mut successor = Bench::with_workers(settings, &[1, 2]);
-    let done = successor.tell(Event::Handed(known.clone()));
+    let done = successor.tell(Event::KnowledgeReceived(known.clone()));
     assert!(matches!(&done[..], [Action::Log(line)] if line.contains("does not fit")), "{done:?}");
-    let placed =
-        Dispatcher::placed(known.clone(), &[Some(1), None, Some(0)], &[Some(1), None], successor.now);
-    assert_eq!(successor.tell(Event::Handed(placed)), []);
+    let placed = Dispatcher::remap_knowledge(
+        known.clone(),
+        &[Some(1), None, Some(0)],
+        &[Some(1), None],
+        successor.now,
+    );
+    assert_eq!(successor.tell(Event::KnowledgeReceived(placed)), []);
     let taken = successor.dispatcher.knowledge();
     let class = |known: &Value, at: usize| known[2]["classes"][at].clone();
     assert_eq!((class(&taken, 0), class(&taken, 2)), (class(&known, 1), class(&known, 0)));
@@ -395,6 +399,6 @@
     assert_eq!(tokens(&successor), [5.0, 3.0]);
     // What is no knowledge stays what it is, and breaks nothing.
     for odd in [Value::Null, Value::from(7), serde_json::json!([[], [], {"classes": 7}])] {
-        assert_eq!(Dispatcher::placed(odd.clone(), &[Some(0)], &[], successor.now), odd);
+        assert_eq!(Dispatcher::remap_knowledge(odd.clone(), &[Some(0)], &[], successor.now), odd);
     }
 }
--- a/tests/second_attempts.rs
+++ b/tests/second_attempts.rs
@@ -12,7 +12,7 @@
 /// sent while nothing more is known of that attempt, and what is sent once the worker has said that it is over.
 fn again(ending: Ending, running: bool, copies: bool) -> (usize, usize) {
     let mut settings = settings();
-    settings.limits.copies = copies;
+    settings.limits.concurrent_attempts = copies;
     settings.classes[0].late_worth = 0.5;
     let mut bench = Bench::new(settings);
     let lanes = |id| Member { lanes: Some(1), ..member(id) };
@@ -26,7 +26,7 @@
     let mut before = bench.tell(Event::Outcome(outcome));
     before.extend(bench.wait(2 * SECOND));
     assert!(sends(&before).iter().all(|&(_, to)| to == first), "the other worker has no lane");
-    let mut after = bench.tell(Event::Note { request, attempt, note: Note::Over });
+    let mut after = bench.tell(Event::Note { request, attempt, note: AttemptNote::Over });
     after.extend(bench.wait(2 * SECOND));
     (sends(&before).len(), sends(&after).len())
 }
@@ -44,7 +44,8 @@
 #[test]
 fn word_that_an_attempt_is_over_changes_nothing_where_it_fits_nothing() {
     let mut bench = Bench::with_workers(settings(), &[11]);
-    let over = |request, attempt| Event::Note { request: RequestId(request), attempt, note: Note::Over };
+    let over =
+        |request, attempt| Event::Note { request: RequestId(request), attempt, note: AttemptNote::Over };
     assert_eq!(bench.tell(over(1, 0)), [], "nobody knows it");
     assert_eq!(sends(&bench.arrive(1, 1, 100 * MS)).len(), 1);
     assert_eq!(bench.tell(over(1, 0)), [], "it is still waited for");
