--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, Micros};
 use crate::rules::Dispatcher;
-use crate::state::{Bucket, Knowledge, PeerLoad, SizeMap, Worker};
+use crate::state::{Knowledge, PeerLoad, SizeMap, TokenBucket, Worker};
 use calicolb_knowledge::classes::ClassModel;
 use serde::Deserialize;
 
@@ -22,13 +22,13 @@
     ) -> serde_json::Value {
         let Some(know) = knowledge.get_mut(2) else { return knowledge };
         let read = (Vec::deserialize(&know["classes"]), Vec::deserialize(&know["buckets"]));
-        let (Ok(known), Ok(buckets)): (Result<Vec<ClassModel>, _>, Result<Vec<Bucket>, _>) = read else {
+        let (Ok(known), Ok(buckets)): (Result<Vec<ClassModel>, _>, Result<Vec<TokenBucket>, _>) = read else {
             return knowledge;
         };
         let known = classes.iter().map(|from| known.get((*from)?).cloned());
         know["classes"] = known.map(|class| serde_json::json!(class.unwrap_or_default())).collect();
         let buckets = tenants.iter().map(|from| buckets.get((*from)?));
-        know["buckets"] = buckets.map(|of| serde_json::json!(of.unwrap_or(&Bucket::new(now)))).collect();
+        know["buckets"] = buckets.map(|of| serde_json::json!(of.unwrap_or(&TokenBucket::new(now)))).collect();
         knowledge
     }
 
@@ -45,17 +45,17 @@
         knowledge
     }
 
-    pub(crate) fn on_handed(&mut self, handed: serde_json::Value) {
+    pub(crate) fn on_knowledge_received(&mut self, handed: serde_json::Value) {
         let fits = |(workers, maps, know): &(Vec<Worker>, Vec<SizeMap>, Knowledge)| {
             let covered = workers.iter().all(|worker| know.covers(worker));
-            covered && know.like(&self.know) && maps.len() == self.maps.len()
+            covered && know.has_same_shape(&self.know) && maps.len() == self.maps.len()
         };
         match serde_json::from_value(handed).ok().filter(fits) {
             Some((workers, maps, know)) => {
                 self.index = workers.iter().enumerate().map(|(at, worker)| (worker.id, at)).collect();
                 (self.workers, self.maps, self.know) = (workers, maps, know);
-                let ranks = self.know.zones.len().max(self.company.size() as usize);
-                self.know.zones.resize(ranks, None);
+                let ranks = self.know.zones_by_rank.len().max(self.company.size() as usize);
+                self.know.zones_by_rank.resize(ranks, None);
             }
             None => self.out.push(Action::Log("what another process handed on does not fit".to_owned())),
         }
@@ -73,22 +73,22 @@
         self.cold_sent.iter_mut().for_each(|(at, _)| shift(at, by));
         self.peers.iter_mut().for_each(|peer| peer.shift(by));
         self.foreign.iter_mut().for_each(|(at, _)| shift(at, by));
-        self.trust.shift(by);
-        shift(&mut self.probed, by);
-        shift(&mut self.known, by);
+        self.health.shift(by);
+        shift(&mut self.probed_at, by);
+        shift(&mut self.load_known_at, by);
     }
 }
 
 impl PeerLoad {
     fn shift(&mut self, by: i64) {
-        [&mut self.soonest, &mut self.latest, &mut self.told].into_iter().for_each(|at| shift(at, by));
+        [&mut self.soonest, &mut self.latest, &mut self.received_at].into_iter().for_each(|at| shift(at, by));
     }
 }
 
 impl Knowledge {
     fn shift(&mut self, by: i64) {
-        self.buckets.iter_mut().for_each(|bucket| shift(&mut bucket.at, by));
-        self.cuts.iter_mut().for_each(|(_, until)| shift(until, by));
-        self.work.shift(by);
+        self.buckets.iter_mut().for_each(|bucket| shift(&mut bucket.refilled_at, by));
+        self.zone_failures.iter_mut().for_each(|(_, until)| shift(until, by));
+        self.work_rate.shift(by);
     }
 }
--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -15,17 +15,18 @@
             scratch.sort_unstable();
             let slots = job.slots.min(scratch.len());
             // Work beyond its tenant's share leaves a lane for work within.
-            let start = scratch[(slots - 1 + usize::from(job.yields)).min(scratch.len() - 1)];
+            let start = scratch[(slots - 1 + usize::from(job.over_share)).min(scratch.len() - 1)];
             let end = start + self.run_time(at, job.size, now);
             scratch[..slots].fill(end);
             (start, end)
         };
         // In overload work that still earns something when it is late gives way to what is worth much more.
         let late_worth = |job: &Request| self.settings.classes[job.class].late_worth;
-        let gives_way = |job: &Request| job.value * GIVES_WAY <= request.value && late_worth(job) > 0.0;
+        let gives_way =
+            |job: &Request| job.worth_per_work * GIVES_WAY <= request.worth_per_work && late_worth(job) > 0.0;
         let mut mine = None;
         for &(order, other) in self.workers[at].planned.iter().filter(|plan| plan.1 != id) {
-            if mine.is_none() && (order, other) > (request.order, id) {
+            if mine.is_none() && (order, other) > (request.queue_key, id) {
                 mine = Some(place(request));
             }
             let job = &self.requests[&other];
@@ -51,20 +52,20 @@
     }
 
     pub(super) fn in_time(&self, job: &Request, start: Micros, end: Micros) -> bool {
-        let run = (end - start) as f64 * if job.late { 1.0 } else { job.doubt };
+        let run = (end - start) as f64 * if job.late { 1.0 } else { job.lower_bound_factor };
         start + run as Micros <= job.deadline
     }
 
     /// Nothing is sent there for now: it does not run, failed lately, or the way to its zone is cut.
     pub(super) fn avoids(&self, now: Micros, at: usize) -> bool {
         let worker = &self.workers[at];
-        let cut = self.know.cuts[worker.zone.0].1 > now;
-        worker.standing != WorkerStatus::On || worker.trust.avoided(now) || cut
+        let cut = self.know.zone_failures[worker.zone.0].1 > now;
+        worker.status != WorkerStatus::On || worker.health.avoided(now) || cut
     }
 
     /// Listed workers that nothing is sent to for now.
     pub fn avoided(&self, now: Micros) -> usize {
-        let shunned = |&at: &usize| self.workers[at].standing != WorkerStatus::Gone && self.avoids(now, at);
+        let shunned = |&at: &usize| self.workers[at].status != WorkerStatus::Gone && self.avoids(now, at);
         (0..self.workers.len()).filter(shunned).count()
     }
 
@@ -72,7 +73,7 @@
         // A job that must not run twice is lost if a trial goes wrong. Those that try a worker first try it again.
         let once = request.effect == Effect::Unsafe;
         let worker = &self.workers[at];
-        let barred = worker.trust.on_trial(now) && (once || !worker.home || !worker.own.is_empty());
+        let barred = worker.health.on_trial(now) && (once || !worker.in_own_cohort || !worker.own.is_empty());
         let kind = self.settings.classes[request.class].kind;
         let able = kind.is_none_or(|kind| kind.0 == worker.kind);
         able && !barred && !self.avoids(now, at) && self.may_send(now, request, at)
@@ -92,7 +93,7 @@
         let free = |at| self.lanes(at) as f64 - self.workers[at].busy() as f64 - self.foreign(at, now);
         let neighbours = (1..ranges.len()).flat_map(|by| [range + by, range.wrapping_sub(by)]);
         let homes = std::iter::once(range).chain(neighbours.filter(|&nr| nr < ranges.len()));
-        let homes = homes.flat_map(|nr| ranges[nr].home.iter());
+        let homes = homes.flat_map(|nr| ranges[nr].own_cohort.iter());
         for &at in homes.filter(|&&at| self.usable(at, now, request)) {
             let Some((start, end)) = self.demand(at, now, id, &mut scratch) else { continue };
             if start <= now {
@@ -114,7 +115,7 @@
         most = 0.0;
         for at in self.window(&ranges[range]) {
             let cross = if self.workers[at].zone == self.settings.zone { 0.0 } else { CROSSING };
-            let unknown = self.asks() && now > self.workers[at].known + SECOND;
+            let unknown = self.asks() && now > self.workers[at].load_known_at + SECOND;
             if unknown || free(at) - cross <= most || !self.usable(at, now, request) {
                 continue;
             }
@@ -128,14 +129,14 @@
 
     /// The few of the others' workers that this job may look at; another few for the next. Near ones count double, and
     /// no more: all the dispatchers of a crowded zone would look at its few workers, and send on the same aged report.
-    pub(super) fn window(&self, range: &Range) -> Vec<usize> {
-        let (near, far) = (range.near.len(), range.far.len());
+    pub(super) fn window(&self, range: &SizeRange) -> Vec<usize> {
+        let (near, far) = (range.same_zone.len(), range.other_zones.len());
         let nearby = (PROBES * 2 * near).div_ceil((2 * near + far).max(1)).min(near);
         let pick = |list: &[usize], count: usize| {
             let from = self.spill_from % list.len().max(1);
             list.iter().cycle().skip(from).take(count.min(list.len())).copied().collect::<Vec<_>>()
         };
-        [pick(&range.near, nearby), pick(&range.far, PROBES - nearby)].concat()
+        [pick(&range.same_zone, nearby), pick(&range.other_zones, PROBES - nearby)].concat()
     }
 
     /// The map and the range in it that a job's size names.
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -1,7 +1,7 @@
 //! Requests that another process of this dispatcher hands on, with all that it has done for them.
 
 use super::*;
-use crate::settings_update::binding;
+use crate::settings_update::effect_after_update;
 
 impl Dispatcher {
     /// Takes on a request with its attempts. What is out goes on, and nothing is repeated beyond its effect.
@@ -9,11 +9,11 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_have_run = handed.attempts.iter().any(|past| past.state != AttemptState::NeverRan);
         let ran_unnoted = may_have_run && handed.effect == Effect::Safe;
-        request.effect = binding(handed.effect, request.effect, ran_unnoted);
+        request.effect = effect_after_update(handed.effect, request.effect, ran_unnoted);
         for past in handed.attempts {
             self.adopt_attempt(now, id, past);
         }
-        if self.requests.get(&id).is_some_and(|request| !request.out()) {
+        if self.requests.get(&id).is_some_and(|request| !request.has_outstanding()) {
             // Held anew, or answered where its attempts leave no other choice.
             self.after_attempt(now, id, Ending::TimedOut);
         }
@@ -51,7 +51,7 @@
         let (size, slots) = (request.size, request.slots);
         let end = sent + self.run_time(at, size, now);
         // When it started is not known, so its time tells nothing of its size.
-        let own = Own { request: id, attempt, slots, sent, start: sent, end, ..Own::default() };
+        let own = OwnAttempt { request: id, attempt, slots, sent, start: sent, end, ..OwnAttempt::default() };
         self.workers[at].own.push(own);
         self.workers[at].peers.retain(|peer| peer.from != self.settings.rank);
         self.tell_peers(now, at, None);
@@ -60,7 +60,7 @@
     /// A worker that is on no list here: it may bring a result, and gets nothing new.
     fn add_unlisted(&mut self, id: WorkerId) -> usize {
         let at = self.workers.len();
-        self.workers.push(Worker { id, standing: WorkerStatus::Gone, ..Worker::default() });
+        self.workers.push(Worker { id, status: WorkerStatus::Gone, ..Worker::default() });
         self.index.insert(id, at);
         at
     }
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -6,13 +6,13 @@
     /// Deals the dispatchers into cohorts of as many as it takes to share enough workers to even out their bursts, in
     /// powers of two so that lists which differ a little give the same: large ones over all zones, small ones in one.
     pub(super) fn deal_cohorts(&mut self) {
-        let workers = self.workers.iter().filter(|worker| worker.standing == WorkerStatus::On).count().max(1);
+        let workers = self.workers.iter().filter(|worker| worker.status == WorkerStatus::On).count().max(1);
         let size = (SHARE * self.company.size() as usize / workers).clamp(1, COHORT).next_power_of_two();
         self.cohorts.clear();
         let apart = size < 2 * self.settings.zones;
         let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| apart);
         for zone in zones.chain([None]) {
-            let here = |rank: &u32| !apart || self.know.zones[*rank as usize] == zone;
+            let here = |rank: &u32| !apart || self.know.zones_by_rank[*rank as usize] == zone;
             let ranks: Vec<u32> = (0..self.company.size()).filter(here).collect();
             let count = (ranks.len() / size).max(usize::from(!ranks.is_empty()));
             let part = |nr: usize| ranks[nr * ranks.len() / count..(nr + 1) * ranks.len() / count].to_vec();
@@ -24,7 +24,7 @@
     /// count, or they would not agree on whose a worker is. Every cohort gets an even part of every kind, and within a zone
     /// an even part of the zone's.
     pub(super) fn deal_workers(&mut self) {
-        let on = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == WorkerStatus::On);
+        let on = (0..).zip(&self.workers).filter(|(_, worker)| worker.status == WorkerStatus::On);
         let mut order: Vec<_> = on.map(|(at, worker)| (worker.kind, worker.id, at)).collect();
         order.sort_unstable();
         let all: Vec<usize> = (0..self.cohorts.len()).collect();
@@ -51,7 +51,7 @@
                 let to = bounds.into_iter().find_map(place).unwrap_or(0);
                 taken[to] += 1;
                 self.workers[at].cohort = to;
-                self.workers[at].home = self.cohorts[to].1.contains(&self.settings.rank);
+                self.workers[at].in_own_cohort = self.cohorts[to].1.contains(&self.settings.rank);
             }
         }
     }
@@ -65,7 +65,7 @@
         } else {
             // Nobody knows who is in which zone: each begins with its own zone's, in an order of its own.
             let here = self.settings.zone;
-            self.workers.iter_mut().for_each(|worker| worker.home = worker.zone == here);
+            self.workers.iter_mut().for_each(|worker| worker.in_own_cohort = worker.zone == here);
         }
         if self.settings.weights {
             self.seed_speeds();
@@ -83,7 +83,7 @@
     pub(super) fn seed_speeds(&mut self) {
         let mean = |wanted: Option<usize>| {
             let on =
-                |of: &&Worker| of.standing == WorkerStatus::On && wanted.is_none_or(|kind| kind == of.kind);
+                |of: &&Worker| of.status == WorkerStatus::On && wanted.is_none_or(|kind| kind == of.kind);
             let weights = self.workers.iter().filter(on).map(|worker| worker.weight);
             weights.clone().sum::<f64>() / weights.count() as f64
         };
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn rebuild_map(&mut self, need: usize, wanted: Option<usize>) {
-        let on = |of: &Worker| of.standing == WorkerStatus::On && wanted.is_none_or(|kind| kind == of.kind);
+        let on = |of: &Worker| of.status == WorkerStatus::On && wanted.is_none_or(|kind| kind == of.kind);
         let mut order: Vec<usize> = (0..self.workers.len()).filter(|&at| on(&self.workers[at])).collect();
         let speed = |at: usize| self.know.kinds[self.workers[at].kind].speed.ln;
         let key = |at: usize| (self.workers[at].kind, self.workers[at].id);
@@ -110,7 +110,7 @@
         let mut ranges = Vec::with_capacity(count);
         for (nr, &upper) in bounds.iter().enumerate() {
             let (mut home, others): (Vec<usize>, Vec<usize>) =
-                part(nr).iter().partition(|&&at| self.workers[at].home);
+                part(nr).iter().partition(|&&at| self.workers[at].in_own_cohort);
             let here = |&at: &usize| self.workers[at].zone == self.settings.zone;
             let (mut near, mut far): (Vec<usize>, Vec<usize>) = others.into_iter().partition(here);
             let draw = |&at: &usize| mix(u64::from(rank), u64::from(self.workers[at].id.0));
@@ -126,7 +126,7 @@
             }
             near.sort_by_key(draw);
             far.sort_by_key(draw);
-            ranges.push(Range { upper, home, near, far });
+            ranges.push(SizeRange { upper, own_cohort: home, same_zone: near, other_zones: far });
         }
         self.maps[need].ranges = ranges;
     }
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -35,7 +35,7 @@
         harmless
             && !twice
             && !self.list.stale(now)
-            && worker.standing == WorkerStatus::On
+            && worker.status == WorkerStatus::On
             && !worker.refuses(request.skill)
     }
 
@@ -61,7 +61,7 @@
         let (worker, rules) = (&self.workers[at], &self.settings.rules);
         let (power, window) = (self.lanes(at) as f64 * self.speed(at), rules.fall_window as f64);
         let budget = COLD_SHARE * rules.fall_multiple * self.warmth(at, now) * power * window;
-        let usual = (self.know.work.per_s() / SECOND as f64 * window).max(self.know.mean_time);
+        let usual = (self.know.work_rate.per_s() / SECOND as f64 * window).max(self.know.mean_run_time);
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
         let (rank, sent) = (self.settings.rank, self.cold_sent(now, at));
         if !self.settings.limits.peers {
@@ -71,14 +71,14 @@
         }
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
         let share = ColdBudget::new(budget, members, usual, self.company.size());
-        let sender = Sender::of(worker.home, share.is_designated(draw, rank, self.company.size()));
-        let fresh = |peer: &&PeerLoad| peer.told + rules.fall_window > now && peer.from != rank;
-        let told = worker.peers.iter().filter(fresh).map(|peer| peer.cold).sum();
+        let sender = Sender::of(worker.in_own_cohort, share.is_designated(draw, rank, self.company.size()));
+        let fresh = |peer: &&PeerLoad| peer.received_at + rules.fall_window > now && peer.from != rank;
+        let told = worker.peers.iter().filter(fresh).map(|peer| peer.cold_work).sum();
         self.spent.count_allowance(share.allows(sender, sent, told, work))
     }
 
     pub(super) fn send(&mut self, now: Micros, id: RequestId, at: usize) -> bool {
-        let doubled = !self.settings.limits.concurrent_attempts && self.requests[&id].out();
+        let doubled = !self.settings.limits.concurrent_attempts && self.requests[&id].has_outstanding();
         if doubled || !self.may_send(now, &self.requests[&id], at) {
             return false;
         }
@@ -94,7 +94,17 @@
         self.requests.entry(id).and_modify(|request| request.attempts.push(made));
         let worker = &mut self.workers[at];
         let (clean, awaits_start, progress) = (start <= now, self.settings.tells_start, None);
-        let own = Own { request: id, attempt, slots, sent: now, end, start, clean, awaits_start, progress };
+        let own = OwnAttempt {
+            request: id,
+            attempt,
+            slots,
+            sent: now,
+            end,
+            start,
+            measures_size: clean,
+            awaits_start,
+            progress,
+        };
         worker.own.push(own);
         if cold {
             worker.cold_sent.push_back((now, size * slots as f64));
@@ -120,7 +130,7 @@
         if final_answer(request.effect.repeatable(), states) == FinalAnswer::Refused {
             let limits = &self.settings.limits;
             let left = request.expires.saturating_sub(now);
-            let pause = (self.know.mean_time / 4.0) as Micros;
+            let pause = (self.know.mean_run_time / 4.0) as Micros;
             let come_back = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
             self.out.push(Action::Refuse { request: id, retry_after: come_back, reason: why });
         } else {
@@ -160,7 +170,7 @@
 
     /// A request's record goes once it is answered and its last attempt has ended.
     pub(super) fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|request| request.done && !request.out()) {
+        if self.requests.get(&id).is_some_and(|request| request.done && !request.has_outstanding()) {
             self.requests.remove(&id);
         }
     }
@@ -177,7 +187,7 @@
         let end = now + self.run_time(at, size, now);
         let own = &mut self.workers[at].own[nr];
         let (awaited, waited) = (own.awaits_start, now > own.sent + START_NEWS);
-        (own.start, own.end, own.clean, own.awaits_start) = (now, end, true, false);
+        (own.start, own.end, own.measures_size, own.awaits_start) = (now, end, true, false);
         if awaited && self.counts_starts() {
             self.count_start(now, at, waited);
         }
@@ -185,7 +195,7 @@
 
     pub(super) fn on_note(&mut self, now: Micros, id: RequestId, attempt: u32, note: AttemptNote) {
         if note == AttemptNote::Over {
-            self.requests.entry(id).and_modify(|request| request.over(attempt));
+            self.requests.entry(id).and_modify(|request| request.mark_ended(attempt));
         }
         let Some((at, nr)) = self.own(id, attempt) else { return };
         match note {
@@ -204,8 +214,8 @@
                 // The pace between two notes, or from the start, where that is known, to the first.
                 let pace = match own.progress {
                     Some((then, before)) if done > before => (done - before) / (now - then).max(1) as f64,
-                    _ if own.clean => done / (now - own.start.min(now)).max(1) as f64,
-                    _ => 1.0 / self.know.mean_time,
+                    _ if own.measures_size => done / (now - own.start.min(now)).max(1) as f64,
+                    _ => 1.0 / self.know.mean_run_time,
                 };
                 own.progress = Some((now, done));
                 own.end = now + ((1.0 - done) / pace).min(3600.0 * SECOND as f64) as Micros;
@@ -225,12 +235,12 @@
         let (class, hint) = (request.class, request.hint);
         match ending {
             Ending::Ok => {
-                let before = self.workers[at].trust.strikes(now);
-                self.workers[at].trust.record_success(now);
+                let before = self.workers[at].health.strikes(now);
+                self.workers[at].health.record_success(now);
                 self.tell_trust(now, at, before);
                 self.on_connection(now, at, true);
                 self.step_lanes(at, own.slots, true);
-                if own.clean {
+                if own.measures_size {
                     let time = if own.start > own.sent { now.saturating_sub(own.start) } else { elapsed };
                     speed = self.learn(now, at, (class, hint), time);
                 }
@@ -240,7 +250,7 @@
                 let lanes = self.lanes(at) as f64;
                 // Its waiting room is taken too, which is taken to hold half a lane's worth each.
                 self.workers[at].foreign = Some((now, 1.5 * lanes));
-                self.workers[at].known = now;
+                self.workers[at].load_known_at = now;
                 self.on_zone_load(at, lanes);
             }
             Ending::Unreachable => {
@@ -261,7 +271,7 @@
     /// An attempt has ended without the answer: try again where that is allowed and can help, else answer.
     pub(super) fn after_attempt(&mut self, now: Micros, id: RequestId, ending: Ending) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.done || request.held || request.out() {
+        if request.done || request.held || request.has_outstanding() {
             return;
         }
         let risky = request.may_have_run();
--- a/crates/decisions/src/rules/estimates.rs
+++ b/crates/decisions/src/rules/estimates.rs
@@ -20,7 +20,7 @@
             return None;
         }
         let speed = self.speed(at);
-        self.know.mean_time += (time as f64 - self.know.mean_time) * 0.05;
+        self.know.mean_run_time += (time as f64 - self.know.mean_run_time) * 0.05;
         let error = self.know.classes[of.0].learn(time as f64 * speed, of.1)?;
         self.learn_speed(at, error);
         Some(speed.ln() - error)
@@ -43,10 +43,10 @@
 
     pub(super) fn on_report(&mut self, now: Micros, at: usize, report: Option<Report>) {
         let Some(report) = report else { return };
-        let errors = report.errors_per_s.unwrap_or(0.0) * self.know.mean_time / SECOND as f64;
+        let errors = report.errors_per_s.unwrap_or(0.0) * self.know.mean_run_time / SECOND as f64;
         let share = errors / self.lanes(at) as f64;
-        self.workers[at].trust.record_error_share(now, share);
-        let guessed = self.workers[at].exact.is_none();
+        self.workers[at].health.record_error_share(now, share);
+        let guessed = self.workers[at].exact_lanes.is_none();
         let Some(free) = report.free_slots.filter(|free| free.is_finite() && guessed) else { return };
         let free = free.clamp(0.0, 1024.0);
         let then = now.saturating_sub(REPORT_AGE);
@@ -54,7 +54,7 @@
         let own: usize = worker.own.iter().filter(|own| own.start < then).map(|own| own.slots).sum();
         let seen = free + own as f64;
         // A worker is seldom seen idle: without what runs there of ours, one of two lanes would seem to be all.
-        let ran = |own: &&Own| !own.awaits_start && own.start + REPORT_OLDEST < now;
+        let ran = |own: &&OwnAttempt| !own.awaits_start && own.start + REPORT_OLDEST < now;
         let ours: usize = worker.own.iter().filter(ran).map(|own| own.slots).sum();
         let kind = &mut self.know.kinds[worker.kind];
         let lanes = kind.lanes.unwrap_or(0.0).max((free + ours as f64).round());
@@ -63,13 +63,13 @@
         let waiting = report.backlog.filter(|backlog| backlog.is_finite()).unwrap_or(0.0).clamp(0.0, lanes);
         let others = (lanes - seen).max(0.0) + waiting;
         worker.foreign = Some((now, others));
-        worker.known = now;
+        worker.load_known_at = now;
         self.on_zone_load(at, others);
     }
 
     pub(super) fn on_zone_load(&mut self, at: usize, lanes: f64) {
         // In shares: lanes of large workers, taken for those of a small one, would make it seem full for ever.
         let (zone, share) = (self.workers[at].zone.0, lanes / self.lanes(at) as f64);
-        self.know.mean_foreign[zone] += (share - self.know.mean_foreign[zone]) * 0.1;
+        self.know.mean_foreign_share[zone] += (share - self.know.mean_foreign_share[zone]) * 0.1;
     }
 }
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -7,8 +7,8 @@
         let worker = &self.workers[at];
         let kind = &self.know.kinds[worker.kind];
         let seen = worker.lanes.or(kind.lanes).map_or(0, |lanes| lanes.round() as usize);
-        let lanes = if self.counts_starts() { kind.counted.lanes() } else { seen };
-        worker.exact.unwrap_or(lanes.max(self.know.most_slots))
+        let lanes = if self.counts_starts() { kind.lane_count.lanes() } else { seen };
+        worker.exact_lanes.unwrap_or(lanes.max(self.know.max_slots))
     }
 
     /// Lanes are known by the starts that workers tell of: where these report no free slots.
@@ -19,26 +19,30 @@
     /// A job has started there, after a wait, in which others had the lanes that ours had not, or at once.
     pub(super) fn count_start(&mut self, now: Micros, at: usize, waited: bool) {
         let (running, kind) = (self.workers[at].running(), self.workers[at].kind);
-        self.know.kinds[kind].counted.record_start(running, waited);
+        self.know.kinds[kind].lane_count.record_start(running, waited);
         let others = self.lanes(at).saturating_sub(running) as f64;
         self.on_zone_load(at, if waited { others } else { 0.0 });
-        let part = if waited { 1.0 } else { self.know.mean_foreign[self.workers[at].zone.0] };
+        let part = if waited { 1.0 } else { self.know.mean_foreign_share[self.workers[at].zone.0] };
         self.workers[at].foreign = Some((now, others * part));
-        self.workers[at].known = now;
+        self.workers[at].load_known_at = now;
     }
 
     /// Lanes that others are taken to use there.
     pub(super) fn foreign(&self, at: usize, now: Micros) -> f64 {
         let worker = &self.workers[at];
-        let told = worker.told(now).map(|peer| peer.lanes).sum::<usize>() as f64;
+        let told = worker.current_peer_loads(now).map(|peer| peer.lanes).sum::<usize>() as f64;
         // What others use of the own share they tell, as far as they speak; elsewhere it is as reports or starts show.
-        let silent = if worker.home { 1.0 - self.company.confidence(now) } else { 1.0 };
-        let share = if worker.exact.is_some() { 0.0 } else { self.know.mean_foreign[worker.zone.0] * silent };
+        let silent = if worker.in_own_cohort { 1.0 - self.company.confidence(now) } else { 1.0 };
+        let share = if worker.exact_lanes.is_some() {
+            0.0
+        } else {
+            self.know.mean_foreign_share[worker.zone.0] * silent
+        };
         let prior = share * self.lanes(at) as f64;
         let seen = match worker.foreign {
             Some((then, lanes)) => {
                 let age = now.saturating_sub(then) as f64;
-                let keep = (-age / self.know.mean_time).exp();
+                let keep = (-age / self.know.mean_run_time).exp();
                 lanes * keep + prior * (1.0 - keep)
             }
             None => prior,
@@ -75,12 +79,14 @@
         }
         let foreign = self.foreign(at, now).round() as usize;
         let mut told = 0;
-        for peer in worker.told(now) {
+        for peer in worker.current_peer_loads(now) {
             busy.extend(peer.ends(now + MILLI));
             told += peer.lanes;
         }
         for nr in told..foreign {
-            busy.push(now + (self.know.mean_time / 2.0) as Micros * (1 + (nr - told) as Micros) / 2 + MILLI);
+            busy.push(
+                now + (self.know.mean_run_time / 2.0) as Micros * (1 + (nr - told) as Micros) / 2 + MILLI,
+            );
         }
         let count = self.lanes(at);
         lanes.clear();
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -25,7 +25,7 @@
         self.list.lost &= kind == ListKind::Saved;
         if kind != ListKind::Changes {
             let gone = |of: &&mut Worker| members.iter().all(|member| member.worker != of.id);
-            self.workers.iter_mut().filter(gone).for_each(|worker| worker.standing = WorkerStatus::Gone);
+            self.workers.iter_mut().filter(gone).for_each(|worker| worker.status = WorkerStatus::Gone);
         }
         members.into_iter().for_each(|member| self.on_member(member));
         self.rebuild_maps();
@@ -33,10 +33,11 @@
             if self.company.sends_peer_messages() {
                 self.out.push(Action::SendMessage {
                     to: None,
-                    body: peer_message::greeting(self.settings.zone.0, true),
+                    body: peer_message::encode_hello(self.settings.zone.0, true),
                 });
             }
-            let homes: Vec<usize> = (0..self.workers.len()).filter(|&at| self.workers[at].home).collect();
+            let homes: Vec<usize> =
+                (0..self.workers.len()).filter(|&at| self.workers[at].in_own_cohort).collect();
             self.probe_home(now, &homes, homes.len());
         }
         self.pump(now);
@@ -50,17 +51,18 @@
         let worker = &mut self.workers[at];
         if member.started != worker.started && member.started.is_some() {
             // A new process: nothing learned of the old one's health or load holds.
-            worker.trust = WorkerHealth::default();
+            worker.health = WorkerHealth::default();
             worker.foreign = None;
             worker.peers.clear();
             worker.cold_sent.clear();
         }
-        worker.standing = member.status;
+        worker.status = member.status;
         worker.started = member.started.or(worker.started);
-        worker.zone = ZoneIx(member.zone.0.min(self.know.mean_foreign.len() - 1));
+        worker.zone = ZoneIx(member.zone.0.min(self.know.mean_foreign_share.len() - 1));
         worker.kind = member.kind.0.min(self.know.kinds.len() - 1);
         worker.cell = member.cell;
-        (worker.exact, worker.refuses) = (member.lanes.map(|lanes| lanes.max(1) as usize), member.refuses);
+        (worker.exact_lanes, worker.refuses) =
+            (member.lanes.map(|lanes| lanes.max(1) as usize), member.refuses);
         worker.weight = if member.weight.is_finite() && member.weight > 0.0 { member.weight } else { 1.0 };
     }
 
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -12,7 +12,7 @@
 mod talk;
 
 use crate::api::*;
-use crate::peer_message::{self, Load, Said};
+use crate::peer_message::{self, Load, PeerMessage};
 use crate::rejections::Rejections;
 use crate::state::*;
 use calicolb_fleet::cold::{Allowance, ColdBudget, ColdRotation, Sender, capacity_fraction};
@@ -72,15 +72,15 @@
     pub(crate) out: Vec<Action>,
     pub(crate) rng: fastrand::Rng,
     pub(crate) workers: Vec<Worker>,
-    pub(crate) index: Table<WorkerId, usize>,
+    pub(crate) index: IdMap<WorkerId, usize>,
     pub(crate) know: Knowledge,
     pub(crate) maps: Vec<SizeMap>,
     pub(crate) maps_stale: bool,
-    pub(crate) requests: Table<RequestId, Request>,
-    pub(crate) queue: Queue,
+    pub(crate) requests: IdMap<RequestId, Request>,
+    pub(crate) queue: HoldQueue,
     /// Another process has taken over: this one ends its work, and that one alone speaks for both.
     pub(crate) succeeded: bool,
-    pub(crate) list: Listing,
+    pub(crate) list: ListState,
     pub(crate) spill_from: usize,
     /// The zone, if it is known, and the ranks of each cohort.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
@@ -100,14 +100,14 @@
             out: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             workers: Vec::new(),
-            index: Table::default(),
+            index: IdMap::default(),
             know: Knowledge::new(&settings, company.size(), now),
             maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
             maps_stale: true,
-            requests: Table::default(),
-            queue: Queue::default(),
+            requests: IdMap::default(),
+            queue: HoldQueue::default(),
             succeeded: false,
-            list: Listing::default(),
+            list: ListState::default(),
             spill_from: 0,
             cohorts: Vec::new(),
             company,
@@ -136,7 +136,7 @@
             }
             Event::Timer(_) => self.ask_list(),
             Event::ListLease(until) => {
-                self.list.until = until;
+                self.list.lease_end = until;
                 self.pump(now);
             }
             Event::ListMoved => {
@@ -144,7 +144,7 @@
                 self.ask_list();
             }
             Event::Settings(settings) => self.on_settings(now, *settings),
-            Event::KnowledgeReceived(knowledge) => self.on_handed(knowledge),
+            Event::KnowledgeReceived(knowledge) => self.on_knowledge_received(knowledge),
             Event::SuccessorActive(succeeded) => {
                 self.succeeded = succeeded;
                 (0..self.workers.len()).for_each(|at| self.tell_peers(now, at, None));
--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -12,7 +12,7 @@
         let spec = &self.settings.classes[class];
         let size = self.know.classes[class].estimate(arrival.hint, spec.aim as f64);
         let slots = arrival.slots.clamp(1, 1024) as usize;
-        self.know.most_slots = self.know.most_slots.max(slots);
+        self.know.max_slots = self.know.max_slots.max(slots);
         // A client's retry belongs to its first try, whose aim has been running since.
         let came = arrival.transferred.as_ref().map_or(now, |handed| handed.arrived.min(now));
         let origin =
@@ -24,13 +24,20 @@
         let work = size * slots as f64;
         let worth = spec.worth * if over { self.settings.over_share_worth } else { 1.0 };
         let value = if self.settings.worth_by_work { worth } else { worth / work };
-        self.know.work.add(now, work);
+        self.know.work_rate.add(now, work);
         let map = &mut self.maps[spec.kind.map_or(0, |kind| kind.0 + 1)];
         self.maps_stale |= map.sizes.add(work, RANGE_SIZES * 2);
         let Arrival { hint, expires, skill, .. } = arrival;
         let told =
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
-        let request = Request { deadline, order, yields: over, value, doubt, ..told };
+        let request = Request {
+            deadline,
+            queue_key: order,
+            over_share: over,
+            worth_per_work: value,
+            lower_bound_factor: doubt,
+            ..told
+        };
         self.requests.insert(arrival.request, request);
         if let Some(handed) = arrival.transferred {
             return self.adopt(now, arrival.request, handed);
@@ -63,7 +70,7 @@
         let free = |request: &&mut Request| !request.held && !request.done;
         let Some(request) = self.requests.get_mut(&id).filter(free) else { return };
         request.held = true;
-        self.queue.held.insert((request.order, id));
+        self.queue.held.insert((request.queue_key, id));
         self.queue.expiries.insert((request.expires, id));
     }
 
@@ -71,7 +78,7 @@
         self.plan(id, None);
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.held) else { return };
         request.held = false;
-        self.queue.held.remove(&(request.order, id));
+        self.queue.held.remove(&(request.queue_key, id));
         self.queue.expiries.remove(&(request.expires, id));
     }
 
@@ -86,7 +93,7 @@
             if let Some(request) = self.requests.get_mut(&id) {
                 request.expires = ends;
                 request.deadline = request.deadline.min(ends);
-                request.order = request.order.min(ends);
+                request.queue_key = request.queue_key.min(ends);
             }
             if held {
                 self.hold(id);
@@ -106,8 +113,8 @@
         request.planned = at;
         if let Some(at) = at {
             let planned = &mut self.workers[at].planned;
-            let place = planned.partition_point(|&other| other < (request.order, id));
-            planned.insert(place, (request.order, id));
+            let place = planned.partition_point(|&other| other < (request.queue_key, id));
+            planned.insert(place, (request.queue_key, id));
         }
     }
 
@@ -140,7 +147,7 @@
             let Some(last) = open.and_then(|request| request.attempts.len().checked_sub(1)) else { continue };
             let own =
                 self.own(id, last as u32).filter(|_| last + 2 < self.settings.limits.max_attempts as usize);
-            let waits = |of: &Own| of.awaits_start && now >= of.sent + START_NEWS;
+            let waits = |of: &OwnAttempt| of.awaits_start && now >= of.sent + START_NEWS;
             let Some((at, _)) = own.filter(|&(at, nr)| waits(&self.workers[at].own[nr])) else { continue };
             // A new connection has its price: who hears of loads moves a job only if it would be late where it is.
             let job = &self.requests[&id];
@@ -195,7 +202,7 @@
                 if !request.late && late_worth > 0.0 {
                     self.unhold(id);
                     let Some(request) = self.requests.get_mut(&id) else { return true };
-                    (request.late, request.deadline, request.order) =
+                    (request.late, request.deadline, request.queue_key) =
                         (true, request.expires, request.expires);
                     self.hold(id);
                 } else if !request.late || now + request.size as Micros > request.expires {
--- a/crates/decisions/src/settings_update.rs
+++ b/crates/decisions/src/settings_update.rs
@@ -76,7 +76,7 @@
 
 /// What binds a request of this effect that goes on under settings with another one for its class. `ran_unnoted`: an attempt
 /// may have run while repeats were harmless, so that no worker wrote down that it did.
-pub(crate) fn binding(bound: Effect, now: Effect, ran_unnoted: bool) -> Effect {
+pub(crate) fn effect_after_update(bound: Effect, now: Effect, ran_unnoted: bool) -> Effect {
     if ran_unnoted && now != Effect::Safe { Effect::Unsafe } else { tighter(bound, now) }
 }
 
@@ -139,9 +139,9 @@
         let part = f64::from(self.company.size());
         let both = self.settings.tenants.iter().zip(&new.tenants);
         for (bucket, (old, new)) in self.know.buckets.iter_mut().zip(both) {
-            bucket.renew(now, old.quota_per_s / part, new.quota_per_s / part);
+            bucket.set_rate(now, old.quota_per_s / part, new.quota_per_s / part);
         }
-        self.know.buckets.resize_with(new.tenants.len(), || Bucket::new(now));
+        self.know.buckets.resize_with(new.tenants.len(), || TokenBucket::new(now));
     }
 
     /// Open requests keep the tightest effect that was in force since they came.
@@ -154,7 +154,7 @@
             let both = old.get(request.class).zip(new.classes.get(request.class));
             let Some((old, new)) = both.filter(|(old, new)| old.effect != new.effect) else { continue };
             let ran_unnoted = request.may_have_run() && old.effect == Effect::Safe;
-            request.effect = binding(request.effect, new.effect, ran_unnoted);
+            request.effect = effect_after_update(request.effect, new.effect, ran_unnoted);
         }
     }
 
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -16,12 +16,12 @@
 impl Dispatcher {
     /// Requests of a tenant with a quota since this process started, and how many of them counted as within its share.
     pub fn quota_counts(&self, tenant: TenantIx) -> Option<(u64, u64)> {
-        self.know.buckets.get(tenant.0).map(|bucket| (bucket.asked, bucket.given))
+        self.know.buckets.get(tenant.0).map(|bucket| (bucket.requested, bucket.granted))
     }
 }
 
 /// Hashes alike in every process; maps are only looked up, never walked, so no outcome hangs on their order.
-pub(crate) type Table<K, V> = HashMap<K, V, BuildHasherDefault<IdHasher>>;
+pub(crate) type IdMap<K, V> = HashMap<K, V, BuildHasherDefault<IdHasher>>;
 
 #[derive(Default)]
 pub(crate) struct IdHasher(u64);
@@ -45,7 +45,7 @@
 
 /// An attempt of this dispatcher that occupies lanes of a worker.
 #[derive(Default)]
-pub(crate) struct Own {
+pub(crate) struct OwnAttempt {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
     pub(crate) slots: usize,
@@ -54,7 +54,7 @@
     /// When it is known, or taken, to have started.
     pub(crate) start: Micros,
     /// Sent to a lane that was held to be free, or known to have started: its time tells of its size.
-    pub(crate) clean: bool,
+    pub(crate) measures_size: bool,
     /// The worker will tell when it starts, and has not yet.
     pub(crate) awaits_start: bool,
     pub(crate) progress: Option<(Micros, f64)>,
@@ -63,20 +63,25 @@
 /// What is learned in the course of time, apart from the workers and the sizes of jobs.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Knowledge {
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<KindState>,
     pub(crate) classes: Vec<ClassModel>,
-    pub(crate) buckets: Vec<Bucket>,
+    pub(crate) buckets: Vec<TokenBucket>,
     /// By zone, the share of a worker's lanes that others use, as reports show on average.
-    pub(crate) mean_foreign: Vec<f64>,
-    pub(crate) mean_time: f64,
-    pub(crate) most_slots: usize,
+    #[serde(rename = "mean_foreign")]
+    pub(crate) mean_foreign_share: Vec<f64>,
+    #[serde(rename = "mean_time")]
+    pub(crate) mean_run_time: f64,
+    #[serde(rename = "most_slots")]
+    pub(crate) max_slots: usize,
     /// The work that comes in a second.
-    #[serde(default)]
-    pub(crate) work: Rate,
+    #[serde(default, rename = "work")]
+    pub(crate) work_rate: Rate,
     /// The zones of the dispatchers, by rank, as far as they told.
-    pub(crate) zones: Vec<Option<u8>>,
+    #[serde(rename = "zones")]
+    pub(crate) zones_by_rank: Vec<Option<u8>>,
     /// Connections to each zone that failed in a row, and until when the zone is left alone.
-    pub(crate) cuts: Vec<(u32, Micros)>,
+    #[serde(rename = "cuts")]
+    pub(crate) zone_failures: Vec<(u32, Micros)>,
 }
 
 impl Knowledge {
@@ -88,30 +93,36 @@
             *own = Some(settings.zone.0 as u8);
         }
         Knowledge {
-            kinds: (0..settings.kinds.max(1)).map(|_| Kind::default()).collect(),
+            kinds: (0..settings.kinds.max(1)).map(|_| KindState::default()).collect(),
             classes: settings.classes.iter().map(|_| ClassModel::default()).collect(),
-            buckets: settings.tenants.iter().map(|_| Bucket::new(now)).collect(),
-            mean_foreign: vec![0.0; settings.zones.max(1)],
-            mean_time: 1_000_000.0,
-            most_slots: 1,
-            work: Rate::new(now),
-            zones,
-            cuts: vec![(0, 0); settings.zones.max(1)],
+            buckets: settings.tenants.iter().map(|_| TokenBucket::new(now)).collect(),
+            mean_foreign_share: vec![0.0; settings.zones.max(1)],
+            mean_run_time: 1_000_000.0,
+            max_slots: 1,
+            work_rate: Rate::new(now),
+            zones_by_rank: zones,
+            zone_failures: vec![(0, 0); settings.zones.max(1)],
         }
     }
 
     /// Speaks of as many kinds, classes, tenants, zones and dispatchers as this one: what another process hands
     /// on may come from other settings.
-    pub(crate) fn like(&self, other: &Knowledge) -> bool {
+    pub(crate) fn has_same_shape(&self, other: &Knowledge) -> bool {
         let shape = |of: &Knowledge| {
-            (of.kinds.len(), of.classes.len(), of.buckets.len(), of.mean_foreign.len(), of.cuts.len())
+            (
+                of.kinds.len(),
+                of.classes.len(),
+                of.buckets.len(),
+                of.mean_foreign_share.len(),
+                of.zone_failures.len(),
+            )
         };
         shape(self) == shape(other)
     }
 
     /// This worker's zone and kind are among those that it speaks of.
     pub(crate) fn covers(&self, worker: &Worker) -> bool {
-        worker.zone.0 < self.mean_foreign.len() && worker.kind < self.kinds.len()
+        worker.zone.0 < self.mean_foreign_share.len() && worker.kind < self.kinds.len()
     }
 }
 
@@ -123,10 +134,10 @@
     pub(crate) soonest: Micros,
     pub(crate) latest: Micros,
     /// Work that it sent the worker in the window while it is cold, as told at `told`.
-    #[serde(default)]
-    pub(crate) cold: f64,
-    #[serde(default)]
-    pub(crate) told: Micros,
+    #[serde(default, rename = "cold")]
+    pub(crate) cold_work: f64,
+    #[serde(default, rename = "told")]
+    pub(crate) received_at: Micros,
 }
 
 impl PeerLoad {
@@ -144,10 +155,11 @@
     pub(crate) zone: ZoneIx,
     pub(crate) kind: usize,
     pub(crate) cell: u32,
-    pub(crate) standing: WorkerStatus,
+    #[serde(rename = "standing")]
+    pub(crate) status: WorkerStatus,
     /// Its lanes, where the list tells them exactly; by its older name to another process.
     #[serde(default, rename = "told")]
-    pub(crate) exact: Option<usize>,
+    pub(crate) exact_lanes: Option<usize>,
     /// Skills that it has not, a bit each.
     #[serde(default)]
     pub(crate) refuses: u64,
@@ -155,7 +167,7 @@
     pub(crate) started: Option<Micros>,
     pub(crate) cold_sent: VecDeque<(Micros, f64)>,
     #[serde(skip)]
-    pub(crate) own: Vec<Own>,
+    pub(crate) own: Vec<OwnAttempt>,
     /// Held jobs admitted to its lanes.
     #[serde(skip)]
     pub(crate) planned: Vec<(Micros, RequestId)>,
@@ -166,16 +178,18 @@
     /// Its speed beside its kind's, learned here and at its cohort's other dispatchers.
     #[serde(default)]
     pub(crate) speed: Speed,
-    #[serde(default)]
-    pub(crate) trust: WorkerHealth,
-    pub(crate) probed: Micros,
+    #[serde(default, rename = "trust")]
+    pub(crate) health: WorkerHealth,
+    #[serde(rename = "probed")]
+    pub(crate) probed_at: Micros,
     /// Its load is known from a report, or from being full, at this time.
-    pub(crate) known: Micros,
+    #[serde(rename = "known")]
+    pub(crate) load_known_at: Micros,
     #[serde(skip)]
     pub(crate) cohort: usize,
     /// This dispatcher is in the worker's cohort.
     #[serde(skip)]
-    pub(crate) home: bool,
+    pub(crate) in_own_cohort: bool,
 }
 
 impl Worker {
@@ -199,7 +213,7 @@
     }
 
     /// What others told that they have there, and what still counts of that.
-    pub(crate) fn told(&self, now: Micros) -> impl Iterator<Item = &PeerLoad> {
+    pub(crate) fn current_peer_loads(&self, now: Micros) -> impl Iterator<Item = &PeerLoad> {
         self.peers.iter().filter(move |peer| peer.latest + PEER_LOAD > now)
     }
 
@@ -210,13 +224,13 @@
 }
 
 #[derive(Default, Serialize, Deserialize)]
-pub(crate) struct Kind {
+pub(crate) struct KindState {
     #[serde(default)]
     pub(crate) speed: Speed,
     pub(crate) lanes: Option<f64>,
     /// The same by the starts that its workers tell of.
-    #[serde(default)]
-    pub(crate) counted: LaneCount,
+    #[serde(default, rename = "counted")]
+    pub(crate) lane_count: LaneCount,
 }
 
 pub(crate) struct Attempt {
@@ -241,15 +255,15 @@
     pub(crate) deadline: Micros,
     /// What the hold queue is sorted by: the deadline; work beyond its tenant's share comes after what is in
     /// time by the client's patience.
-    pub(crate) order: Micros,
+    pub(crate) queue_key: Micros,
     pub(crate) late: bool,
     /// Beyond its tenant's share.
-    pub(crate) yields: bool,
+    pub(crate) over_share: bool,
     /// What a unit of its work is worth in time.
-    pub(crate) value: f64,
+    pub(crate) worth_per_work: f64,
     /// What the size may well be instead, as a part of it: the slack of the deadline test is reckoned by that,
     /// since a job that is smaller than hinted has less of it.
-    pub(crate) doubt: f64,
+    pub(crate) lower_bound_factor: f64,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) done: bool,
     pub(crate) held: bool,
@@ -270,20 +284,20 @@
     }
 
     /// An attempt that may still have been running is over.
-    pub(crate) fn over(&mut self, attempt: u32) {
+    pub(crate) fn mark_ended(&mut self, attempt: u32) {
         let ended = self.attempts.get_mut(attempt as usize).filter(|own| own.state == AttemptState::MayRun);
         ended.into_iter().for_each(|own| own.state = AttemptState::MayHaveRan);
     }
 
     /// An attempt of it is out.
-    pub(crate) fn out(&self) -> bool {
+    pub(crate) fn has_outstanding(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::Out)
     }
 }
 
 /// The hold queue, in its orders.
 #[derive(Default)]
-pub(crate) struct Queue {
+pub(crate) struct HoldQueue {
     /// Held jobs, earliest deadline first.
     pub(crate) held: BTreeSet<(Micros, RequestId)>,
     /// The same by when their clients leave.
@@ -296,50 +310,51 @@
 
 /// How the list of workers is come by.
 #[derive(Default)]
-pub(crate) struct Listing {
+pub(crate) struct ListState {
     pub(crate) subscribed: bool,
     /// A call failed, or the watch broke, and nothing has come since.
     pub(crate) lost: bool,
     /// The list may be acted on until then, if something of it may have been missed.
-    pub(crate) until: Option<Micros>,
+    pub(crate) lease_end: Option<Micros>,
 }
 
-impl Listing {
+impl ListState {
     /// Nothing new may be sent by the list: any worker may be draining or gone.
     pub(crate) fn stale(&self, now: Micros) -> bool {
-        self.until.is_some_and(|until| now >= until)
+        self.lease_end.is_some_and(|until| now >= until)
     }
 }
 
-pub(crate) struct Range {
+pub(crate) struct SizeRange {
     pub(crate) upper: f64,
-    pub(crate) home: Vec<usize>,
-    pub(crate) near: Vec<usize>,
-    pub(crate) far: Vec<usize>,
+    pub(crate) own_cohort: Vec<usize>,
+    pub(crate) same_zone: Vec<usize>,
+    pub(crate) other_zones: Vec<usize>,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct SizeMap {
     #[serde(skip)]
-    pub(crate) ranges: Vec<Range>,
+    pub(crate) ranges: Vec<SizeRange>,
     pub(crate) sizes: SizeSample,
 }
 
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     pub(crate) tokens: f64,
-    pub(crate) at: Micros,
+    #[serde(rename = "at")]
+    pub(crate) refilled_at: Micros,
     /// Tokens that were asked for since the process started, and those that there were.
     #[serde(skip)]
-    pub(crate) asked: u64,
+    pub(crate) requested: u64,
     #[serde(skip)]
-    pub(crate) given: u64,
+    pub(crate) granted: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// As it is at the start.
     pub(crate) fn new(now: Micros) -> Self {
-        Bucket { tokens: 3.0, at: now, asked: 0, given: 0 }
+        TokenBucket { tokens: 3.0, refilled_at: now, requested: 0, granted: 0 }
     }
 
     /// How many tokens may be saved where so many come a second.
@@ -348,22 +363,22 @@
     }
 
     /// Tokens came at the old rate up to now; what is saved is cut to what the new one lets be saved.
-    pub(crate) fn renew(&mut self, now: Micros, old: f64, new: f64) {
-        let gone = now.saturating_sub(self.at) as f64 / 1e6;
-        self.at = now;
+    pub(crate) fn set_rate(&mut self, now: Micros, old: f64, new: f64) {
+        let gone = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         self.tokens = (self.tokens + gone * old.max(0.0)).min(Self::most(old)).min(Self::most(new));
     }
 
     /// Takes a token, where there is one; they come at `rate` a second, and five seconds' worth, but three at least,
     /// may be saved.
     pub(crate) fn take(&mut self, now: Micros, rate: f64) -> bool {
-        let gone = now.saturating_sub(self.at) as f64 / 1e6;
-        self.at = now;
+        let gone = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         self.tokens = (self.tokens + gone * rate).min(Self::most(rate));
         let there = self.tokens >= 1.0;
         self.tokens -= if there { 1.0 } else { 0.0 };
-        self.asked += 1;
-        self.given += u64::from(there);
+        self.requested += 1;
+        self.granted += u64::from(there);
         there
     }
 }
