--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -371,7 +371,8 @@
     /// Called off; it may have run.
     Cancelled,
     /// Not sent; it never ran.
-    Moot,
+    #[serde(rename = "moot")]
+    NotSent,
     /// Turned down as a request that no worker can use: the fault is the caller's, not the worker's.
     Unusable,
 }
@@ -379,7 +380,7 @@
 impl Ending {
     /// The attempt is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::Unreachable | Ending::Moot)
+        matches!(self, Ending::Full | Ending::Unreachable | Ending::NotSent)
     }
 
     /// What is known of an attempt that ended so. `running`: it may still be running at its worker.
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -260,7 +260,7 @@
             // One that answers with errors is soon free again, and would draw more jobs than the others.
             Ending::Error => self.strike(now, at, 2),
             Ending::Broken => self.strike(now, at, 1),
-            Ending::TimedOut | Ending::Cancelled | Ending::Moot | Ending::Unusable => {}
+            Ending::TimedOut | Ending::Cancelled | Ending::NotSent | Ending::Unusable => {}
         }
         self.tell_peers(now, at, speed);
         self.after_attempt(now, id, ending);
@@ -280,7 +280,7 @@
         let over = now + 2 * self.settings.tick >= request.expires;
         let rejection = match ending {
             Ending::Unusable => Some(Rejection::Unusable),
-            Ending::Moot => Some(Rejection::SentTooLate),
+            Ending::NotSent => Some(Rejection::SentTooLate),
             _ if once => Some(Rejection::NotRepeatable),
             _ if spent => Some(Rejection::AttemptsSpent),
             _ if over => Some(Rejection::Expired),
--- a/crates/hollow/src/schedulers.rs
+++ b/crates/hollow/src/schedulers.rs
@@ -215,7 +215,7 @@
         let entry = self.entries.get(&id.request);
         let open = entry.is_some_and(|entry| !entry.concluded && now < entry.answer_by(last_answer));
         if !open {
-            self.end(now, id, Ending::Moot, false, None);
+            self.end(now, id, Ending::NotSent, false, None);
         } else if !self.dispatcher.may_begin(now, RequestId(id.request), id.number) {
             self.end(now, id, Ending::Unreachable, false, None);
         } else {
--- a/crates/hollow/src/schedulers/actions.rs
+++ b/crates/hollow/src/schedulers/actions.rs
@@ -13,7 +13,7 @@
                 let concluded = self.entries.get(&id.request).is_none_or(|entry| entry.concluded);
                 let copies = self.copies;
                 let Some(attempt) = self.attempt(id) else { return };
-                let Some(written) = attempt.written else { return self.give_up(now, id, Ending::Moot) };
+                let Some(written) = attempt.written else { return self.give_up(now, id, Ending::NotSent) };
                 if copies || concluded {
                     return self.give_up(now, id, Ending::Cancelled);
                 }
@@ -42,7 +42,7 @@
             entry.answer_by(last_answer).min(timeout.map_or(Micros::MAX, |span| now.saturating_add(span)));
         entry.attempts.push(Attempt::new(worker, now));
         if entry.concluded || ends <= now || id.number >= tries {
-            return self.end(now, id, Ending::Moot, false, None);
+            return self.end(now, id, Ending::NotSent, false, None);
         }
         self.work.push(Work::Due(ends, Due::Attempt(id)));
         self.work.push(Work::Send { id, worker });
--- a/src/net/core/desk/actions.rs
+++ b/src/net/core/desk/actions.rs
@@ -16,7 +16,7 @@
                 let concluded = self.entries.get(&id.request).is_none_or(|entry| entry.concluded);
                 let (copies, takes) = (self.copies, self.takes);
                 let Some(attempt) = self.attempt(id) else { return };
-                let Some(written) = attempt.written_at else { return self.give_up(now, id, Ending::Moot) };
+                let Some(written) = attempt.written_at else { return self.give_up(now, id, Ending::NotSent) };
                 if copies || concluded {
                     return self.give_up(now, id, Ending::Cancelled);
                 }
@@ -71,7 +71,7 @@
         entry.attempts.push(Attempt::new(hop, now));
         // The client may have left, or its time may have run out, in the batch that the module answers here.
         if entry.concluded || ends <= now || id.number >= self.most_tries {
-            return self.end(now, id, Ending::Moot, false, None);
+            return self.end(now, id, Ending::NotSent, false, None);
         }
         deadlines.set(Due::Attempt(id.request, id.number), ends);
         note!(debug: request = id.request, attempt = id.number, hop = hop.0, "an attempt is sent");
--- a/src/net/core/desk/attempts.rs
+++ b/src/net/core/desk/attempts.rs
@@ -9,7 +9,7 @@
         let open = |entry: &&Entry<P>| !entry.concluded && now < self.answer_by(entry);
         let entry = self.entries.get(&id.request).filter(open);
         if entry.is_none() {
-            return Err(Ending::Moot);
+            return Err(Ending::NotSent);
         }
         let may = self.dispatcher.may_begin(now, RequestId(id.request), id.number);
         if may { Ok(()) } else { Err(Ending::Unreachable) }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -297,7 +297,7 @@
         "UNAVAILABLE" => Ending::Unreachable,
         "ABORTED" => Ending::Broken,
         "CANCELLED" => Ending::Cancelled,
-        "TOO_LATE" => Ending::Moot,
+        "TOO_LATE" => Ending::NotSent,
         other => return bad(format!("unknown state_code '{other}'")),
     })
 }
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -273,7 +273,7 @@
             assert!(self.settings.limits.concurrent_attempts || alone, "second copy of {id}");
             return None;
         }
-        let ending = if job.answered { Ending::Moot } else { Ending::Unreachable };
+        let ending = if job.answered { Ending::NotSent } else { Ending::Unreachable };
         job.attempts[nr].2 = Some(ending);
         Some(Event::Outcome(Outcome {
             request: RequestId(id),
