--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -1,22 +1,23 @@
-//! The interface of the decision module: settings, events and actions. Types only.
+//! Interface of the decision module: settings, events and actions. This file holds types only.
 //!
 //! A host feeds one [`Event`](crate::api::Event) at a time to a
 //! [`Dispatcher`](crate::rules::Dispatcher) and carries out the
-//! [`Action`](crate::api::Action)s that come back. Names of classes, tenants, zones and kinds stay
-//! with the host: the module sees indices into the lists of [`Settings`](crate::api::Settings).
+//! [`Action`](crate::api::Action)s that it returns. The names of classes, tenants, zones and kinds
+//! stay with the host: the module sees indices into the lists of [`Settings`](crate::api::Settings).
 
 pub use crate::rejections::Rejection;
 pub use calicolb_shutdown::AttemptState;
 use serde::{Deserialize, Serialize};
 
-/// A time or a span on the host's clock, in microseconds.
+/// A point in time on the host's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request, as numbered by the host.
+/// Identifies a request. The host assigns the numbers.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
 
-/// A worker; the number tells nothing of zone, kind or age, but is the same for every dispatcher.
+/// Identifies a worker. Every dispatcher uses the same number for a worker; the number says nothing about the worker's
+/// zone, kind or age.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct WorkerId(pub u32);
 
@@ -28,22 +29,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantIx(pub usize);
 
-/// How many skills there can be: each is a bit of [`Member::refuses`].
+/// Maximum number of skills: each skill is one bit of [`Member::refuses`].
 pub const MAX_SKILLS: usize = u64::BITS as usize;
 
 /// A zone, numbered from 0 by the host.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct ZoneIx(pub usize);
 
-/// A kind of machine, below [`Settings::kinds`].
+/// A kind of machine, numbered from 0 and below [`Settings::kinds`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct KindIx(pub usize);
 
-/// What a host makes of a timer is its own business; the module gets the same number back.
+/// Identifies a timer. The module chooses the number, and the host returns it unchanged when the timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(pub u64);
 
-/// Which workers drop a repeat of a keyed request.
+/// Group of workers within which a repeat of a request with an idempotency key is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Group {
@@ -55,230 +56,230 @@
     Cell,
 }
 
-/// What running a request twice would do.
+/// Effect of running a request twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Nothing: repeats are harmless.
+    /// Repeats are harmless.
     Safe,
-    /// Repeats are dropped within a group of workers, for a span from the first send that may have run.
+    /// A group of workers drops repeats for a time that starts with the first attempt that may have run.
     Keyed {
-        /// The workers that share the memory of what ran.
+        /// Workers that share the record of the keys that ran.
         group: Group,
-        /// How long they remember.
+        /// How long the group keeps a key, in microseconds.
         span: Micros,
     },
-    /// Harm: it must never run twice. What nothing is known of is taken to be so.
+    /// Repeats do harm: the request must never run twice. This is assumed where the effect is unknown.
     #[default]
     Unsafe,
 }
 
 impl Effect {
-    /// A repeat does no harm, wherever it runs.
+    /// Returns whether a repeat is harmless on every worker.
     pub fn repeatable(self) -> bool {
         matches!(self, Effect::Safe | Effect::Keyed { group: Group::All, .. })
     }
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time, plus `stretch` times the job's own work, earns the full worth.
     pub aim: Micros,
     /// Multiple of the job's work that is added to `aim`.
     pub stretch: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits for an answer, over all of its tries.
     pub deadline: Micros,
     /// Share of the worth that an answer between aim and deadline earns.
     pub late_worth: f64,
-    /// Worth of a request (or of each unit of its work, see [`Settings::worth_by_work`]).
+    /// Worth of a request, or of each unit of its work (see [`Settings::worth_by_work`]).
     pub worth: f64,
-    /// What a repeat would do.
+    /// Effect of running a request of this class twice.
     pub effect: Effect,
-    /// The kind of machine that the class needs; `None`: any.
+    /// Kind of machine that the class needs; `None` if any kind will do.
     pub kind: Option<KindIx>,
-    /// Priority in the workers' own queues, where they have one.
+    /// Priority in the workers' own queues, where they order by priority.
     pub priority: i64,
-    /// Slots that a job takes where it does not say.
+    /// Slots that a job takes if the request does not state a number.
     pub slots: u32,
 }
 
-/// One tenant's agreed share.
+/// A tenant and its agreed share of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all dispatchers, that count as within its share; 0: not stated.
+    /// Requests per second, over all dispatchers, that count as within the tenant's share; 0 if no quota is stated.
     pub quota_per_s: f64,
     /// Share of the service.
     pub share: f64,
 }
 
-/// Where load reports come from.
+/// Source of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With every outcome and probe result.
+    /// Every outcome and every probe result carries a report.
     Answers,
-    /// With probe results only.
+    /// Only probe results carry a report.
     Probes,
-    /// Nowhere.
+    /// There are no load reports.
     Nowhere,
 }
 
-/// How workers serve their queues.
+/// Order in which workers serve their own queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// In order of arrival; the head waits until it fits.
+    /// In order of arrival; the first job waits until it fits.
     Fifo,
-    /// Whatever fits first.
+    /// The first job that fits.
     Backfill,
-    /// By the classes' priority.
+    /// By the priority of the class.
     Priority,
 }
 
-/// What the site allows a dispatcher.
+/// Limits that the site sets for a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts for one request at most.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be outstanding at the same time.
     pub concurrent_attempts: bool,
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Workers may be probed.
+    /// Whether workers may be probed.
     pub probes: bool,
-    /// Dispatchers may send each other messages.
+    /// Whether dispatchers may send each other messages.
     pub peers: bool,
-    /// Clients are told when to come back after a refusal.
+    /// Whether a refused client is told when to retry.
     pub retry_advice: bool,
-    /// The longest such advice that clients heed.
+    /// The longest retry time that clients respect, in microseconds.
     pub retry_advice_max: Micros,
-    /// A connection that is not made within this time counts as failed.
+    /// A connection that is not established within this time counts as failed.
     pub connect_timeout: Micros,
 }
 
-/// Figures of the four rules.
+/// Parameters of the four rules for sending to workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleParameters {
-    /// Grace after the client's deadline in which a final answer still counts.
+    /// Time after the client's deadline within which a final answer still counts.
     pub answer_slack: Micros,
-    /// Sends to a draining worker must have ended this long after the dispatcher was told.
+    /// Attempts sent to a draining worker must have ended this long after the dispatcher was notified of the drain.
     pub drain_grace: Micros,
-    /// A started worker is warm after this time at the latest.
+    /// Time after its start at which a worker is warm at the latest.
     pub cold: Micros,
-    /// Share of its capacity that a worker has at least when it starts.
+    /// Minimum share of its capacity that a worker has when it starts.
     pub start_capacity: f64,
-    /// A cold worker sent more than this multiple of its present capacity ...
+    /// A cold worker fails if it is sent more than this multiple of its present capacity within `fall_window`.
     pub fall_multiple: f64,
-    /// ... over this window falls over.
+    /// Window over which `fall_multiple` is measured.
     pub fall_window: Micros,
-    /// Without a subscription, a dispatcher is deemed told of what was listed this long ago.
+    /// Without a subscription, a dispatcher counts as notified of every change that was listed this long ago.
     pub ask_every: Micros,
 }
 
-/// Prices, in shares of the result.
+/// Costs, as shares of the result.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Each attempt that leaves its zone, per first try.
+    /// Cost of each attempt that leaves its zone, per first try.
     pub cross_zone: f64,
-    /// Each probe, per first try.
+    /// Cost of each probe, per first try.
     pub probe: f64,
-    /// Each full peer message, per first try and receiver.
+    /// Cost of each peer message of full size, per first try and receiver.
     pub peer: f64,
-    /// Wasted work, per work offered.
+    /// Cost of wasted work, per unit of work offered.
     pub waste: f64,
 }
 
-/// All that a dispatcher is told when it starts.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This dispatcher's number, from 0.
+    /// Number of this dispatcher, from 0.
     pub rank: u32,
-    /// How many dispatchers there are.
+    /// Number of dispatchers.
     pub instances: u32,
-    /// This dispatcher's zone.
+    /// Zone of this dispatcher.
     pub zone: ZoneIx,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// How many kinds of machine there are.
+    /// Number of kinds of machine.
     pub kinds: usize,
-    /// The classes of request.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
+    /// Worth of a request beyond its tenant's share, as a fraction of the usual worth.
     pub over_share_worth: f64,
-    /// Worth is counted for each unit of work rather than for each request.
+    /// Whether worth counts per unit of work rather than per request.
     pub worth_by_work: bool,
-    /// The worker list answers only when asked, instead of pushing changes.
+    /// Whether the worker list answers only when asked, instead of pushing changes.
     pub list_on_request: bool,
-    /// Where load reports come from.
+    /// Source of load reports.
     pub reports: ReportSource,
-    /// Reports carry the number of free slots.
+    /// Whether reports carry the number of free slots.
     pub reports_free_slots: bool,
-    /// Jobs need memory too; reports carry the free memory.
+    /// Whether jobs need memory too, and reports carry the free memory.
     pub reports_free_memory: bool,
-    /// Workers tell when a job starts.
+    /// Whether workers report the start of a job.
     pub tells_start: bool,
-    /// Interval of progress notes; 0: none are given.
+    /// Interval of progress notes; 0 if there are none.
     pub progress_every: Micros,
-    /// How workers serve their queues.
+    /// Order in which workers serve their queues.
     pub queue_order: QueueOrder,
-    /// Weights in the worker list say something about size.
+    /// Whether the weights in the worker list are an indication of worker size.
     pub weights: bool,
-    /// What is allowed.
+    /// Limits set by the site.
     pub limits: Limits,
-    /// Figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: RuleParameters,
-    /// Prices.
+    /// Costs.
     pub prices: Prices,
-    /// Events arrive at this interval at the shortest.
+    /// Shortest interval between two events.
     pub tick: Micros,
 }
 
-/// State of a worker in the list.
+/// Status of a worker in the worker list.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerStatus {
     /// In service.
     #[default]
     On,
-    /// Completing its work; gets nothing new.
+    /// Completing its work; receives nothing new.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// One line of the worker list.
+/// An entry of the worker list.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
     /// The worker.
     pub worker: WorkerId,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: ZoneIx,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub kind: KindIx,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: u32,
-    /// Its state.
+    /// Status of the worker.
     pub status: WorkerStatus,
-    /// A figure of its size, for comparison between workers.
+    /// Relative size, for comparison between workers.
     pub weight: f64,
-    /// When its process started, if lately.
+    /// Start time of the worker's process, if it started recently.
     pub started: Option<Micros>,
-    /// How many jobs it runs at once, where that is known exactly and nobody else sends to it.
+    /// Number of jobs that the worker runs at once, if it is known exactly and no other dispatcher sends to the worker.
     pub lanes: Option<u32>,
-    /// What it cannot do or does not take: a bit for each skill (see [`Arrival::skill`]).
+    /// Skills that the worker lacks or does not accept, one bit each (see [`Arrival::skill`]).
     pub refuses: u64,
 }
 
-/// What a list event brings.
+/// Kind of a worker list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Only the entries that changed.
     Changes,
     /// The whole list.
     Full,
-    /// The whole list as this dispatcher last held it, perhaps out of date.
+    /// The whole list as this dispatcher last stored it, possibly out of date.
     Saved,
-    /// A call failed or the subscription broke; the list held stays in force.
+    /// A call failed or the subscription broke; the current list stays in force.
     Lost,
 }
 
@@ -287,103 +288,104 @@
 pub struct Arrival {
     /// The request.
     pub request: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassIx,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: Option<TenantIx>,
-    /// Expected work, as time on a standard core.
+    /// Expected work, as run time on a standard core.
     pub hint: Option<f64>,
-    /// When the client gives up this try.
+    /// Time at which the client gives up this try.
     pub expires: Micros,
     /// Slots that the job takes.
     pub slots: u32,
     /// Memory units that the job takes.
     pub memory: f64,
-    /// What it is about; requests with the same key cost alike.
+    /// Subject of the request; requests with the same key cost about the same.
     pub key: Option<u64>,
-    /// The client has tried before.
+    /// Whether the client has tried before.
     pub retry: bool,
-    /// What a worker must be able to do for it, below [`SKILLS`].
+    /// Skill that the worker needs for the request, below [`MAX_SKILLS`].
     pub skill: u32,
-    /// Another process of this dispatcher hands it on.
+    /// History of the request, if another process of this dispatcher transfers it.
     pub transferred: Option<TransferredRequest>,
 }
 
-/// What another process of this dispatcher has done for a request that it hands on.
+/// History of a request that another process of this dispatcher transfers to this one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredRequest {
-    /// When the request came in.
+    /// Arrival time of the request.
     pub arrived: Micros,
-    /// What a repeat would do, by the tightest word on that so far. The tighter of this and the class's binds.
+    /// The most restrictive effect that has applied to the request so far. The more restrictive of this and the
+    /// effect of the class applies.
     pub effect: Effect,
-    /// Its attempts, in the order in which they were sent.
+    /// Attempts for the request, in the order in which they were sent.
     pub attempts: Vec<PriorAttempt>,
 }
 
 /// An attempt that another process sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// The worker.
+    /// Worker that it was sent to.
     pub worker: WorkerId,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Micros,
-    /// What is known of it.
+    /// Known state of the attempt.
     pub state: AttemptState,
 }
 
-/// A worker's load report; aged and noisy.
+/// Load report of a worker; its figures are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests in hand.
+    /// Requests that the worker has, waiting or running.
     pub outstanding: Option<f64>,
-    /// Requests waiting.
+    /// Requests that wait.
     pub backlog: Option<f64>,
-    /// Share of CPU in use.
+    /// Share of the CPU in use.
     pub utilization: Option<f64>,
     /// Recent service time, in milliseconds.
     pub recent_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub throughput: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Free memory.
+    /// Free memory units.
     pub free_memory: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// Served.
+    /// The worker served it.
     Ok,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The worker turned it away because it is full; the attempt never ran.
     Full,
-    /// No answer in time; it may have run or be running.
+    /// There was no answer in time; the attempt may have run or may still be running.
     TimedOut,
-    /// No connection was made; it never ran.
+    /// No connection was established; the attempt never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Broken,
-    /// Called off; it may have run.
+    /// The dispatcher cancelled it; the attempt may have run.
     Cancelled,
-    /// Not sent; it never ran.
+    /// It was not sent; the attempt never ran.
     #[serde(rename = "moot")]
     NotSent,
-    /// Turned down as a request that no worker can use: the fault is the caller's, not the worker's.
+    /// The worker rejected the request as malformed for any worker: the client is at fault, not the worker.
     Unusable,
 }
 
 impl Ending {
-    /// The attempt is known not to have run.
+    /// Returns whether the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Ending::Full | Ending::Unreachable | Ending::NotSent)
     }
 
-    /// What is known of an attempt that ended so. `running`: it may still be running at its worker.
+    /// Returns the known state of an attempt with this result. `running`: it may still be running at its worker.
     pub fn state(self, running: bool) -> AttemptState {
         match running {
             _ if self.never_ran() => AttemptState::NeverRan,
@@ -393,17 +395,17 @@
     }
 }
 
-/// News of an attempt that is still out.
+/// A message about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptNote {
     /// The job has started.
     Started,
-    /// This share of it is done.
+    /// This share of the job is done.
     Progress(f64),
-    /// The worker has not said that it took the job, though it would have done so long since.
+    /// The worker has not confirmed that it took the job, although the time for that is over.
     Silent,
-    /// The attempt has ended as one that may still be running (see [`Outcome::running`]); now its worker has said that it
-    /// is over there.
+    /// The attempt was reported as ended while it might still be running (see [`Outcome::running`]); its worker has now
+    /// confirmed that it is over.
     Over,
 }
 
@@ -412,45 +414,46 @@
 pub struct Outcome {
     /// The request.
     pub request: RequestId,
-    /// The attempt, in order of sending from 0.
+    /// Number of the attempt, in order of sending from 0.
     pub attempt: u32,
     /// The worker.
     pub worker: WorkerId,
-    /// How it ended.
+    /// Result of the attempt.
     pub ending: Ending,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// It may still be running there: its worker has neither said that it ended nor heard that it is given up.
+    /// Whether the attempt may still be running: its worker has neither reported its end nor learned that it was given
+    /// up.
     pub running: bool,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub concluded: bool,
-    /// The worker's load report, if one came along.
+    /// Load report of the worker, if one came with the result.
     pub report: Option<Report>,
 }
 
-/// What a dispatcher can be told.
+/// An input of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the worker list.
+    /// The worker list, or a change of it.
     Members(ListKind, Vec<Member>),
-    /// A request.
+    /// A request arrives.
     Arrival(Arrival),
     /// A timer is due.
     Timer(TimerId),
-    /// The answer of a streamed request has begun; it belongs to the client from here on.
+    /// The answer of a streamed request has begun; from now on it goes straight to the client.
     Streaming {
         /// The request.
         request: RequestId,
-        /// The attempt, in order of sending from 0.
+        /// Number of the attempt, in order of sending from 0.
         attempt: u32,
     },
-    /// News of an attempt that is out.
+    /// A message about an attempt.
     Note {
         /// The request.
         request: RequestId,
-        /// The attempt, in order of sending from 0.
+        /// Number of the attempt, in order of sending from 0.
         attempt: u32,
-        /// What is told.
+        /// Content of the message.
         note: AttemptNote,
     },
     /// An attempt has ended.
@@ -459,44 +462,44 @@
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// Result of the probe.
         ending: Ending,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         elapsed: Micros,
-        /// The worker's load report, if one came along.
+        /// Load report of the worker, if one came with the result.
         report: Option<Report>,
     },
-    /// Another process of this same dispatcher hands on what it has learned (see
-    /// [`Dispatcher::knowledge`](crate::rules::Dispatcher::knowledge)), and ends when its work is done.
+    /// Knowledge of the predecessor, which ends when its own requests are done (see
+    /// [`Dispatcher::knowledge`](crate::rules::Dispatcher::knowledge)).
     KnowledgeReceived(serde_json::Value),
-    /// Another process of this same dispatcher has taken over, or, with `false`, has gone again.
+    /// `true`: a successor of this process has taken over; `false`: that successor has ended.
     SuccessorActive(bool),
-    /// The worker list is to be had elsewhere from now on; the subscription, if any, will end.
+    /// The worker list has moved to another address; the subscription, if any, will end.
     ListMoved,
-    /// The list may be acted on until this time: what may have been missed of it counts as told for too long from then
-    /// on. `None`: nothing has been missed.
+    /// End of the lease on the worker list: after this time, changes that this dispatcher may have missed count as
+    /// notified for longer than the grace, and the list must not be acted on. `None`: no change can have been missed.
     ListLease(Option<Micros>),
-    /// Other settings are in force from now on, whole; or, where one of them cannot change, none. Classes and tenants keep
-    /// their places: what is no longer wanted stays in its list, and nothing new arrives for it.
+    /// New settings take effect, all of them or, if one of them cannot change, none. Classes and tenants keep their
+    /// indices: an entry that is no longer used stays in its list, and no new request arrives for it.
     Settings(Box<Settings>),
-    /// The client has left, or the answer is overdue; the request is over.
+    /// The client has left or the answer is overdue; the request is over.
     RequestAbandoned(RequestId),
-    /// The process ends: nobody is answered after this time, so that whoever waits longer counts as leaving then.
+    /// The process ends at this time. No client is answered later, so clients with a later deadline count as leaving then.
     ShutdownAt(Micros),
-    /// The request goes on at another process of this same dispatcher.
+    /// The request continues at another process of this dispatcher.
     RequestTransferred(RequestId),
-    /// The process ends now: the request gets its final answer, and what is out for it is called off.
+    /// The process ends now: the request gets its final answer, and its outstanding attempts are cancelled.
     FinishRequest(RequestId),
     /// A message from another dispatcher.
     Peer {
-        /// Its number.
+        /// Rank of the sender.
         from: u32,
-        /// What it says.
+        /// Bytes of the message.
         body: Vec<u8>,
     },
 }
 
-/// What a dispatcher can ask for. Doing nothing about a request means holding it.
+/// An output of a dispatcher, for the host to carry out. A request without an action is held.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt to a worker.
@@ -505,49 +508,49 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Give the attempt up after this time; `None`: when the client gives up.
+        /// Give up the attempt after this time; `None`: when the client gives up.
         timeout: Option<Micros>,
     },
-    /// Final answer: refused, a further try is harmless.
+    /// Final answer: the request is refused, and a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// Time after which the client may retry.
         retry_after: Option<Micros>,
-        /// Why it is refused.
+        /// Reason for the refusal.
         reason: Rejection,
     },
-    /// Final answer: failed, nothing is promised about its effect.
+    /// Final answer: the request failed, and it may or may not have had an effect.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt, in order of sending from 0.
+        /// Number of the attempt, in order of sending from 0.
         attempt: u32,
     },
     /// Ask a worker for its load report.
     Probe(WorkerId),
     /// Send a message to one dispatcher, or to all others.
     SendMessage {
-        /// Its number; `None`: all. The own one: the process that has taken over.
+        /// Rank of the receiver; `None`: all others. The sender's own rank: the successor of this process.
         to: Option<u32>,
-        /// What is said; 256 bytes at most.
+        /// Bytes of the message, at most 256.
         body: Vec<u8>,
     },
-    /// Bring [`Event::Timer`] after this time.
+    /// Deliver [`Event::Timer`] after this time.
     SetTimer {
-        /// Comes back with the event.
+        /// Number that the event returns.
         timer: TimerId,
-        /// From now.
+        /// Delay from now.
         after: Micros,
     },
     /// Ask for the whole worker list once.
     FetchList,
-    /// Ask to be told of list changes from now on, or no longer.
+    /// Subscribe to changes of the worker list, or end the subscription.
     Subscribe(bool),
     /// Close idle connections to a worker.
     CloseIdle(WorkerId),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
