--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -1,4 +1,4 @@
-//! The handing over of what was learned to the process that takes over: it is carried, nothing of it is decided.
+//! Handover of learned knowledge to the successor process. This file converts the knowledge and makes no decisions.
 
 use crate::api::{Action, Micros};
 use crate::rules::Dispatcher;
@@ -7,13 +7,14 @@
 use serde::Deserialize;
 
 impl Dispatcher {
-    /// What was learned, for the process that takes over.
+    /// Returns the learned knowledge, for the successor process.
     pub fn knowledge(&self) -> serde_json::Value {
         serde_json::json!([self.workers, self.maps, self.know])
     }
 
-    /// What was learned, with classes and tenants at other places: for each place where it was before, if anywhere. What
-    /// cannot be read stays as it is, and will not fit.
+    /// Returns knowledge with its classes and tenants moved to new indices. `classes` and `tenants` have an entry for
+    /// each new index, which holds the old index, or `None` for a new class or tenant. Knowledge that cannot be parsed is
+    /// returned unchanged; the receiver rejects it later.
     pub fn remap_knowledge(
         mut knowledge: serde_json::Value,
         classes: &[Option<usize>],
@@ -21,22 +22,26 @@
         now: Micros,
     ) -> serde_json::Value {
         let Some(know) = knowledge.get_mut(2) else { return knowledge };
-        let read = (Vec::deserialize(&know["classes"]), Vec::deserialize(&know["buckets"]));
-        let (Ok(known), Ok(buckets)): (Result<Vec<ClassModel>, _>, Result<Vec<TokenBucket>, _>) = read else {
+        let parsed = (Vec::deserialize(&know["classes"]), Vec::deserialize(&know["buckets"]));
+        let (Ok(models), Ok(buckets)): (Result<Vec<ClassModel>, _>, Result<Vec<TokenBucket>, _>) = parsed
+        else {
             return knowledge;
         };
-        let known = classes.iter().map(|from| known.get((*from)?).cloned());
-        know["classes"] = known.map(|class| serde_json::json!(class.unwrap_or_default())).collect();
-        let buckets = tenants.iter().map(|from| buckets.get((*from)?));
-        know["buckets"] = buckets.map(|of| serde_json::json!(of.unwrap_or(&TokenBucket::new(now)))).collect();
+        let models = classes.iter().map(|old| models.get((*old)?).cloned());
+        know["classes"] = models.map(|model| serde_json::json!(model.unwrap_or_default())).collect();
+        let buckets = tenants.iter().map(|old| buckets.get((*old)?));
+        know["buckets"] =
+            buckets.map(|bucket| serde_json::json!(bucket.unwrap_or(&TokenBucket::new(now)))).collect();
         knowledge
     }
 
-    /// What was learned by a process whose clock is so far behind this one's (microseconds; negative: ahead). When workers
-    /// started is told by their own clocks, and stays. What cannot be read stays as it is, and will not fit.
+    /// Converts the times in another process's knowledge to this process's clock. `behind` is how far the other clock is
+    /// behind this one, in microseconds; it is negative if the other clock is ahead. The start times of workers come from
+    /// the workers' own clocks and stay. Knowledge that cannot be parsed is returned unchanged; the receiver rejects it
+    /// later.
     pub fn shift_knowledge(mut knowledge: serde_json::Value, behind: i64) -> serde_json::Value {
-        let read = (Vec::deserialize(&knowledge[0]), Knowledge::deserialize(&knowledge[2]));
-        let (Ok(mut workers), Ok(mut know)): (Result<Vec<Worker>, _>, Result<Knowledge, _>) = read else {
+        let parsed = (Vec::deserialize(&knowledge[0]), Knowledge::deserialize(&knowledge[2]));
+        let (Ok(mut workers), Ok(mut know)): (Result<Vec<Worker>, _>, Result<Knowledge, _>) = parsed else {
             return knowledge;
         };
         workers.iter_mut().for_each(|worker| worker.shift(behind));
@@ -45,30 +50,36 @@
         knowledge
     }
 
-    pub(crate) fn on_knowledge_received(&mut self, handed: serde_json::Value) {
+    /// Takes over the knowledge of another process. Knowledge that cannot be parsed or that was learned under settings of
+    /// another shape is ignored, with a log line.
+    pub(crate) fn on_knowledge_received(&mut self, received: serde_json::Value) {
         let fits = |(workers, maps, know): &(Vec<Worker>, Vec<SizeMap>, Knowledge)| {
             let covered = workers.iter().all(|worker| know.covers(worker));
             covered && know.has_same_shape(&self.know) && maps.len() == self.maps.len()
         };
-        match serde_json::from_value(handed).ok().filter(fits) {
+        match serde_json::from_value(received).ok().filter(fits) {
             Some((workers, maps, know)) => {
                 self.index = workers.iter().enumerate().map(|(at, worker)| (worker.id, at)).collect();
                 (self.workers, self.maps, self.know) = (workers, maps, know);
                 let ranks = self.know.zones_by_rank.len().max(self.company.size() as usize);
                 self.know.zones_by_rank.resize(ranks, None);
             }
-            None => self.out.push(Action::Log("what another process handed on does not fit".to_owned())),
+            None => self.out.push(Action::Log(
+                "ignored the knowledge of the other process: it does not fit these settings".to_owned(),
+            )),
         }
-        self.ask_list(); // at once: whatever the list has to tell will soon count as told
+        // Without delay: changes of the list count as notified a few seconds after discovery has them.
+        self.ask_list();
     }
 }
 
-/// Moves a time to a clock that is so far ahead.
+/// Converts a time to a clock that is `by` microseconds ahead of the clock that the time was taken from.
 fn shift(at: &mut Micros, by: i64) {
     *at = at.saturating_add_signed(by);
 }
 
 impl Worker {
+    /// Converts all times of the dispatcher's clock to a clock that is `by` microseconds ahead.
     fn shift(&mut self, by: i64) {
         self.cold_sent.iter_mut().for_each(|(at, _)| shift(at, by));
         self.peers.iter_mut().for_each(|peer| peer.shift(by));
@@ -80,12 +91,14 @@
 }
 
 impl PeerLoad {
+    /// Converts all times to a clock that is `by` microseconds ahead.
     fn shift(&mut self, by: i64) {
         [&mut self.soonest, &mut self.latest, &mut self.received_at].into_iter().for_each(|at| shift(at, by));
     }
 }
 
 impl Knowledge {
+    /// Converts all times to a clock that is `by` microseconds ahead.
     fn shift(&mut self, by: i64) {
         self.buckets.iter_mut().for_each(|bucket| shift(&mut bucket.refilled_at, by));
         self.zone_failures.iter_mut().for_each(|(_, until)| shift(until, by));
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,10 @@
-//! The decision module: which worker gets a job and when, whether it is tried again, and what is turned away.
+//! The decision module of a scheduler. It decides which worker gets a job and when, whether a job is tried again, and
+//! which requests are rejected.
 //!
-//! It has no clock, no sockets and no names. A host feeds events to a [`rules::Dispatcher`] and carries out the actions
-//! that come back; [`api`] has the types of both. The design is EDF admission over a map of sizes; each concern is a
-//! file of `src/rules`.
+//! The module has no clock and no sockets, and it does not know the names of workers, classes or tenants. A host feeds
+//! events to a [`rules::Dispatcher`] and carries out the actions that it returns; [`api`] defines the types of both. The
+//! design is EDF (earliest deadline first) admission over a map from job sizes to ranges of workers. Each concern has its
+//! own file in `src/rules`.
 
 pub mod api;
 mod handover;
--- a/crates/decisions/src/peer_message.rs
+++ b/crates/decisions/src/peer_message.rs
@@ -1,52 +1,56 @@
-//! The bytes of what dispatchers tell each other: a greeting, and what one has at a worker. What to tell and what to
-//! make of it is the decision module's; this only writes and reads, and reads anything without panicking.
+//! Encoding of the messages between dispatchers. The decision module decides when to send a message and how to use a
+//! received one; this module only encodes and decodes. Decoding never panics, whatever the bytes are.
 //!
 //! | message | bytes |
 //! | --- | --- |
-//! | greeting | version, zone, 1 if the sender has just started and asks to be greeted back |
-//! | trouble | version, worker (4, little-endian), strikes of the sender against it; none: it is well again |
-//! | load | version, lanes, worker (4, little-endian), soonest end, latest end (in units of 64 ms from now); and, where the worker is cold, the work sent it in the window (2, in milliseconds at speed 1); where a job has just ended there, its speed by that job (1, in 32nds of the natural logarithm) |
+//! | hello | version, zone, 1 if the sender has just started and asks for a hello in return, else 0 |
+//! | fault report | version, worker (4, little-endian), strikes of the sender against the worker; 0 strikes: the worker has recovered |
+//! | load | version, lanes, worker (4, little-endian), soonest end, latest end (in units of 64 ms from now); if the worker is cold, also the work sent to it in the window (2, little-endian, in milliseconds at speed 1); if a job has just ended there, also the speed that the job showed (1, in 32nds of the natural logarithm) |
 //!
-//! A load of eight bytes is what dispatchers of before write: it is read as one without cold work or speed.
+//! Earlier versions of the program send a load of eight bytes; it is decoded as a load without cold work or speed.
 
 use crate::api::{Micros, WorkerId};
 
-/// The version of the messages; any other is dropped.
+/// Version of the messages. A message of any other version is dropped.
 const VERSION: u8 = 1;
-/// The unit of the spans in messages.
-const UNIT: Micros = 64_000;
-/// The unit of cold work in messages.
+/// Unit of the durations in messages, in microseconds.
+const SPAN_UNIT: Micros = 64_000;
+/// Unit of cold work in messages, in microseconds at speed 1.
 const WORK_UNIT: f64 = 1_000.0;
-/// Steps of the natural logarithm of a speed in messages.
-const SPEED_STEPS: f64 = 32.0;
+/// Steps per unit of the natural logarithm of a speed in messages.
+const SPEED_STEPS_PER_LN: f64 = 32.0;
 
-/// A message, as read.
+/// A decoded message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PeerMessage {
-    /// Where the sender stands; whether it wants to hear where this one does.
+    /// Announces the sender's zone. `asks`: the sender requests a hello in return.
     Hello { zone: u8, asks: bool },
-    /// The sender's strikes against a worker.
+    /// Number of strikes that the sender has against a worker; 0 if the worker has recovered.
     FaultReport { worker: WorkerId, strikes: u32 },
-    /// What the sender has at a worker.
+    /// Load that the sender has at a worker.
     Load(Load),
 }
 
-/// What a dispatcher has at a worker: spans from the time it is read or written.
+/// Load that a dispatcher has at a worker. `soonest` and `latest` count from the time of encoding or decoding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Load {
+    /// The worker.
     pub(crate) worker: WorkerId,
+    /// Lanes that the dispatcher's attempts take.
     pub(crate) lanes: usize,
+    /// Time until the first of the attempts ends.
     pub(crate) soonest: Micros,
+    /// Time until the last of the attempts ends.
     pub(crate) latest: Micros,
-    /// Work sent to the worker in the window while it is cold, in microseconds at speed 1.
+    /// Work sent to the cold worker in the window, in microseconds at speed 1; 0 if the worker is warm.
     pub(crate) cold_work: f64,
-    /// The natural logarithm of the worker's speed, as the job that has just ended there shows it.
+    /// Natural logarithm of the worker's speed, measured by the job that has just ended there.
     pub(crate) ln_speed: Option<f64>,
 }
 
-/// Reads a message; `None` for one of another version or shape.
+/// Decodes a message. Returns `None` for a message of another version or format.
 pub(crate) fn decode(body: &[u8]) -> Option<PeerMessage> {
-    let span = |units: u8| Micros::from(units) * UNIT;
+    let span = |units: u8| Micros::from(units) * SPAN_UNIT;
     match *body {
         [VERSION, zone, asks] => Some(PeerMessage::Hello { zone, asks: asks == 1 }),
         [VERSION, a, b, c, d, strikes] => {
@@ -59,7 +63,7 @@
                 [low, high] => f64::from(u16::from_le_bytes([low, high])) * WORK_UNIT,
                 _ => 0.0,
             };
-            let ln_speed = speed.first().map(|&steps| f64::from(steps as i8) / SPEED_STEPS);
+            let ln_speed = speed.first().map(|&steps| f64::from(steps as i8) / SPEED_STEPS_PER_LN);
             let worker = WorkerId(u32::from_le_bytes([a, b, c, d]));
             let (lanes, soonest, latest) = (usize::from(lanes), span(soonest), span(latest));
             Some(PeerMessage::Load(Load { worker, lanes, soonest, latest, cold_work: cold, ln_speed }))
@@ -68,20 +72,20 @@
     }
 }
 
-/// Writes a greeting.
+/// Encodes a hello. Zones above 255 are encoded as 255.
 pub(crate) fn encode_hello(zone: usize, asks: bool) -> Vec<u8> {
     vec![VERSION, zone.min(255) as u8, u8::from(asks)]
 }
 
-/// Writes how many strikes this dispatcher has against a worker.
+/// Encodes a fault report. More than 255 strikes are encoded as 255.
 pub(crate) fn encode_fault_report(worker: WorkerId, strikes: u32) -> Vec<u8> {
     let [a, b, c, d] = worker.0.to_le_bytes();
     vec![VERSION, a, b, c, d, strikes.min(255) as u8]
 }
 
-/// Writes a load; spans and work beyond what fits are written as the most that does.
+/// Encodes a load. Values beyond the range of their bytes are encoded as the largest value that fits.
 pub(crate) fn encode_load(load: &Load) -> Vec<u8> {
-    let span = |span: Micros| u8::try_from(span / UNIT).unwrap_or(u8::MAX);
+    let span = |span: Micros| u8::try_from(span / SPAN_UNIT).unwrap_or(u8::MAX);
     let [a, b, c, d] = load.worker.0.to_le_bytes();
     let mut body =
         vec![VERSION, load.lanes.min(255) as u8, a, b, c, d, span(load.soonest), span(load.latest)];
@@ -89,8 +93,8 @@
         let cold = (load.cold_work / WORK_UNIT).ceil().min(f64::from(u16::MAX)) as u16;
         body.extend_from_slice(&cold.to_le_bytes());
     }
-    // Beyond what fits a byte it is the most that does; `as` saturates.
-    body.extend(load.ln_speed.map(|speed| (speed * SPEED_STEPS).round() as i8 as u8));
+    // `as` saturates: a value beyond the range of a byte becomes the largest value that fits.
+    body.extend(load.ln_speed.map(|speed| (speed * SPEED_STEPS_PER_LN).round() as i8 as u8));
     body
 }
 
@@ -99,7 +103,7 @@
     use super::*;
 
     #[test]
-    fn what_is_written_is_read_back_within_its_units() {
+    fn encoded_messages_are_decoded_within_their_units() {
         let sent = Load {
             worker: WorkerId(0xdead_beef),
             lanes: 3,
@@ -109,23 +113,23 @@
             ln_speed: Some(-0.5),
         };
         let Some(PeerMessage::Load(back)) = decode(&encode_load(&sent)) else {
-            panic!("a load is read as one")
+            panic!("an encoded load is not decoded as a load: {sent:?}")
         };
         assert_eq!((back.worker, back.lanes, back.soonest, back.latest), (sent.worker, 3, 64_000, 640_000));
-        // Cold work is rounded up: a peer that hears it counts no less than was sent.
+        // Cold work is rounded up, so that the receiver counts no less work than was sent.
         assert_eq!((back.cold_work, back.ln_speed), (3_000.0, Some(-0.5)));
         let warm = Load { cold_work: 0.0, ln_speed: Some(9e9), ..sent };
         assert_eq!(
             decode(&encode_load(&warm)),
             Some(PeerMessage::Load(Load { ln_speed: Some(127.0 / 32.0), ..warm }))
         );
-        let said = PeerMessage::FaultReport { worker: WorkerId(77), strikes: 6 };
-        assert_eq!(decode(&encode_fault_report(WorkerId(77), 6)), Some(said));
+        let report = PeerMessage::FaultReport { worker: WorkerId(77), strikes: 6 };
+        assert_eq!(decode(&encode_fault_report(WorkerId(77), 6)), Some(report));
         assert_eq!(decode(&encode_hello(2, true)), Some(PeerMessage::Hello { zone: 2, asks: true }));
     }
 
     #[test]
-    fn a_load_of_before_is_read_without_cold_work_and_any_other_bytes_are_dropped() {
+    fn eight_byte_load_has_no_cold_work_and_other_formats_are_dropped() {
         let old = [VERSION, 2, 1, 0, 0, 0, 3, 4];
         assert!(matches!(
             decode(&old),
--- a/crates/decisions/src/rejections.rs
+++ b/crates/decisions/src/rejections.rs
@@ -1,30 +1,30 @@
-//! Why requests get a final answer without a result: the reasons, and how often each was given.
+//! Reasons for which a request gets a final answer without a result, and a counter for each reason.
 
-/// Why a request gets a final answer without a result.
+/// Reason for which a request gets a final answer without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The worker list has not been confirmed for too long, so that any worker may be draining or gone.
+    /// The lease on the worker list has ended, so any worker may be draining or gone.
     StaleList,
-    /// No worker that may be used can end it in time.
+    /// No worker that may be used can finish the request in time.
     NoCapacity,
-    /// The time that its client waits is over, or nearly.
+    /// The client's deadline has passed or is about to pass.
     Expired,
-    /// As many attempts were made as are allowed.
+    /// The maximum number of attempts has been made.
     AttemptsSpent,
-    /// An attempt may have run, and the class does not allow another one.
+    /// An attempt may have run, and the effect of the request does not allow another one.
     NotRepeatable,
-    /// An attempt came too late to begin.
+    /// It was too late to send the attempt.
     SentTooLate,
-    /// No worker can use the request as it is.
+    /// A worker rejected the request as one that no worker can process.
     Unusable,
-    /// Settings came into force by which no worker may run it.
+    /// A settings update does not allow another attempt.
     SettingsChanged,
-    /// The process ends, and no other one goes on with it.
+    /// The process ends, and no other process continues the request.
     ShuttingDown,
 }
 
-/// The reasons and the names of their counters, in the order of [`Rejection`].
-const COUNTERS: [&str; 9] = [
+/// Names of the counters, in the order of [`Rejection`].
+const COUNTER_NAMES: [&str; 9] = [
     "rejected.stale_list",
     "rejected.no_capacity",
     "rejected.expired",
@@ -36,20 +36,20 @@
     "rejected.shutting_down",
 ];
 
-/// How often each reason was given since the start of the process.
+/// Number of rejections since the start of the process, for each reason.
 #[derive(Clone, Debug, Default)]
-pub struct Rejections([u64; COUNTERS.len()]);
+pub struct Rejections([u64; COUNTER_NAMES.len()]);
 
 impl Rejections {
-    /// Counts one, and gives it back.
-    pub(crate) fn count(&mut self, why: Rejection) -> Rejection {
-        self.0[why as usize] += 1;
-        why
+    /// Counts a rejection and returns its reason.
+    pub(crate) fn count(&mut self, reason: Rejection) -> Rejection {
+        self.0[reason as usize] += 1;
+        reason
     }
 
-    /// The counts by the names that operators see.
+    /// Returns the counters with their metric names.
     pub fn figures(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        COUNTERS.into_iter().zip(self.0)
+        COUNTER_NAMES.into_iter().zip(self.0)
     }
 }
 
@@ -63,7 +63,7 @@
         rejections.count(Rejection::StaleList);
         rejections.count(Rejection::SettingsChanged);
         rejections.count(Rejection::SettingsChanged);
-        let counted: Vec<_> = rejections.figures().filter(|figure| figure.1 > 0).collect();
-        assert_eq!(counted, [("rejected.stale_list", 1), ("rejected.settings_changed", 2)]);
+        let nonzero: Vec<_> = rejections.figures().filter(|figure| figure.1 > 0).collect();
+        assert_eq!(nonzero, [("rejected.stale_list", 1), ("rejected.settings_changed", 2)]);
     }
 }
