--- a/crates/decisions/src/settings_update.rs
+++ b/crates/decisions/src/settings_update.rs
@@ -1,41 +1,42 @@
-//! Settings that come into force between two events, whole or not at all. What was learned is kept.
+//! Settings updates while a dispatcher runs. An update takes effect between two events, completely or not at all, and
+//! learned knowledge is kept.
 //!
-//! Requests that are open go on like this:
+//! An open request follows these values:
 //!
-//! | setting | an open request goes by |
+//! | setting | value for an open request |
 //! | --- | --- |
-//! | aim, stretch, deadline, worth, slots, its tenant's share | what was in force when it arrived |
-//! | effect | the tightest of all that were in force since it arrived |
-//! | tries, copies, cancelling, late worth, kind, rule figures, prices | what is in force now |
+//! | aim, stretch, deadline, worth, slots, tenant's share | the value when the request arrived |
+//! | effect | the most restrictive value since the request arrived |
+//! | attempts, concurrent attempts, cancelling, late worth, kind, rule parameters, prices | the current value |
 //!
-//! Of effects, the one that lets a request be repeated in fewer places and for less time is the tighter; of two that
-//! cannot be compared, neither holds, and the request must not be repeated. Where the effect was [`Effect::Safe`] and is no
-//! longer, nobody had to remember what ran before: what may have run then is not repeated at all.
+//! The more restrictive of two effects is the one that allows repeats in fewer places and for less time. If two effects
+//! cannot be compared, the request must not be repeated. While the effect was [`Effect::Safe`], workers did not have to
+//! record what ran, so if the effect changes from it, a request that may already have run is not repeated.
 
 use crate::api::*;
 use crate::rules::Dispatcher;
 use crate::state::*;
 
-/// Classes that there may be at most, retired ones counted.
-const MOST_CLASSES: usize = 4_096;
-/// The same of tenants.
-const MOST_TENANTS: usize = 65_536;
-/// More than any worker is sent in a window, in microseconds at speed 1.
-const HAS_ITS_FILL: f64 = 1e15;
+/// Maximum number of classes, including retired ones.
+const MAX_CLASSES: usize = 4_096;
+/// Maximum number of tenants, including retired ones.
+const MAX_TENANTS: usize = 65_536;
+/// Amount of work that uses up the budget of any cold worker for one window, in microseconds at speed 1.
+const FULL_COLD_BUDGET: f64 = 1e15;
 
-/// Why settings are not taken up.
+/// A setting for which a settings update is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectedSetting {
-    /// The field of [`Settings`].
+    /// Name of the field of [`Settings`].
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the field, phrased to follow its name in a sentence.
     pub reason: &'static str,
 }
 
 impl Settings {
-    /// The first field that differs in `new` and cannot change while a dispatcher runs.
+    /// Returns the first field that differs in `new` and cannot change while a dispatcher runs.
     pub fn fixed_change(&self, new: &Settings) -> Option<&'static str> {
-        let same = [
+        let unchanged = [
             ("rank", self.rank == new.rank),
             ("instances", self.instances == new.instances),
             ("zone", self.zone == new.zone),
@@ -53,12 +54,12 @@
             ("limits.peers", self.limits.peers == new.limits.peers),
             ("tick", self.tick == new.tick),
         ];
-        same.iter().find(|(_, same)| !same).map(|(field, _)| *field)
+        unchanged.iter().find(|(_, unchanged)| !unchanged).map(|(field, _)| *field)
     }
 }
 
-/// The tighter of two effects.
-fn tighter(before: Effect, now: Effect) -> Effect {
+/// Returns the more restrictive of two effects.
+fn more_restrictive(before: Effect, now: Effect) -> Effect {
     match (before, now) {
         (Effect::Unsafe, _) | (_, Effect::Unsafe) => Effect::Unsafe,
         (Effect::Safe, keyed) | (keyed, Effect::Safe) => keyed,
@@ -67,121 +68,124 @@
             match (one, other) {
                 (Group::All, group) | (group, Group::All) => Effect::Keyed { group, span },
                 (one, other) if one == other => Effect::Keyed { group: one, span },
-                // A cell need not lie in one zone.
+                // A cell may span zones, so a zone and a cell cannot be compared.
                 _ => Effect::Unsafe,
             }
         }
     }
 }
 
-/// What binds a request of this effect that goes on under settings with another one for its class. `ran_unnoted`: an attempt
-/// may have run while repeats were harmless, so that no worker wrote down that it did.
-pub(crate) fn effect_after_update(bound: Effect, now: Effect, ran_unnoted: bool) -> Effect {
-    if ran_unnoted && now != Effect::Safe { Effect::Unsafe } else { tighter(bound, now) }
+/// Returns the effect of an open request whose effect was `bound` and whose class has the effect `new` after a settings
+/// update. `ran_unrecorded`: an attempt may have run while repeats were harmless, so workers may not have recorded it.
+pub(crate) fn effect_after_update(bound: Effect, new: Effect, ran_unrecorded: bool) -> Effect {
+    if ran_unrecorded && new != Effect::Safe { Effect::Unsafe } else { more_restrictive(bound, new) }
 }
 
 impl Dispatcher {
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Whether these settings could be taken up now. Places in the lists of classes and tenants hold for good, so
-    /// neither list may become shorter.
+    /// Checks whether the dispatcher can change to these settings. Indices into the lists of classes and tenants never
+    /// change, so neither list may become shorter.
     ///
     /// # Errors
-    /// Why not.
+    /// Returns the first field that rules the change out, with the reason.
     pub fn check_settings(&self, new: &Settings) -> Result<(), RejectedSetting> {
-        let refuse = |field, why| Err(RejectedSetting { field, reason: why });
+        let reject = |field, reason| Err(RejectedSetting { field, reason });
         if let Some(field) = self.settings.fixed_change(new) {
-            return refuse(field, "it cannot change without a restart");
+            return reject(field, "cannot change without a restart");
         }
-        // A worker's skills are bits, and a class is a skill where workers refuse any.
-        let skills = self.workers.iter().any(|worker| worker.refuses != 0);
+        // If any worker refuses a skill, each class is a skill, and the number of skills is bounded by the bits of a mask.
+        let skills_used = self.workers.iter().any(|worker| worker.refuses != 0);
         let (classes, tenants) = (new.classes.len(), new.tenants.len());
         if classes < self.settings.classes.len() {
-            refuse("classes", "there are fewer than before, and open requests hold their places")
-        } else if classes > MOST_CLASSES || (skills && classes > MAX_SKILLS) {
-            refuse("classes", "there are too many")
+            reject("classes", "has fewer entries than before, and open requests refer to entries by index")
+        } else if classes > MAX_CLASSES || (skills_used && classes > MAX_SKILLS) {
+            reject("classes", "has too many entries")
         } else if new.classes.iter().any(|class| class.kind.is_some_and(|kind| kind.0 >= new.kinds)) {
-            refuse("classes", "one needs a kind of machine that there is not")
+            reject("classes", "has an entry that needs an unknown kind of machine")
         } else if tenants < self.settings.tenants.len() {
-            refuse("tenants", "there are fewer than before, and open requests hold their places")
-        } else if tenants > MOST_TENANTS {
-            refuse("tenants", "there are too many")
+            reject("tenants", "has fewer entries than before, and open requests refer to entries by index")
+        } else if tenants > MAX_TENANTS {
+            reject("tenants", "has too many entries")
         } else {
             Ok(())
         }
     }
 
-    /// Takes up new settings whole, or, with a line for the log, not at all.
+    /// Changes to new settings, or writes a log line and keeps all current settings if one of the new ones is rejected.
     pub(crate) fn on_settings(&mut self, now: Micros, new: Settings) {
-        if let Err(RejectedSetting { field, reason: why }) = self.check_settings(&new) {
-            return self.out.push(Action::Log(format!("the settings stay as they are: '{field}': {why}")));
+        if let Err(RejectedSetting { field, reason }) = self.check_settings(&new) {
+            return self.out.push(Action::Log(format!("settings update rejected: '{field}' {reason}")));
         }
         if new == self.settings {
             return;
         }
-        self.renew_buckets(now, &new);
-        self.renew_effects(&new);
+        self.update_buckets(now, &new);
+        self.update_effects(&new);
         self.know.classes.resize_with(new.classes.len(), Default::default);
-        let needs =
+        let kinds =
             |settings: &Settings| -> Vec<_> { settings.classes.iter().map(|class| class.kind).collect() };
-        self.maps_stale |= needs(&new) != needs(&self.settings);
+        self.maps_stale |= kinds(&new) != kinds(&self.settings);
         let old = std::mem::replace(&mut self.settings, new);
-        self.renew_warmth(now, &old.rules);
-        self.renew_held(now);
+        self.block_newly_cold_workers(now, &old.rules);
+        self.reject_held_jobs(now);
         self.pump(now);
     }
 
-    /// Tokens come by the old quotas up to now; what is saved is cut to what the new ones let be saved.
-    fn renew_buckets(&mut self, now: Micros, new: &Settings) {
-        let part = f64::from(self.company.size());
-        let both = self.settings.tenants.iter().zip(&new.tenants);
-        for (bucket, (old, new)) in self.know.buckets.iter_mut().zip(both) {
-            bucket.set_rate(now, old.quota_per_s / part, new.quota_per_s / part);
+    /// Adds tokens at the old quotas up to now, then cuts the saved tokens to the capacity at the new quotas. Each
+    /// dispatcher gets an equal share of a quota.
+    fn update_buckets(&mut self, now: Micros, new: &Settings) {
+        let schedulers = f64::from(self.company.size());
+        let quotas = self.settings.tenants.iter().zip(&new.tenants);
+        for (bucket, (old, new)) in self.know.buckets.iter_mut().zip(quotas) {
+            bucket.set_rate(now, old.quota_per_s / schedulers, new.quota_per_s / schedulers);
         }
         self.know.buckets.resize_with(new.tenants.len(), || TokenBucket::new(now));
     }
 
-    /// Open requests keep the tightest effect that was in force since they came.
-    fn renew_effects(&mut self, new: &Settings) {
+    /// Gives open requests the most restrictive effect since they arrived.
+    fn update_effects(&mut self, new: &Settings) {
         let old = &self.settings.classes;
         if old.iter().zip(&new.classes).all(|(old, new)| old.effect == new.effect) {
             return;
         }
         for request in self.requests.values_mut() {
-            let both = old.get(request.class).zip(new.classes.get(request.class));
-            let Some((old, new)) = both.filter(|(old, new)| old.effect != new.effect) else { continue };
-            let ran_unnoted = request.may_have_run() && old.effect == Effect::Safe;
-            request.effect = effect_after_update(request.effect, new.effect, ran_unnoted);
+            let classes = old.get(request.class).zip(new.classes.get(request.class));
+            let Some((old, new)) = classes.filter(|(old, new)| old.effect != new.effect) else { continue };
+            let ran_unrecorded = request.may_have_run() && old.effect == Effect::Safe;
+            request.effect = effect_after_update(request.effect, new.effect, ran_unrecorded);
         }
     }
 
-    /// A worker that counts as cold only by the new figures was sent what nobody wrote down, and of a longer window the
-    /// beginning may be forgotten: it gets nothing more for one window.
-    fn renew_warmth(&mut self, now: Micros, old: &RuleParameters) {
+    /// Blocks cold workers for one window if the work sent to them in it is not fully known. This is the case for a
+    /// worker that counts as cold only by the new parameters, since work for warm workers is not recorded, and for each
+    /// cold worker if the window becomes longer, since older records may have been dropped.
+    fn block_newly_cold_workers(&mut self, now: Micros, old: &RuleParameters) {
         let new = &self.settings.rules;
-        let longer = new.fall_window > old.fall_window;
+        let window_longer = new.fall_window > old.fall_window;
         let since = now.saturating_sub(old.fall_window.max(new.fall_window));
         for worker in &mut self.workers {
             let age = worker.started.map(|start| now.saturating_sub(start));
-            if age.is_some_and(|age| age < new.cold && (longer || age >= old.cold)) {
-                worker.cold_sent.retain(|&(then, _)| then >= since);
-                worker.cold_sent.push_back((now, HAS_ITS_FILL));
+            if age.is_some_and(|age| age < new.cold && (window_longer || age >= old.cold)) {
+                worker.cold_sent.retain(|&(sent, _)| sent >= since);
+                worker.cold_sent.push_back((now, FULL_COLD_BUDGET));
             }
         }
     }
 
-    /// Held jobs that no worker may get any more are answered at once.
-    fn renew_held(&mut self, now: Micros) {
-        let tries = self.settings.limits.max_attempts as usize;
-        let over = |request: &Request| {
-            let risky = request.may_have_run();
-            request.attempts.len() >= tries || (risky && request.effect == Effect::Unsafe)
+    /// Rejects held jobs for which the new settings allow no further attempt.
+    fn reject_held_jobs(&mut self, now: Micros) {
+        let max_attempts = self.settings.limits.max_attempts as usize;
+        let not_allowed = |request: &Request| {
+            let may_have_run = request.may_have_run();
+            request.attempts.len() >= max_attempts || (may_have_run && request.effect == Effect::Unsafe)
         };
         let held = self.queue.held.iter().map(|&(_, id)| id);
-        let over: Vec<RequestId> = held.filter(|id| self.requests.get(id).is_some_and(&over)).collect();
-        over.into_iter().for_each(|id| self.finish(now, id, Rejection::SettingsChanged));
+        let rejected: Vec<RequestId> =
+            held.filter(|id| self.requests.get(id).is_some_and(&not_allowed)).collect();
+        rejected.into_iter().for_each(|id| self.finish(now, id, Rejection::SettingsChanged));
     }
 }
