--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -1,58 +1,59 @@
-//! What a scheduler may send a worker that is still cold.
+//! Limits on the work that a scheduler may send to a cold worker.
 //!
-//! All schedulers together may send a cold worker at most a budget of work in each window (the fourth rule of the
-//! protocol page, with a margin that the caller sets). Its senders are the members of the cohort whose share of the
-//! workers holds it, who try it first, and a few *wardens* drawn by its id, so that where cohorts are small more than
-//! one sender has a part that holds a job.
+//! A worker that is still cold fails if it is sent too much work. All schedulers together may therefore send it at most
+//! a budget of work in each window; the caller sets the budget, with a margin. Its senders are the members of the cohort
+//! that the worker belongs to, who try it first, and a few *designated senders* chosen by the worker's id. With the
+//! designated senders, more than one sender has a share that is large enough for a job even where cohorts are small.
 //!
-//! Each sender has an even part. A member may go beyond its part into what the other members have left unused, as they
-//! told, up to [`POOL_CAP`] times its part: the cohort as a whole keeps to its pool while their messages arrive, and the
-//! fleet to [`POOL_CAP`] times the budget if none of them does.
+//! Each sender has an equal share of the budget. A member of the cohort may exceed its share by the amount that the other
+//! members report as unused, up to [`MAX_MEMBER_MULTIPLE`] times its share. The cohort as a whole then keeps to its pool
+//! while the members' messages arrive, and the fleet keeps to [`MAX_MEMBER_MULTIPLE`] times the budget if all messages
+//! are lost.
 
 use crate::hash::mix;
 
-/// How many times its even part a member may send, where the other members leave room.
+/// Maximum work that a member may send in a window, as a multiple of its share, if the other members leave it unused.
 pub const MAX_MEMBER_MULTIPLE: f64 = 2.0;
 
-/// Who sends to a cold worker, and what they may send it together.
+/// Budget of a cold worker, and the number of schedulers that share it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBudget {
-    /// What all senders together may send it in a window, in microseconds of work at speed 1.
+    /// Work that all senders together may send in a window, in microseconds at speed 1.
     pub budget: f64,
-    /// Members of the cohort whose share holds it.
+    /// Number of members of the worker's cohort.
     pub members: usize,
-    /// Wardens beside them.
+    /// Number of designated senders in addition to the members.
     pub designated: usize,
 }
 
-/// What this scheduler is to a cold worker.
+/// Role of this scheduler towards a cold worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// A member of the cohort whose share holds it.
+    /// A member of the worker's cohort.
     Member,
-    /// A warden drawn by its id.
+    /// A designated sender, chosen by the worker's id.
     Designated,
-    /// Neither: it sends the worker nothing while it is cold.
+    /// Neither: it sends nothing to the worker while the worker is cold.
     Neither,
 }
 
-/// Whether a job may go to a cold worker, and if not, what holds it back.
+/// Decision whether a job may be sent to a cold worker, with the reason against it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allowance {
-    /// It may.
+    /// The job may be sent.
     Yes,
-    /// This scheduler is no sender of the worker.
+    /// This scheduler is not a sender for the worker.
     NotASender,
-    /// It would take this scheduler beyond its part (or beyond [`POOL_CAP`] parts, for a member).
+    /// The job would exceed this scheduler's share (for a member: [`MAX_MEMBER_MULTIPLE`] times its share).
     OverSenderShare,
-    /// It would take the cohort beyond its pool, as its members told.
+    /// The job would exceed the cohort's pool, by the reports of its members.
     OverPool,
 }
 
 impl Sender {
-    /// A member where it is one, else a warden where it is one.
-    pub fn of(member: bool, warden: bool) -> Sender {
-        match (member, warden) {
+    /// Returns the role of a scheduler. A scheduler that is both a member and a designated sender counts as a member.
+    pub fn of(member: bool, designated: bool) -> Sender {
+        match (member, designated) {
             (true, _) => Sender::Member,
             (false, true) => Sender::Designated,
             (false, false) => Sender::Neither,
@@ -61,44 +62,45 @@
 }
 
 impl ColdBudget {
-    /// The share of a worker that all senders may send `budget` in a window, where `members` are in the cohort that
-    /// holds it and each of `schedulers` usually sends `usual` in a window (see [`wardens`]).
+    /// Creates the budget of a worker to which all senders together may send `budget` in a window. The worker's cohort has
+    /// `members` members, and each of `schedulers` schedulers usually sends `usual` in a window (see
+    /// [`designated_sender_count`]).
     pub fn new(budget: f64, members: usize, usual: f64, schedulers: u32) -> Self {
         ColdBudget { budget, members, designated: designated_sender_count(budget, usual, schedulers) }
     }
 
-    /// Whether the scheduler of this rank is a warden of the worker whose id and start draw `draw`.
-    pub fn is_designated(&self, draw: u64, rank: u32, schedulers: u32) -> bool {
-        is_designated_sender(draw, rank, schedulers, self.designated)
+    /// Returns whether the scheduler of this rank is a designated sender. `hash` is the hash of the worker's id and start.
+    pub fn is_designated(&self, hash: u64, rank: u32, schedulers: u32) -> bool {
+        is_designated_sender(hash, rank, schedulers, self.designated)
     }
 
-    /// A sender's even part of the budget.
+    /// Returns the share of the budget that each sender has.
     pub fn sender_share(&self) -> f64 {
         self.budget / (self.members + self.designated).max(1) as f64
     }
 
-    /// What the members of the cohort may send together.
+    /// Returns the work that the members of the cohort together may send in a window.
     pub fn pool(&self) -> f64 {
         self.sender_share() * self.members as f64
     }
 
-    /// Whether a job of `work` may go, where this scheduler has sent `mine` in the window and the other members told
-    /// of `told` (both in microseconds of work at speed 1).
-    pub fn allows(&self, sender: Sender, mine: f64, told: f64, work: f64) -> Allowance {
-        let after = mine + work;
+    /// Decides whether a job with `work` may be sent. In the current window this scheduler has sent `own_work`, and the
+    /// other members report `peer_work`. All three are in microseconds at speed 1.
+    pub fn allows(&self, sender: Sender, own_work: f64, peer_work: f64, work: f64) -> Allowance {
+        let after = own_work + work;
         match sender {
             Sender::Neither => Allowance::NotASender,
             Sender::Designated if after <= self.sender_share() => Allowance::Yes,
             Sender::Designated => Allowance::OverSenderShare,
             Sender::Member if after > MAX_MEMBER_MULTIPLE * self.sender_share() => Allowance::OverSenderShare,
-            Sender::Member if after + told.max(0.0) > self.pool() => Allowance::OverPool,
+            Sender::Member if after + peer_work.max(0.0) > self.pool() => Allowance::OverPool,
             Sender::Member => Allowance::Yes,
         }
     }
 }
 
-/// The part of its full capacity that a worker has at least, so long (`age`) after its start: it rises evenly from
-/// `start_capacity` to all of it, within `cold`. Both times in the same unit.
+/// Returns the minimum fraction of its full capacity that a worker has at `age` after its start. The fraction rises
+/// linearly from `start_capacity` to 1 over the time `cold`. `age` and `cold` are in the same unit.
 pub fn capacity_fraction(age: u64, cold: u64, start_capacity: f64) -> f64 {
     if age >= cold {
         return 1.0;
@@ -106,71 +108,74 @@
     (start_capacity + (1.0 - start_capacity) * age as f64 / cold as f64).clamp(0.01, 1.0)
 }
 
-/// How many wardens a cold worker has: as many as have a part that holds what one of them usually sends in a window,
-/// one at least and no more than there are schedulers.
+/// Returns the number of designated senders of a cold worker: as many as can each have a share of `usual`, the work that
+/// a scheduler usually sends in a window. There is at least one, and at most one per scheduler.
 pub fn designated_sender_count(budget: f64, usual: f64, schedulers: u32) -> usize {
     let count = if usual > 0.0 { (budget / usual).floor() } else { 1.0 };
     count.clamp(1.0, f64::from(schedulers.max(1))) as usize
 }
 
-/// Whether the scheduler of this rank is one of the `wardens` of a worker whose id and start draw `draw`, among
-/// `schedulers`.
-pub fn is_designated_sender(draw: u64, rank: u32, schedulers: u32, wardens: usize) -> bool {
+/// Returns whether the scheduler of this rank is one of `count` designated senders among `schedulers`. `hash` is the hash
+/// of the worker's id and start.
+pub fn is_designated_sender(hash: u64, rank: u32, schedulers: u32, count: usize) -> bool {
     let schedulers = u64::from(schedulers.max(1));
-    let place = (draw % schedulers + u64::from(rank)) % schedulers;
-    place < wardens as u64
+    let position = (hash % schedulers + u64::from(rank)) % schedulers;
+    position < count as u64
 }
 
-/// A job that is alone in its window may be this much larger than the budget.
+/// Maximum size of the only job that a scheduler sends in a window, as a multiple of the budget.
 pub const MAX_SINGLE_JOB_MULTIPLE: f64 = 1.25;
 
-/// Who may send to a cold worker where nobody tells what it sends: in each turn a few schedulers, drawn by the worker and
-/// the time, which all read alike. The sum over the fleet is kept on average, by the draw; none sends more than its part,
-/// or one job that is alone in its window and at most [`ALONE`] times the budget.
+/// Rotation of the senders of a cold worker, for schedulers that send each other no messages. In each window the
+/// schedulers that may send are chosen by a hash of the worker and the window, which all schedulers compute alike. The
+/// budget of the fleet is kept on average over the windows. No scheduler sends more than its share, or one job that is
+/// its only one in the window and at most [`MAX_SINGLE_JOB_MULTIPLE`] times the budget.
 ///
-/// With few schedulers, or one zone, exactly so many as have a part are drawn of all. With many, only those near the
-/// worker (in its zone) count. How many these are is not known; the even part of a zone is taken for it, and each draws
-/// for itself.
+/// With one zone, or fewer than 8 schedulers per zone, exactly the number of schedulers that have a share is chosen
+/// among all schedulers. Otherwise only schedulers in the worker's zone are chosen. Their number is not known, so it is
+/// assumed that schedulers are spread evenly over the zones, and each scheduler is chosen independently.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRotation {
-    share: ColdBudget,
-    /// Schedulers among which is drawn.
-    among: u32,
-    many: bool,
+    budget: ColdBudget,
+    /// Number of schedulers among which senders are chosen.
+    candidates: u32,
+    /// Whether only schedulers in the worker's zone are chosen.
+    by_zone: bool,
 }
 
 impl ColdRotation {
-    /// `budget` and `usual` as for [`ColdShare::new`], among `schedulers` spread over `zones`.
+    /// Creates the rotation among `schedulers` schedulers in `zones` zones. `budget` and `usual` are as for
+    /// [`ColdBudget::new`].
     pub fn new(budget: f64, usual: f64, schedulers: u32, zones: usize) -> Self {
         let zones = u32::try_from(zones.max(1)).unwrap_or(u32::MAX);
-        let many = zones > 1 && schedulers >= zones.saturating_mul(8);
-        let among = if many { schedulers / zones } else { schedulers };
-        ColdRotation { share: ColdBudget::new(budget, 0, usual, among), among, many }
+        let by_zone = zones > 1 && schedulers >= zones.saturating_mul(8);
+        let candidates = if by_zone { schedulers / zones } else { schedulers };
+        ColdRotation { budget: ColdBudget::new(budget, 0, usual, candidates), candidates, by_zone }
     }
 
-    /// Whether a job of `work` may go, where this scheduler has sent `mine` in the window. The worker's id and start draw
-    /// `draw`, and `window` is the number of the window since any time that all agree on; `rank` is the scheduler's, and
-    /// `near` that it is in the worker's zone.
+    /// Decides whether the scheduler of this rank may send a job with `work` if it has sent `own_work` in the current
+    /// window, both in microseconds at speed 1. `same_zone`: the scheduler is in the worker's zone. `hash` is the hash of
+    /// the worker's id and start, and `window` the number of the window since a time on which all schedulers agree.
     pub fn allows(
         &self,
-        near: bool,
-        (draw, window): (u64, u64),
+        same_zone: bool,
+        (hash, window): (u64, u64),
         rank: u32,
-        mine: f64,
+        own_work: f64,
         work: f64,
     ) -> Allowance {
-        let turn = mix(draw, window);
-        let drawn = if self.many {
-            mix(turn, u64::from(rank)) % u64::from(self.among) < self.share.designated as u64
+        let window_hash = mix(hash, window);
+        let chosen = if self.by_zone {
+            mix(window_hash, u64::from(rank)) % u64::from(self.candidates) < self.budget.designated as u64
         } else {
-            self.share.is_designated(turn, rank, self.among)
+            self.budget.is_designated(window_hash, rank, self.candidates)
         };
-        if !drawn || (self.many && !near) {
+        if !chosen || (self.by_zone && !same_zone) {
             Allowance::NotASender
-        } else if mine == 0.0 && work <= MAX_SINGLE_JOB_MULTIPLE * self.share.budget {
+        } else if own_work == 0.0 && work <= MAX_SINGLE_JOB_MULTIPLE * self.budget.budget {
             Allowance::Yes
         } else {
-            self.share.allows(Sender::Designated, mine, 0.0, work)
+            self.budget.allows(Sender::Designated, own_work, 0.0, work)
         }
     }
 }
@@ -180,68 +185,73 @@
     use super::*;
 
     #[test]
-    fn in_turn_the_fleet_keeps_to_the_budget_on_average_and_everybody_has_a_turn() {
-        // 300 schedulers in 4 zones, 75 of them near, each with a job of the usual size at hand in every window.
-        let rota = ColdRotation::new(3_000.0, 1_000.0, 300, 4);
-        let (mut sum, mut most, mut had) = (0.0, 0.0_f64, [false; 75]);
-        for turn in 0..1_000_u64 {
-            let mut window = 0.0;
+    fn rotation_keeps_the_budget_on_average_and_every_scheduler_sends() {
+        // 300 schedulers in 4 zones, 75 of them in the worker's zone. Each has a job of the usual size in every window.
+        let rotation = ColdRotation::new(3_000.0, 1_000.0, 300, 4);
+        let (mut total, mut max, mut has_sent) = (0.0, 0.0_f64, [false; 75]);
+        for window in 0..1_000_u64 {
+            let mut sent = 0.0;
             for rank in 0..75_u32 {
-                if rota.allows(true, (7, turn), rank, 0.0, 1_000.0) == Allowance::Yes {
-                    window += 1_000.0;
-                    had[rank as usize] = true;
+                if rotation.allows(true, (7, window), rank, 0.0, 1_000.0) == Allowance::Yes {
+                    sent += 1_000.0;
+                    has_sent[rank as usize] = true;
                 }
-                assert_eq!(rota.allows(false, (7, turn), rank, 0.0, 1.0), Allowance::NotASender);
+                assert_eq!(rotation.allows(false, (7, window), rank, 0.0, 1.0), Allowance::NotASender);
             }
-            sum += window;
-            most = most.max(window);
+            total += sent;
+            max = max.max(sent);
         }
-        assert!((2_500.0..3_500.0).contains(&(sum / 1_000.0)), "{sum}");
-        // Chance: N and three of its roots and three, in jobs of the usual size.
-        assert!(most <= 1_000.0 * (3.0 + 3.0 * 3.0_f64.sqrt() + 3.0), "{most}");
-        assert!(had.iter().all(|&had| had));
+        assert!((2_500.0..3_500.0).contains(&(total / 1_000.0)), "{total}");
+        // Random variation, in jobs of the usual size: the mean of 3, three times its square root, and 3 more.
+        assert!(max <= 1_000.0 * (3.0 + 3.0 * 3.0_f64.sqrt() + 3.0), "{max}");
+        assert!(has_sent.iter().all(|&has_sent| has_sent));
     }
 
     #[test]
-    fn of_a_few_exactly_one_has_the_turn_and_sends_one_job_or_its_part() {
-        let rota = ColdRotation::new(1_000.0, 1_000.0, 3, 2);
-        for turn in 0..30 {
-            let yes = |rank: &u32| rota.allows(false, (7, turn), *rank, 0.0, 1_250.0) == Allowance::Yes;
-            assert_eq!((0..3).filter(yes).count(), 1);
-            assert!((0..3).all(|rank| rota.allows(true, (7, turn), rank, 500.0, 600.0) != Allowance::Yes));
-            assert!((0..3).all(|rank| rota.allows(true, (7, turn), rank, 0.0, 1_300.0) != Allowance::Yes));
+    fn one_of_three_schedulers_may_send_in_each_window_one_job_or_its_share() {
+        let rotation = ColdRotation::new(1_000.0, 1_000.0, 3, 2);
+        for window in 0..30 {
+            let allowed =
+                |rank: &u32| rotation.allows(false, (7, window), *rank, 0.0, 1_250.0) == Allowance::Yes;
+            assert_eq!((0..3).filter(allowed).count(), 1);
+            assert!(
+                (0..3).all(|rank| rotation.allows(true, (7, window), rank, 500.0, 600.0) != Allowance::Yes)
+            );
+            assert!(
+                (0..3).all(|rank| rotation.allows(true, (7, window), rank, 0.0, 1_300.0) != Allowance::Yes)
+            );
         }
     }
 
     const COHORT: ColdBudget = ColdBudget { budget: 900.0, members: 8, designated: 1 };
 
     #[test]
-    fn a_member_uses_what_the_others_leave_up_to_twice_its_part() {
+    fn member_uses_the_unused_pool_up_to_twice_its_share() {
         assert_eq!(COHORT.sender_share(), 100.0);
         assert_eq!(COHORT.pool(), 800.0);
         assert_eq!(COHORT.allows(Sender::Member, 0.0, 0.0, 150.0), Allowance::Yes);
         assert_eq!(COHORT.allows(Sender::Member, 150.0, 0.0, 60.0), Allowance::OverSenderShare);
         assert_eq!(COHORT.allows(Sender::Member, 50.0, 700.0, 60.0), Allowance::OverPool);
-        // What a confused peer tells cannot make room.
+        // A negative report from a faulty peer does not raise the limit.
         assert_eq!(COHORT.allows(Sender::Member, 0.0, -1e9, 250.0), Allowance::OverSenderShare);
     }
 
     #[test]
-    fn a_warden_keeps_to_its_part_and_others_send_nothing() {
+    fn designated_sender_keeps_to_its_share_and_other_schedulers_send_nothing() {
         assert_eq!(COHORT.allows(Sender::Designated, 50.0, 0.0, 50.0), Allowance::Yes);
         assert_eq!(COHORT.allows(Sender::Designated, 50.0, 0.0, 51.0), Allowance::OverSenderShare);
         assert_eq!(COHORT.allows(Sender::Neither, 0.0, 0.0, 1.0), Allowance::NotASender);
     }
 
     #[test]
-    fn wardens_are_as_many_as_parts_that_hold_a_window_of_sends_and_as_many_are_drawn() {
+    fn each_designated_sender_has_a_share_of_the_usual_work_and_that_many_are_chosen() {
         assert_eq!(designated_sender_count(900.0, 1000.0, 300), 1);
         assert_eq!(designated_sender_count(900.0, 100.0, 300), 9);
         assert_eq!(designated_sender_count(900.0, 0.0, 300), 1);
         assert_eq!(designated_sender_count(900.0, 1.0, 4), 4);
-        for draw in [0, 7, u64::MAX] {
-            let drawn = (0..300).filter(|&rank| is_designated_sender(draw, rank, 300, 9)).count();
-            assert_eq!(drawn, 9);
+        for hash in [0, 7, u64::MAX] {
+            let chosen = (0..300).filter(|&rank| is_designated_sender(hash, rank, 300, 9)).count();
+            assert_eq!(chosen, 9);
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,21 +1,20 @@
-//! What one scheduler of many may spend of what they all share.
+//! Limits on one scheduler's use of the resources that a fleet of schedulers shares.
 //!
-//! Hundreds of schedulers send to the same stock workers and ask the same discovery service. What is harmless in one
-//! of them (a job to a worker that has just started, say) adds up over all. This crate computes, without
-//! I/O and without a clock of its own, what one scheduler may
-//! spend:
+//! Hundreds of schedulers send jobs to the same workers and query the same discovery service. An action that is harmless
+//! for one scheduler, such as a job to a worker that has just started, can overload the receiver if all schedulers do the
+//! same. This crate computes the share that one scheduler may use. It has no I/O and no clock of its own.
 //!
-//! * [`census`]: how many schedulers there are, from what the settings say and from whom it has heard;
-//! * [`company`]: what it assumes of the others, where they speak, fall silent, or must not speak;
-//! * [`cold`]: what it may send a worker that is still cold, as a member of the cohort that shares it, as a warden, or,
-//!   where nobody speaks, in turn;
-//! * [`draw`]: draws that all schedulers make alike;
-//! * [`speed`]: how fast a worker is, by what several schedulers measured;
-//! * [`spending`]: what it has spent, for operators;
-//! * [`trust`]: how far it trusts a worker, by what it saw, what the worker reports and what the others tell.
+//! * [`fleet_size`]: number of schedulers, from the settings and from received messages;
+//! * [`peer_set`]: assumptions about the other schedulers, depending on whether they send messages;
+//! * [`cold`]: limits on the work for a cold worker, for members of its cohort, for designated senders, and for
+//!   schedulers that send each other no messages;
+//! * [`hash`]: hash function for choices that all schedulers must make alike;
+//! * [`speed`]: speed of a worker, from measurements of several schedulers;
+//! * [`usage`]: counters for operators;
+//! * [`health`]: health of a worker, from its faults, its own reports and the reports of other schedulers.
 //!
-//! Which worker a job goes to, whether it is tried again and what is turned away are decided elsewhere, by the
-//! decision module; it asks here what it may spend. See `docs/fleet.md`.
+//! The decision module decides which worker gets a job, whether a job is tried again and which requests are rejected; it
+//! asks this crate for the limits.
 
 pub mod cold;
 pub mod fleet_size;
--- a/crates/fleet/src/peer_set.rs
+++ b/crates/fleet/src/peer_set.rs
@@ -1,56 +1,60 @@
-//! What a scheduler assumes of the others: how many there are, whether they speak, and so how far it may go by what they
-//! tell. The one place where that is stated; the settings and what is heard both count.
+//! Assumptions of a scheduler about its peers: how many there are, whether they send messages, and how much weight their
+//! messages have. Both the settings and the received messages count.
 //!
-//! | others | what they have at a worker | who may send to a cold worker |
+//! | peers | assumed load of the peers at a worker | senders to a cold worker |
 //! | --- | --- | --- |
-//! | speak | what they told; nothing beside it at the workers of the own share | the cohort that has it in its share, from one pool |
-//! | may speak, and fall silent | for [`SILENT`] the same; then, over [`FADES`], ever more what reports and starts show on average | the same: the pool is safe with every message lost |
-//! | must not speak | what reports and starts show | a few, drawn by the worker and the time, in turn ([`crate::cold::Rota`]) |
+//! | send messages | the reported load; no other load at workers of the own cohort | the worker's cohort, from one pool |
+//! | may send messages, but have stopped | for [`SILENCE_TIMEOUT`] the same; then, over [`FADE_TIME`], increasingly the average from reports and job starts | the same: the pool is safe even if every message is lost |
+//! | must not send messages | the load from reports and job starts | a few schedulers in each window, chosen by the worker and the time ([`crate::cold::ColdRotation`]) |
 
 use crate::fleet_size::FleetSize;
 
-/// A time on the caller's clock, or a span, in microseconds.
+/// A point in time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Others who may speak and have work do so several times a second: nothing for so long is silence.
+/// Peers count as silent if no message arrived for this time. Peers that may send messages and have work send several
+/// a second.
 pub const SILENCE_TIMEOUT: Micros = 1_000_000;
-/// After that their word loses its weight over this time.
+/// After [`SILENCE_TIMEOUT`], the weight of the peers' messages falls to 0 over this time.
 pub const FADE_TIME: Micros = 2_000_000;
 
-/// See the head of this file.
+/// The other schedulers, as far as they are known. The module documentation describes the assumptions.
 #[derive(Clone, Debug)]
 pub struct PeerSet {
-    census: FleetSize,
+    fleet: FleetSize,
+    /// Whether peers may send each other messages.
     allowed: bool,
-    heard: Option<Micros>,
+    /// Time of the last message from any peer.
+    last_message: Option<Micros>,
 }
 
 impl PeerSet {
-    /// `told` schedulers, as the settings say, of which this one has rank `own`; `allowed`: they may speak.
-    pub fn new(told: u32, own: u32, allowed: bool) -> Self {
-        PeerSet { census: FleetSize::new(told, own), allowed, heard: None }
+    /// Creates the set from the number of schedulers in the settings and this scheduler's rank. `allowed`: schedulers may
+    /// send each other messages.
+    pub fn new(configured: u32, own_rank: u32, allowed: bool) -> Self {
+        PeerSet { fleet: FleetSize::new(configured, own_rank), allowed, last_message: None }
     }
 
-    /// How many there are (see [`Census::size`]).
+    /// Returns the minimum number of schedulers, this one included (see [`FleetSize::size`]).
     pub fn size(&self) -> u32 {
-        self.census.size()
+        self.fleet.size()
     }
 
-    /// There are others, and they may be told something.
+    /// Returns whether this scheduler sends messages: there are peers, and messages are allowed.
     pub fn sends_peer_messages(&self) -> bool {
         self.allowed && self.size() > 1
     }
 
-    /// The scheduler of this rank has spoken; tells whether there are more than was thought.
+    /// Records a message from the scheduler of this rank, and returns whether the fleet is larger than known before.
     pub fn record_message(&mut self, now: Micros, rank: u32) -> bool {
-        self.heard = self.heard.max(Some(now));
-        self.census.record_rank(rank)
+        self.last_message = self.last_message.max(Some(now));
+        self.fleet.record_rank(rank)
     }
 
-    /// How far to go by what others tell, from 0 (nobody speaks) to 1.
+    /// Returns the weight of the peers' messages, from 0 (no peer sends any) to 1.
     pub fn confidence(&self, now: Micros) -> f64 {
-        let Some(heard) = self.heard.filter(|_| self.allowed) else { return 0.0 };
-        let silent = now.saturating_sub(heard).saturating_sub(SILENCE_TIMEOUT);
+        let Some(last_message) = self.last_message.filter(|_| self.allowed) else { return 0.0 };
+        let silent = now.saturating_sub(last_message).saturating_sub(SILENCE_TIMEOUT);
         1.0 - (silent as f64 / FADE_TIME as f64).min(1.0)
     }
 }
@@ -62,29 +66,32 @@
     const SECOND: Micros = 1_000_000;
 
     #[test]
-    fn the_word_of_others_fades_smoothly_as_they_fall_silent_and_is_back_at_once() {
-        let mut company = PeerSet::new(30, 2, true);
-        assert!(company.sends_peer_messages());
-        assert_eq!(company.confidence(SECOND), 0.0, "who was never heard is not gone by");
-        company.record_message(10 * SECOND, 7);
-        assert_eq!(company.confidence(10 * SECOND + SILENCE_TIMEOUT), 1.0);
+    fn confidence_fades_gradually_in_silence_and_returns_with_a_message() {
+        let mut peers = PeerSet::new(30, 2, true);
+        assert!(peers.sends_peer_messages());
+        assert_eq!(peers.confidence(SECOND), 0.0, "confidence must be 0 before the first message");
+        peers.record_message(10 * SECOND, 7);
+        assert_eq!(peers.confidence(10 * SECOND + SILENCE_TIMEOUT), 1.0);
         let mut last = 1.0;
         for at in (0..=FADE_TIME).step_by(100_000) {
-            let trust = company.confidence(10 * SECOND + SILENCE_TIMEOUT + at);
-            assert!(trust <= last && last - trust < 0.06, "no step");
-            last = trust;
+            let confidence = peers.confidence(10 * SECOND + SILENCE_TIMEOUT + at);
+            assert!(
+                confidence <= last && last - confidence < 0.06,
+                "a step from {last} to {confidence} at {at} us"
+            );
+            last = confidence;
         }
         assert_eq!(last, 0.0);
-        company.record_message(20 * SECOND, 7);
-        assert_eq!(company.confidence(20 * SECOND), 1.0);
+        peers.record_message(20 * SECOND, 7);
+        assert_eq!(peers.confidence(20 * SECOND), 1.0);
     }
 
     #[test]
-    fn where_talk_is_barred_nothing_that_comes_is_gone_by() {
-        let mut company = PeerSet::new(30, 2, false);
-        company.record_message(SECOND, 7);
-        assert!(!company.sends_peer_messages());
-        assert_eq!(company.confidence(SECOND), 0.0);
-        assert!(!PeerSet::new(1, 0, true).sends_peer_messages(), "one alone has nobody to tell");
+    fn messages_are_ignored_where_they_are_not_allowed() {
+        let mut peers = PeerSet::new(30, 2, false);
+        peers.record_message(SECOND, 7);
+        assert!(!peers.sends_peer_messages());
+        assert_eq!(peers.confidence(SECOND), 0.0);
+        assert!(!PeerSet::new(1, 0, true).sends_peer_messages(), "a single scheduler has no peers");
     }
 }
--- a/crates/fleet/src/speed.rs
+++ b/crates/fleet/src/speed.rs
@@ -1,28 +1,31 @@
-//! How fast a worker is, learned by several schedulers together.
+//! Speed of a worker, learned by several schedulers together.
 //!
-//! A scheduler of hundreds runs a job at a worker every few seconds, and its clients' hints are rough: alone it learns a
-//! worker's speed in minutes. Those that share a worker tell each other what each job shows, and all learn from each.
+//! In a fleet of hundreds, one scheduler runs a job at a worker only every few seconds, and its clients' hints are
+//! inaccurate, so alone it would need minutes to learn a worker's speed. Schedulers that share a worker send each other the
+//! speed that each job shows, and all of them learn from it.
 
 use serde::{Deserialize, Serialize};
 
-/// The most that one job may be off by, in logarithms: one that ran into a pause tells little of the speed.
-const FARTHEST: f64 = 1.0;
+/// Limit of the error of one job, as a natural logarithm. A larger error is cut off, since a job that was delayed by a
+/// pause of the worker says little about its speed.
+const MAX_ERROR: f64 = 1.0;
 
-/// The natural logarithm of a speed, and how much it is founded on.
+/// Estimate of a speed, and the number of jobs that it is based on.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Speed {
-    /// The logarithm, 0 for a standard core.
+    /// Natural logarithm of the speed; 0 for a standard core.
     pub ln: f64,
-    /// Jobs that it was learned from.
+    /// Number of jobs that it was learned from.
     pub seen: f64,
 }
 
 impl Speed {
-    /// A job took `error` longer, in logarithms, than the speed says. The estimate counts as much as `prior` jobs at
-    /// first, and as `most` jobs at last, so that it follows a worker that changes.
-    pub fn learn(&mut self, error: f64, prior: f64, most: f64) {
+    /// Learns from a job. `error` is the natural logarithm of its run time divided by the run time at the estimated speed.
+    /// The estimate weighs as much as `prior` jobs at first, and at most as `max_weight` jobs, so that it follows a worker
+    /// whose speed changes.
+    pub fn learn(&mut self, error: f64, prior: f64, max_weight: f64) {
         if error.is_finite() {
-            self.ln -= error.clamp(-FARTHEST, FARTHEST) / (self.seen + prior).min(most);
+            self.ln -= error.clamp(-MAX_ERROR, MAX_ERROR) / (self.seen + prior).min(max_weight);
             self.seen += 1.0;
         }
     }
@@ -33,12 +36,12 @@
     use super::*;
 
     #[test]
-    fn eight_that_tell_each_other_know_a_slow_worker_before_one_alone_has_begun_to() {
-        // A worker at half speed; each scheduler runs one job there, with hints off by a third either way.
-        let jobs = [0.3, -0.3, 0.3, -0.3, 0.3, -0.3, 0.3, -0.3];
+    fn eight_jobs_show_a_slow_worker_better_than_one_job() {
+        // A worker at half speed. Each of 8 schedulers runs one job there, with hints that are off by about a third.
+        let errors = [0.3, -0.3, 0.3, -0.3, 0.3, -0.3, 0.3, -0.3];
         let learn = |count: usize| {
             let mut speed = Speed::default();
-            for noise in &jobs[..count] {
+            for noise in &errors[..count] {
                 speed.learn(speed.ln - (0.5_f64.ln() + noise), 4.0, 10.0);
             }
             speed.ln.exp()
@@ -48,7 +51,7 @@
     }
 
     #[test]
-    fn no_single_word_moves_it_far_and_none_makes_it_no_number() {
+    fn one_job_has_a_limited_effect_and_non_finite_errors_are_ignored() {
         let mut speed = Speed::default();
         speed.learn(f64::NAN, 4.0, 10.0);
         speed.learn(f64::INFINITY, 4.0, 10.0);
