--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -484,7 +484,8 @@
     Settings(Box<Settings>),
     /// The client has left or the answer is overdue; the request is over.
     RequestAbandoned(RequestId),
-    /// The process ends at this time. No client is answered later, so clients with a later deadline count as leaving then.
+    /// The process ends at this time. No client is answered later, so clients with a later deadline count as leaving
+    /// then.
     ShutdownAt(Micros),
     /// The request continues at another process of this dispatcher.
     RequestTransferred(RequestId),
--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -13,8 +13,8 @@
     }
 
     /// Returns knowledge with its classes and tenants moved to new indices. `classes` and `tenants` have an entry for
-    /// each new index, which holds the old index, or `None` for a new class or tenant. Knowledge that cannot be parsed is
-    /// returned unchanged; the receiver rejects it later.
+    /// each new index, which holds the old index, or `None` for a new class or tenant. Knowledge that cannot be parsed
+    /// is returned unchanged; the receiver rejects it later.
     pub fn remap_knowledge(
         mut knowledge: serde_json::Value,
         classes: &[Option<usize>],
@@ -35,10 +35,10 @@
         knowledge
     }
 
-    /// Converts the times in another process's knowledge to this process's clock. `behind` is how far the other clock is
-    /// behind this one, in microseconds; it is negative if the other clock is ahead. The start times of workers come from
-    /// the workers' own clocks and stay. Knowledge that cannot be parsed is returned unchanged; the receiver rejects it
-    /// later.
+    /// Converts the times in another process's knowledge to this process's clock. `behind` is how far the other clock
+    /// is behind this one, in microseconds; it is negative if the other clock is ahead. The start times of workers come
+    /// from the workers' own clocks and stay. Knowledge that cannot be parsed is returned unchanged; the receiver
+    /// rejects it later.
     pub fn shift_knowledge(mut knowledge: serde_json::Value, behind: i64) -> serde_json::Value {
         let parsed = (Vec::deserialize(&knowledge[0]), Knowledge::deserialize(&knowledge[2]));
         let (Ok(mut workers), Ok(mut know)): (Result<Vec<Worker>, _>, Result<Knowledge, _>) = parsed else {
@@ -50,8 +50,8 @@
         knowledge
     }
 
-    /// Takes over the knowledge of another process. Knowledge that cannot be parsed or that was learned under settings of
-    /// another shape is ignored, with a log line.
+    /// Takes over the knowledge of another process. Knowledge that cannot be parsed or that was learned under settings
+    /// of another shape is ignored, with a log line.
     pub(crate) fn on_knowledge_received(&mut self, received: serde_json::Value) {
         let fits = |(workers, maps, know): &(Vec<Worker>, Vec<SizeMap>, Knowledge)| {
             let covered = workers.iter().all(|worker| know.covers(worker));
--- a/crates/decisions/src/settings_update.rs
+++ b/crates/decisions/src/settings_update.rs
@@ -97,7 +97,8 @@
         if let Some(field) = self.settings.fixed_change(new) {
             return reject(field, "cannot change without a restart");
         }
-        // If any worker refuses a skill, each class is a skill, and the number of skills is bounded by the bits of a mask.
+        // If any worker refuses a skill, each class is a skill, and the number of skills is bounded by the bits of a
+        // mask.
         let skills_used = self.workers.iter().any(|worker| worker.refuses != 0);
         let (classes, tenants) = (new.classes.len(), new.tenants.len());
         if classes < self.settings.classes.len() {
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,4 +1,5 @@
-//! State of the decision module: records with methods that only query or update them, and the hash function of its maps.
+//! State of the decision module: records with methods that only query or update them, and the hash function of its
+//! maps.
 
 use crate::api::*;
 use crate::rules::Dispatcher;
@@ -14,8 +15,8 @@
 use std::hash::{BuildHasherDefault, Hasher};
 
 impl Dispatcher {
-    /// Returns the number of requests of a tenant since this process started, and how many of them counted as within the
-    /// tenant's share. Both are 0 for a tenant without a quota. `None` if there is no such tenant.
+    /// Returns the number of requests of a tenant since this process started, and how many of them counted as within
+    /// the tenant's share. Both are 0 for a tenant without a quota. `None` if there is no such tenant.
     pub fn quota_counts(&self, tenant: TenantIx) -> Option<(u64, u64)> {
         self.know.buckets.get(tenant.0).map(|bucket| (bucket.requested, bucket.granted))
     }
@@ -183,8 +184,8 @@
     /// Status in the worker list.
     #[serde(rename = "standing")]
     pub(crate) status: WorkerStatus,
-    /// Number of lanes, if the worker list states it exactly. Serialized under its earlier name, so that another version
-    /// of the program can read it.
+    /// Number of lanes, if the worker list states it exactly. Serialized under its earlier name, so that another
+    /// version of the program can read it.
     #[serde(default, rename = "told")]
     pub(crate) exact_lanes: Option<usize>,
     /// Skills that the worker lacks, one bit each.
@@ -239,7 +240,8 @@
         self.own.iter().filter(|own| !own.awaits_start).map(|own| own.slots).sum()
     }
 
-    /// Returns whether this worker drops a repeat of a request that worker `of` had, given the group that drops repeats.
+    /// Returns whether this worker drops a repeat of a request that worker `of` had, given the group that drops
+    /// repeats.
     pub(crate) fn drops_repeats(&self, group: Group, of: &Worker) -> bool {
         match group {
             Group::All => true,
@@ -310,8 +312,8 @@
     pub(crate) over_share: bool,
     /// Worth of each unit of work if the request is answered in time.
     pub(crate) worth_per_work: f64,
-    /// Plausible lower bound of the size, as a fraction of the estimated size. The deadline test uses it, since a job that
-    /// is smaller than its hint has less time until its aim.
+    /// Plausible lower bound of the size, as a fraction of the estimated size. The deadline test uses it, since a job
+    /// that is smaller than its hint has less time until its aim.
     pub(crate) lower_bound_factor: f64,
     /// Attempts of the request, in order of sending.
     pub(crate) attempts: Vec<Attempt>,
@@ -428,8 +430,8 @@
         (rate * 5.0).max(3.0)
     }
 
-    /// Changes the rate: adds tokens at the old rate up to now, then cuts the saved tokens to the capacity at the new rate.
-    /// Rates are in tokens per second.
+    /// Changes the rate: adds tokens at the old rate up to now, then cuts the saved tokens to the capacity at the new
+    /// rate. Rates are in tokens per second.
     pub(crate) fn set_rate(&mut self, now: Micros, old: f64, new: f64) {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = now;
--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -1,14 +1,15 @@
 //! Limits on the work that a scheduler may send to a cold worker.
 //!
 //! A worker that is still cold fails if it is sent too much work. All schedulers together may therefore send it at most
-//! a budget of work in each window; the caller sets the budget, with a margin. Its senders are the members of the cohort
-//! that the worker belongs to, who try it first, and a few *designated senders* chosen by the worker's id. With the
-//! designated senders, more than one sender has a share that is large enough for a job even where cohorts are small.
+//! a budget of work in each window; the caller sets the budget, with a margin. Its senders are the members of the
+//! cohort that the worker belongs to, who try it first, and a few *designated senders* chosen by the worker's id. With
+//! the designated senders, more than one sender has a share that is large enough for a job even where cohorts are
+//! small.
 //!
-//! Each sender has an equal share of the budget. A member of the cohort may exceed its share by the amount that the other
-//! members report as unused, up to [`MAX_MEMBER_MULTIPLE`] times its share. The cohort as a whole then keeps to its pool
-//! while the members' messages arrive, and the fleet keeps to [`MAX_MEMBER_MULTIPLE`] times the budget if all messages
-//! are lost.
+//! Each sender has an equal share of the budget. A member of the cohort may exceed its share by the amount that the
+//! other members report as unused, up to [`MAX_MEMBER_MULTIPLE`] times its share. The cohort as a whole then keeps to
+//! its pool while the members' messages arrive, and the fleet keeps to [`MAX_MEMBER_MULTIPLE`] times the budget if all
+//! messages are lost.
 
 use crate::hash::mix;
 
@@ -62,14 +63,15 @@
 }
 
 impl ColdBudget {
-    /// Creates the budget of a worker to which all senders together may send `budget` in a window. The worker's cohort has
-    /// `members` members, and each of `schedulers` schedulers usually sends `usual` in a window (see
+    /// Creates the budget of a worker to which all senders together may send `budget` in a window. The worker's cohort
+    /// has `members` members, and each of `schedulers` schedulers usually sends `usual` in a window (see
     /// [`designated_sender_count`]).
     pub fn new(budget: f64, members: usize, usual: f64, schedulers: u32) -> Self {
         ColdBudget { budget, members, designated: designated_sender_count(budget, usual, schedulers) }
     }
 
-    /// Returns whether the scheduler of this rank is a designated sender. `hash` is the hash of the worker's id and start.
+    /// Returns whether the scheduler of this rank is a designated sender. `hash` is the hash of the worker's id and
+    /// start.
     pub fn is_designated(&self, hash: u64, rank: u32, schedulers: u32) -> bool {
         is_designated_sender(hash, rank, schedulers, self.designated)
     }
@@ -108,15 +110,15 @@
     (start_capacity + (1.0 - start_capacity) * age as f64 / cold as f64).clamp(0.01, 1.0)
 }
 
-/// Returns the number of designated senders of a cold worker: as many as can each have a share of `usual`, the work that
-/// a scheduler usually sends in a window. There is at least one, and at most one per scheduler.
+/// Returns the number of designated senders of a cold worker: as many as can each have a share of `usual`, the work
+/// that a scheduler usually sends in a window. There is at least one, and at most one per scheduler.
 pub fn designated_sender_count(budget: f64, usual: f64, schedulers: u32) -> usize {
     let count = if usual > 0.0 { (budget / usual).floor() } else { 1.0 };
     count.clamp(1.0, f64::from(schedulers.max(1))) as usize
 }
 
-/// Returns whether the scheduler of this rank is one of `count` designated senders among `schedulers`. `hash` is the hash
-/// of the worker's id and start.
+/// Returns whether the scheduler of this rank is one of `count` designated senders among `schedulers`. `hash` is the
+/// hash of the worker's id and start.
 pub fn is_designated_sender(hash: u64, rank: u32, schedulers: u32, count: usize) -> bool {
     let schedulers = u64::from(schedulers.max(1));
     let position = (hash % schedulers + u64::from(rank)) % schedulers;
@@ -154,8 +156,8 @@
     }
 
     /// Decides whether the scheduler of this rank may send a job with `work` if it has sent `own_work` in the current
-    /// window, both in microseconds at speed 1. `same_zone`: the scheduler is in the worker's zone. `hash` is the hash of
-    /// the worker's id and start, and `window` the number of the window since a time on which all schedulers agree.
+    /// window, both in microseconds at speed 1. `same_zone`: the scheduler is in the worker's zone. `hash` is the hash
+    /// of the worker's id and start, and `window` the number of the window since a time on which all schedulers agree.
     pub fn allows(
         &self,
         same_zone: bool,
--- a/crates/fleet/src/fleet_size.rs
+++ b/crates/fleet/src/fleet_size.rs
@@ -1,10 +1,11 @@
 //! Number of schedulers in the fleet: the number in the settings, raised by the ranks of received messages.
 //!
-//! Every share is computed from this number, and the settings may be wrong. Received messages can only raise it, since a
-//! lost datagram must never let a scheduler use more than its share. If the number is too large, each share is smaller:
-//! this costs throughput, but no worker is overloaded.
+//! Every share is computed from this number, and the settings may be wrong. Received messages can only raise it, since
+//! a lost datagram must never let a scheduler use more than its share. If the number is too large, each share is
+//! smaller: this costs throughput, but no worker is overloaded.
 
-/// Limit on ranks: ranks from this number on are not counted, so that a peer that sends high ranks cannot exhaust memory.
+/// Limit on ranks: ranks from this number on are not counted, so that a peer that sends high ranks cannot exhaust
+/// memory.
 pub const MAX_RANKS: u32 = 4096;
 
 /// Minimum number of schedulers in the fleet, and the ranks from which messages were received.
@@ -37,8 +38,8 @@
         self.size > before
     }
 
-    /// Returns the minimum number of schedulers: the largest of the number in the settings, the own rank plus 1, and the
-    /// highest rank seen plus 1. It never decreases.
+    /// Returns the minimum number of schedulers: the largest of the number in the settings, the own rank plus 1, and
+    /// the highest rank seen plus 1. It never decreases.
     pub fn size(&self) -> u32 {
         self.size
     }
--- a/crates/fleet/src/peer_set.rs
+++ b/crates/fleet/src/peer_set.rs
@@ -1,5 +1,5 @@
-//! Assumptions of a scheduler about its peers: how many there are, whether they send messages, and how much weight their
-//! messages have. Both the settings and the received messages count.
+//! Assumptions of a scheduler about its peers: how many there are, whether they send messages, and how much weight
+//! their messages have. Both the settings and the received messages count.
 //!
 //! | peers | assumed load of the peers at a worker | senders to a cold worker |
 //! | --- | --- | --- |
@@ -29,8 +29,8 @@
 }
 
 impl PeerSet {
-    /// Creates the set from the number of schedulers in the settings and this scheduler's rank. `allowed`: schedulers may
-    /// send each other messages.
+    /// Creates the set from the number of schedulers in the settings and this scheduler's rank. `allowed`: schedulers
+    /// may send each other messages.
     pub fn new(configured: u32, own_rank: u32, allowed: bool) -> Self {
         PeerSet { fleet: FleetSize::new(configured, own_rank), allowed, last_message: None }
     }
--- a/crates/fleet/src/speed.rs
+++ b/crates/fleet/src/speed.rs
@@ -1,8 +1,8 @@
 //! Speed of a worker, learned by several schedulers together.
 //!
 //! In a fleet of hundreds, one scheduler runs a job at a worker only every few seconds, and its clients' hints are
-//! inaccurate, so alone it would need minutes to learn a worker's speed. Schedulers that share a worker send each other the
-//! speed that each job shows, and all of them learn from it.
+//! inaccurate, so alone it would need minutes to learn a worker's speed. Schedulers that share a worker send each other
+//! the speed that each job shows, and all of them learn from it.
 
 use serde::{Deserialize, Serialize};
 
@@ -20,9 +20,9 @@
 }
 
 impl Speed {
-    /// Learns from a job. `error` is the natural logarithm of its run time divided by the run time at the estimated speed.
-    /// The estimate weighs as much as `prior` jobs at first, and at most as `max_weight` jobs, so that it follows a worker
-    /// whose speed changes.
+    /// Learns from a job. `error` is the natural logarithm of its run time divided by the run time at the estimated
+    /// speed. The estimate weighs as much as `prior` jobs at first, and at most as `max_weight` jobs, so that it
+    /// follows a worker whose speed changes.
     pub fn learn(&mut self, error: f64, prior: f64, max_weight: f64) {
         if error.is_finite() {
             self.ln -= error.clamp(-MAX_ERROR, MAX_ERROR) / (self.seen + prior).min(max_weight);
