--- a/crates/knowledge/src/lanes.rs
+++ b/crates/knowledge/src/lanes.rs
@@ -1,30 +1,37 @@
-//! How many jobs a kind of worker runs at once, where its workers report no free slots but tell when a job starts.
+//! Number of jobs that a kind of worker runs at once (its lanes), for workers that report no free slots but report the
+//! start of a job.
 //!
-//! What ran at once is certain. That no more could have is seen when a job had to wait while so many ran; until then
-//! one more is tried. Jobs of others run there too, so that a wait may have had another cause: a larger number that is
-//! seen to run later sets that right.
+//! The largest number of jobs seen running at once is a certain lower bound. It is taken as the exact number once a job
+//! had to wait while this number ran; until then, one more lane is assumed. Jobs of other schedulers run at the worker
+//! too, so a wait may have had another cause: a larger number that is later seen running corrects the estimate.
 
 use serde::{Deserialize, Serialize};
 
-/// See the head of this file.
+/// Estimated number of lanes of a kind of worker. The module documentation describes the estimate.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LaneCount {
-    most: usize,
-    capped: bool,
+    /// Largest number of jobs seen running at once.
+    #[serde(rename = "most")]
+    max_running: usize,
+    /// Whether a job had to wait while `max_running` jobs ran.
+    #[serde(rename = "capped")]
+    is_exact: bool,
 }
 
 impl LaneCount {
-    /// Lanes to reckon with: those seen at work, and one more as long as none was seen to be too many.
+    /// Returns the number of lanes to assume: the largest number of jobs seen running at once, plus one unless that
+    /// number is known to be exact.
     pub fn lanes(&self) -> usize {
-        self.most + usize::from(!self.capped)
+        self.max_running + usize::from(!self.is_exact)
     }
 
-    /// A job has started, beside which so many run there now, itself included; it had to wait for that, or not.
+    /// Records the start of a job. `running` is the number of jobs that now run at the worker, this one included.
+    /// `waited`: the job had to wait for its start.
     pub fn record_start(&mut self, running: usize, waited: bool) {
-        if running > self.most {
-            (self.most, self.capped) = (running, false);
-        } else if waited && running == self.most {
-            self.capped = true;
+        if running > self.max_running {
+            (self.max_running, self.is_exact) = (running, false);
+        } else if waited && running == self.max_running {
+            self.is_exact = true;
         }
     }
 }
@@ -34,20 +41,20 @@
     use super::*;
 
     #[test]
-    fn lanes_grow_with_what_runs_at_once_and_stop_where_a_job_had_to_wait() {
+    fn lanes_grow_with_running_jobs_until_a_job_has_to_wait() {
         let mut count = LaneCount::default();
         assert_eq!(count.lanes(), 1);
         count.record_start(1, false);
         assert_eq!(count.lanes(), 2);
         count.record_start(2, false);
-        // A third had to wait until one of the two had ended.
+        // A third job had to wait until one of the two ended.
         count.record_start(2, true);
         count.record_start(2, true);
         assert_eq!(count.lanes(), 2);
     }
 
     #[test]
-    fn a_wait_that_anothers_jobs_caused_is_set_right_by_what_runs_later() {
+    fn wait_caused_by_other_schedulers_is_corrected_by_a_larger_number_of_running_jobs() {
         let mut count = LaneCount::default();
         count.record_start(1, false);
         count.record_start(1, true);
@@ -55,6 +62,10 @@
         count.record_start(2, true);
         assert_eq!(count.lanes(), 3);
         count.record_start(1, true);
-        assert_eq!(count.lanes(), 3, "fewer at work than were seen before say nothing");
+        assert_eq!(
+            count.lanes(),
+            3,
+            "a wait with fewer running jobs than the maximum must not change the count"
+        );
     }
 }
--- a/crates/knowledge/src/lib.rs
+++ b/crates/knowledge/src/lib.rs
@@ -1,17 +1,18 @@
-//! What a scheduler learns of jobs and workers in the course of time, each kind of knowledge with the rule by which it is
-//! learned, so that it can be handed to another process and tested by itself. Without I/O, and without a clock of its own.
+//! Models that a scheduler learns from jobs and workers. Each model is separate from the others, with its own learning
+//! rule, so that it can be handed over to another process and tested alone. The crate has no I/O and no clock of its
+//! own.
 //!
-//! * [`classes`]: how large the jobs of a class are, and what their hints are worth;
-//! * [`lanes`]: how many jobs a kind of worker runs at once;
-//! * [`sizes`]: how sizes are spread, and where that divides workers of different speeds;
-//! * [`rate`]: how much work comes in.
+//! * [`classes`]: size of the jobs of a class, and accuracy of their hints;
+//! * [`lanes`]: number of jobs that a kind of worker runs at once;
+//! * [`sizes`]: distribution of job sizes, and the bounds that divide the work among workers of different speeds;
+//! * [`rate`]: work that arrives per second.
 //!
-//! What follows from it for a job is decided elsewhere, by the decision module.
+//! The decision module uses the models to decide about jobs.
 
 pub mod classes;
 pub mod lanes;
 pub mod rate;
 pub mod sizes;
 
-/// A time on the caller's clock, or a span, in microseconds.
+/// A point in time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/knowledge/src/rate.rs
+++ b/crates/knowledge/src/rate.rs
@@ -1,36 +1,40 @@
-//! How much comes in a second, the last ten seconds or so counting most.
+//! Rate of an amount per second, averaged over about the last ten seconds.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-const SPAN: f64 = 10.0;
+/// Time constant of the average, in seconds.
+const TIME_CONSTANT_S: f64 = 10.0;
 
-/// A rate that fades while nothing comes.
+/// Exponentially weighted average of an amount per second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Rate {
+    /// Average at `updated_at`.
     per_s: f64,
-    at: Micros,
+    /// Time of the last update.
+    #[serde(rename = "at")]
+    updated_at: Micros,
 }
 
 impl Rate {
-    /// Nothing has come yet.
+    /// Creates a rate of 0.
     pub fn new(now: Micros) -> Self {
-        Rate { per_s: 0.0, at: now }
+        Rate { per_s: 0.0, updated_at: now }
     }
 
-    /// So much has come.
+    /// Adds an amount that has arrived at `now`.
     pub fn add(&mut self, now: Micros, amount: f64) {
-        let gone = now.saturating_sub(self.at) as f64 / 1e6;
-        self.per_s = self.per_s * (-gone / SPAN).exp() + amount / SPAN;
-        self.at = now;
+        let elapsed = now.saturating_sub(self.updated_at) as f64 / 1e6;
+        self.per_s = self.per_s * (-elapsed / TIME_CONSTANT_S).exp() + amount / TIME_CONSTANT_S;
+        self.updated_at = now;
     }
 
-    /// Its times are of a clock that is so far behind the one that counts from now on (microseconds).
+    /// Converts the time to a clock that is `by` microseconds ahead of the clock that it was taken from.
     pub fn shift(&mut self, by: i64) {
-        self.at = self.at.saturating_add_signed(by);
+        self.updated_at = self.updated_at.saturating_add_signed(by);
     }
 
-    /// What came a second, when something last came.
+    /// Returns the rate at the time of the last update.
     pub fn per_s(&self) -> f64 {
         self.per_s
     }
@@ -41,7 +45,7 @@
     use super::*;
 
     #[test]
-    fn a_steady_stream_is_measured_and_fades() {
+    fn rate_follows_a_steady_stream_and_decays_without_one() {
         let mut rate = Rate::new(0);
         (1..=1_000).for_each(|nr| rate.add(nr * 100_000, 5.0));
         assert!((rate.per_s() - 50.0).abs() < 2.0, "{}", rate.per_s());
