--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -131,7 +131,7 @@
     }
 
     /// How the list is come by.
-    pub fn mode(&self) -> ListSource {
+    pub fn source(&self) -> ListSource {
         self.mode
     }
 
--- a/crates/freshness/src/witness.rs
+++ b/crates/freshness/src/witness.rs
@@ -111,7 +111,7 @@
 impl Inquiry {
     /// When the next question is due; `None` where nobody needs to be asked.
     pub fn due(&self, clock: &ListLease) -> Option<Micros> {
-        if clock.mode() != ListSource::SharedService {
+        if clock.source() != ListSource::SharedService {
             return None;
         }
         let needed = clock.confirmed().map_or(clock.started(), |confirmed| confirmed + RECENT);
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -106,7 +106,7 @@
         confirmed_ago: Option<Micros>,
     ) {
         // What an agent holds counts from the first moment of a process, whatever the one before it was told.
-        if let Some(ago) = confirmed_ago.filter(|_| self.clock.mode() == ListSource::SharedService) {
+        if let Some(ago) = confirmed_ago.filter(|_| self.clock.source() == ListSource::SharedService) {
             self.clock.confirm(self.clock.started().saturating_sub(ago));
         }
         let update = known.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
@@ -375,7 +375,7 @@
 
     /// The module says when a service that all share is asked again. An agent is asked without it.
     fn tell_lost(&self, ctx: &mut Ctx<'_>) {
-        if self.clock.mode() == ListSource::SharedService {
+        if self.clock.source() == ListSource::SharedService {
             ctx.desk.members(Source::Listed, ListKind::Lost, Vec::new());
         }
     }
