--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -22,7 +22,7 @@
             lane_ends.sort_unstable();
             let slots = job.slots.min(lane_ends.len());
             // A job beyond its tenant's share leaves one lane free for jobs within their shares.
-            let start = lane_ends[(slots - 1 + usize::from(job.yields)).min(lane_ends.len() - 1)];
+            let start = lane_ends[(slots - 1 + usize::from(job.over_share)).min(lane_ends.len() - 1)];
             let end = start + self.run_time(index, job.size, now);
             lane_ends[..slots].fill(end);
             (start, end)
@@ -30,11 +30,12 @@
         // Under overload a planned job that still earns something when it is late yields to a job of much higher
         // value.
         let late_worth = |job: &Request| self.settings.classes[job.class].late_worth;
-        let yields_to_this =
-            |job: &Request| job.value * YIELD_VALUE_RATIO <= request.value && late_worth(job) > 0.0;
+        let yields_to_this = |job: &Request| {
+            job.worth_per_work * YIELD_VALUE_RATIO <= request.worth_per_work && late_worth(job) > 0.0
+        };
         let mut placed = None;
         for &(order, other) in self.workers[index].planned.iter().filter(|plan| plan.1 != id) {
-            if placed.is_none() && (order, other) > (request.order, id) {
+            if placed.is_none() && (order, other) > (request.queue_key, id) {
                 placed = Some(place_job(request));
             }
             let job = &self.requests[&other];
@@ -63,7 +64,7 @@
     /// Whether a job with this start and end meets its deadline. For a job that can still meet its aim, the run time
     /// is scaled by the uncertainty of its size.
     pub(super) fn meets_deadline(&self, job: &Request, start: Micros, end: Micros) -> bool {
-        let run_time = (end - start) as f64 * if job.late { 1.0 } else { job.doubt };
+        let run_time = (end - start) as f64 * if job.late { 1.0 } else { job.lower_bound_factor };
         start + run_time as Micros <= job.deadline
     }
 
@@ -71,14 +72,14 @@
     /// its zone fail.
     pub(super) fn is_avoided(&self, now: Micros, index: usize) -> bool {
         let worker = &self.workers[index];
-        let zone_unreachable = self.knowledge.cuts[worker.zone.0].1 > now;
-        worker.standing != Standing::On || worker.trust.avoided(now) || zone_unreachable
+        let zone_unreachable = self.knowledge.zone_failures[worker.zone.0].1 > now;
+        worker.status != WorkerStatus::On || worker.health.avoided(now) || zone_unreachable
     }
 
     /// Returns the number of listed workers that nothing is sent to for now.
     pub fn avoided_worker_count(&self, now: Micros) -> usize {
         let listed_and_avoided =
-            |&index: &usize| self.workers[index].standing != Standing::Gone && self.is_avoided(now, index);
+            |&index: &usize| self.workers[index].status != WorkerStatus::Gone && self.is_avoided(now, index);
         (0..self.workers.len()).filter(listed_and_avoided).count()
     }
 
@@ -88,8 +89,8 @@
         // dispatchers of the worker's cohort try the worker again, each with one job at a time.
         let not_repeatable = request.effect == Effect::Unsafe;
         let worker = &self.workers[index];
-        let trial_barred =
-            worker.trust.on_trial(now) && (not_repeatable || !worker.home || !worker.own.is_empty());
+        let trial_barred = worker.health.on_trial(now)
+            && (not_repeatable || !worker.in_own_cohort || !worker.own.is_empty());
         let kind = self.settings.classes[request.class].kind;
         let kind_matches = kind.is_none_or(|kind| kind.0 == worker.kind);
         kind_matches && !trial_barred && !self.is_avoided(now, index) && self.may_send(now, request, index)
@@ -116,7 +117,7 @@
         let neighbours =
             (1..ranges.len()).flat_map(|distance| [range + distance, range.wrapping_sub(distance)]);
         let homes = std::iter::once(range).chain(neighbours.filter(|&number| number < ranges.len()));
-        let homes = homes.flat_map(|number| ranges[number].home.iter());
+        let homes = homes.flat_map(|number| ranges[number].own_cohort.iter());
         for &index in homes.filter(|&&index| self.is_usable(index, now, request)) {
             let Some((start, end)) = self.demand_test(index, now, id, &mut lane_ends) else { continue };
             if start <= now {
@@ -140,7 +141,7 @@
         for index in self.sample_outside_workers(&ranges[range]) {
             let zone_margin =
                 if self.workers[index].zone == self.settings.zone { 0.0 } else { CROSS_ZONE_MARGIN };
-            let unknown = self.uses_probes() && now > self.workers[index].known + SECOND;
+            let unknown = self.uses_probes() && now > self.workers[index].load_known_at + SECOND;
             if unknown || free_lanes(index) - zone_margin <= most_free || !self.is_usable(index, now, request)
             {
                 continue;
@@ -156,14 +157,15 @@
     /// Returns a sample of the range's workers outside the own share; successive jobs get different samples. Workers
     /// of the own zone count double. More weight for them would let all dispatchers of a crowded zone examine its few
     /// workers and send on the same aged report.
-    pub(super) fn sample_outside_workers(&self, range: &Range) -> Vec<usize> {
-        let (near, far) = (range.near.len(), range.far.len());
+    pub(super) fn sample_outside_workers(&self, range: &SizeRange) -> Vec<usize> {
+        let (near, far) = (range.same_zone.len(), range.other_zones.len());
         let near_count = (MAX_SAMPLED_WORKERS * 2 * near).div_ceil((2 * near + far).max(1)).min(near);
         let sample = |workers: &[usize], count: usize| {
             let offset = self.sample_offset % workers.len().max(1);
             workers.iter().cycle().skip(offset).take(count.min(workers.len())).copied().collect::<Vec<_>>()
         };
-        [sample(&range.near, near_count), sample(&range.far, MAX_SAMPLED_WORKERS - near_count)].concat()
+        [sample(&range.same_zone, near_count), sample(&range.other_zones, MAX_SAMPLED_WORKERS - near_count)]
+            .concat()
     }
 
     /// Returns the index of the size map for the kind of machine that the request needs, and the number of the range
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -1,21 +1,21 @@
 //! Requests transferred between two processes of this dispatcher, with their attempts.
 
 use super::*;
-use crate::renewal::binding;
+use crate::settings_update::effect_after_update;
 
 impl Dispatcher {
     /// Takes over a transferred request with its attempts. Attempts in flight go on. The tighter of the effects at
     /// both processes decides what may be repeated. If the request was safe to repeat at the other process and may
     /// have run there, no worker has recorded that, so it is repeated only if it is still safe.
-    pub(super) fn adopt_request(&mut self, now: Micros, id: RequestId, transferred: HandedOn) {
+    pub(super) fn adopt_request(&mut self, now: Micros, id: RequestId, transferred: TransferredRequest) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_have_run = transferred.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverRan);
         let ran_unrecorded = may_have_run && transferred.effect == Effect::Safe;
-        request.effect = binding(transferred.effect, request.effect, ran_unrecorded);
+        request.effect = effect_after_update(transferred.effect, request.effect, ran_unrecorded);
         for attempt in transferred.attempts {
             self.adopt_attempt(now, id, attempt);
         }
-        if self.requests.get(&id).is_some_and(|request| !request.out()) {
+        if self.requests.get(&id).is_some_and(|request| !request.has_outstanding()) {
             // The request is held again, or answered if its attempts leave no other choice.
             self.retry_or_answer(now, id, Ending::TimedOut);
         }
@@ -39,8 +39,8 @@
     }
 
     /// Adds an attempt of the other process to a transferred request.
-    fn adopt_attempt(&mut self, now: Micros, id: RequestId, attempt_record: PastAttempt) {
-        let PastAttempt { worker, sent, state } = attempt_record;
+    fn adopt_attempt(&mut self, now: Micros, id: RequestId, attempt_record: PriorAttempt) {
+        let PriorAttempt { worker, sent, state } = attempt_record;
         let known = self.worker_index.get(&worker).copied();
         let index = known.unwrap_or_else(|| self.add_unlisted_worker(worker));
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -56,7 +56,7 @@
         let (size, slots) = (request.size, request.slots);
         let end = sent + self.run_time(index, size, now);
         // The start time of the job is unknown, so its run time is no measure of its size.
-        let own = Own { request: id, attempt, slots, sent, start: sent, end, ..Own::default() };
+        let own = OwnAttempt { request: id, attempt, slots, sent, start: sent, end, ..OwnAttempt::default() };
         self.workers[index].own.push(own);
         self.workers[index].peers.retain(|peer| peer.from != self.settings.rank);
         self.send_load(now, index, None);
@@ -65,7 +65,7 @@
     /// Adds a worker that is not in the worker list, so that it may bring a result. Nothing new is sent to it.
     fn add_unlisted_worker(&mut self, id: WorkerId) -> usize {
         let index = self.workers.len();
-        self.workers.push(Worker { id, standing: Standing::Gone, ..Worker::default() });
+        self.workers.push(Worker { id, status: WorkerStatus::Gone, ..Worker::default() });
         self.worker_index.insert(id, index);
         index
     }
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -7,7 +7,7 @@
     /// bursts even out. Sizes are powers of two, so that worker lists with small differences give the same cohorts.
     /// Large cohorts span all zones, small ones lie in one zone.
     pub(super) fn form_cohorts(&mut self) {
-        let workers = self.workers.iter().filter(|worker| worker.standing == Standing::On).count().max(1);
+        let workers = self.workers.iter().filter(|worker| worker.status == WorkerStatus::On).count().max(1);
         let size = (MIN_WORKERS_PER_COHORT * self.company.size() as usize / workers)
             .clamp(1, MAX_COHORT_SIZE)
             .next_power_of_two();
@@ -15,7 +15,7 @@
         let by_zone = size < 2 * self.settings.zones;
         let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| by_zone);
         for zone in zones.chain([None]) {
-            let in_zone = |rank: &u32| !by_zone || self.knowledge.zones[*rank as usize] == zone;
+            let in_zone = |rank: &u32| !by_zone || self.knowledge.zones_by_rank[*rank as usize] == zone;
             let ranks: Vec<u32> = (0..self.company.size()).filter(in_zone).collect();
             let count = (ranks.len() / size).max(usize::from(!ranks.is_empty()));
             let members_of = |number: usize| {
@@ -29,7 +29,7 @@
     /// counted, the dispatchers would not agree on the cohort of a worker. Every cohort gets an equal part of the
     /// workers of each kind, and within a zone an equal part of the workers of that zone.
     pub(super) fn assign_workers(&mut self) {
-        let in_service = (0..).zip(&self.workers).filter(|(_, worker)| worker.standing == Standing::On);
+        let in_service = (0..).zip(&self.workers).filter(|(_, worker)| worker.status == WorkerStatus::On);
         let mut sorted: Vec<_> = in_service.map(|(index, worker)| (worker.kind, worker.id, index)).collect();
         sorted.sort_unstable();
         let all_cohorts: Vec<usize> = (0..self.cohorts.len()).collect();
@@ -62,7 +62,7 @@
                 let cohort = bounds.into_iter().find_map(find_cohort).unwrap_or(0);
                 taken[cohort] += 1;
                 self.workers[index].cohort = cohort;
-                self.workers[index].home = self.cohorts[cohort].1.contains(&self.settings.rank);
+                self.workers[index].in_own_cohort = self.cohorts[cohort].1.contains(&self.settings.rank);
             }
         }
     }
@@ -78,7 +78,7 @@
             // The zones of the other dispatchers are unknown. Each dispatcher begins with the workers of its own zone,
             // in its own order.
             let own_zone = self.settings.zone;
-            self.workers.iter_mut().for_each(|worker| worker.home = worker.zone == own_zone);
+            self.workers.iter_mut().for_each(|worker| worker.in_own_cohort = worker.zone == own_zone);
         }
         if self.settings.weights {
             self.seed_speeds_from_weights();
@@ -96,7 +96,7 @@
     pub(super) fn seed_speeds_from_weights(&mut self) {
         let mean = |wanted_kind: Option<usize>| {
             let in_service = |worker: &&Worker| {
-                worker.standing == Standing::On && wanted_kind.is_none_or(|kind| kind == worker.kind)
+                worker.status == WorkerStatus::On && wanted_kind.is_none_or(|kind| kind == worker.kind)
             };
             let weights = self.workers.iter().filter(in_service).map(|worker| worker.weight);
             weights.clone().sum::<f64>() / weights.count() as f64
@@ -112,7 +112,7 @@
     /// Rebuilds one size map. `wanted_kind` is the only kind of machine that the map covers, or `None` for all kinds.
     pub(super) fn rebuild_size_map(&mut self, map_index: usize, wanted_kind: Option<usize>) {
         let in_service = |worker: &Worker| {
-            worker.standing == Standing::On && wanted_kind.is_none_or(|kind| kind == worker.kind)
+            worker.status == WorkerStatus::On && wanted_kind.is_none_or(|kind| kind == worker.kind)
         };
         let mut sorted: Vec<usize> =
             (0..self.workers.len()).filter(|&index| in_service(&self.workers[index])).collect();
@@ -129,7 +129,7 @@
         let mut ranges = Vec::with_capacity(count);
         for (number, &upper) in bounds.iter().enumerate() {
             let (mut home, others): (Vec<usize>, Vec<usize>) =
-                workers_of(number).iter().partition(|&&index| self.workers[index].home);
+                workers_of(number).iter().partition(|&&index| self.workers[index].in_own_cohort);
             let own_zone = |&index: &usize| self.workers[index].zone == self.settings.zone;
             let (mut near, mut far): (Vec<usize>, Vec<usize>) = others.into_iter().partition(own_zone);
             let draw_key = |&index: &usize| mix(u64::from(rank), u64::from(self.workers[index].id.0));
@@ -145,7 +145,7 @@
             }
             near.sort_by_key(draw_key);
             far.sort_by_key(draw_key);
-            ranges.push(Range { upper, home, near, far });
+            ranges.push(SizeRange { upper, own_cohort: home, same_zone: near, other_zones: far });
         }
         self.size_maps[map_index].ranges = ranges;
     }
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -16,7 +16,7 @@
     /// Applies the rules on sending that hold until the first byte of an attempt, given its number and worker.
     fn attempt_allowed(&self, now: Micros, request: &Request, attempt: usize, index: usize) -> bool {
         let worker = &self.workers[index];
-        if request.done || attempt >= self.settings.limits.tries as usize {
+        if request.done || attempt >= self.settings.limits.max_attempts as usize {
             return false;
         }
         // Rule 2 forbids a repeat that could do harm. In addition nothing is sent to a worker at which an earlier
@@ -39,7 +39,7 @@
         repeat_harmless
             && !runs_there
             && !self.worker_list.stale(now)
-            && worker.standing == Standing::On
+            && worker.status == WorkerStatus::On
             && !worker.refuses(request.skill)
     }
 
@@ -76,26 +76,32 @@
             (self.lane_count(index) as f64 * self.speed(index), rules.fall_window as f64);
         let budget = COLD_BUDGET_SHARE * rules.fall_multiple * self.warmth(index, now) * capacity * window;
         let work_per_window =
-            (self.knowledge.work.per_s() / SECOND as f64 * window).max(self.knowledge.mean_time);
+            (self.knowledge.work_rate.per_s() / SECOND as f64 * window).max(self.knowledge.mean_run_time);
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
         let (rank, sent) = (self.settings.rank, self.cold_work_sent(now, index));
         if !self.settings.limits.peers {
-            let rota = Rota::new(budget, work_per_window, self.company.size(), self.settings.zones);
+            let rota = ColdRotation::new(budget, work_per_window, self.company.size(), self.settings.zones);
             let (own_zone, draw_and_window) =
                 (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
-            return self.shared_spending.looked(rota.allows(own_zone, draw_and_window, rank, sent, work));
+            return self.shared_spending.count_allowance(rota.allows(
+                own_zone,
+                draw_and_window,
+                rank,
+                sent,
+                work,
+            ));
         }
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
-        let share = ColdShare::new(budget, members, work_per_window, self.company.size());
-        let sender = Sender::of(worker.home, share.warden(draw, rank, self.company.size()));
-        let recent = |peer: &&PeerLoad| peer.told + rules.fall_window > now && peer.from != rank;
-        let sent_by_peers = worker.peers.iter().filter(recent).map(|peer| peer.cold).sum();
-        self.shared_spending.looked(share.allows(sender, sent, sent_by_peers, work))
+        let share = ColdBudget::new(budget, members, work_per_window, self.company.size());
+        let sender = Sender::of(worker.in_own_cohort, share.is_designated(draw, rank, self.company.size()));
+        let recent = |peer: &&PeerLoad| peer.received_at + rules.fall_window > now && peer.from != rank;
+        let sent_by_peers = worker.peers.iter().filter(recent).map(|peer| peer.cold_work).sum();
+        self.shared_spending.count_allowance(share.allows(sender, sent, sent_by_peers, work))
     }
 
     /// Sends an attempt of a request to a worker. Returns `false` without sending if the rules forbid it.
     pub(super) fn send_attempt(&mut self, now: Micros, id: RequestId, index: usize) -> bool {
-        let second_copy = !self.settings.limits.copies && self.requests[&id].out();
+        let second_copy = !self.settings.limits.concurrent_attempts && self.requests[&id].has_outstanding();
         if second_copy || !self.may_send(now, &self.requests[&id], index) {
             return false;
         }
@@ -111,7 +117,17 @@
         self.requests.entry(id).and_modify(|request| request.attempts.push(new_attempt));
         let worker = &mut self.workers[index];
         let (clean, awaits_start, progress) = (start <= now, self.settings.tells_start, None);
-        let own = Own { request: id, attempt, slots, sent: now, end, start, clean, awaits_start, progress };
+        let own = OwnAttempt {
+            request: id,
+            attempt,
+            slots,
+            sent: now,
+            end,
+            start,
+            measures_size: clean,
+            awaits_start,
+            progress,
+        };
         worker.own.push(own);
         if cold {
             worker.cold_sent.push_back((now, size * slots as f64));
@@ -138,9 +154,9 @@
         if final_answer(request.effect.repeatable(), states) == FinalAnswer::Refused {
             let limits = &self.settings.limits;
             let left = request.expires.saturating_sub(now);
-            let pause = (self.knowledge.mean_time / 4.0) as Micros;
+            let pause = (self.knowledge.mean_run_time / 4.0) as Micros;
             let come_back = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
-            self.actions.push(Action::Refuse { request: id, come_back, why: reason });
+            self.actions.push(Action::Refuse { request: id, retry_after: come_back, reason });
         } else {
             self.actions.push(Action::Fail(id));
         }
@@ -180,7 +196,7 @@
 
     /// Removes a request once it is answered and its last attempt has ended.
     pub(super) fn remove_if_complete(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|request| request.done && !request.out()) {
+        if self.requests.get(&id).is_some_and(|request| request.done && !request.has_outstanding()) {
             self.requests.remove(&id);
         }
     }
@@ -200,21 +216,21 @@
         let end = now + self.run_time(index, size, now);
         let own = &mut self.workers[index].own[position];
         let (awaited, waited) = (own.awaits_start, now > own.sent + START_NOTICE_TIMEOUT);
-        (own.start, own.end, own.clean, own.awaits_start) = (now, end, true, false);
+        (own.start, own.end, own.measures_size, own.awaits_start) = (now, end, true, false);
         if awaited && self.counts_lanes_by_starts() {
             self.record_start(now, index, waited);
         }
     }
 
     /// Handles a notice about an attempt.
-    pub(super) fn on_note(&mut self, now: Micros, id: RequestId, attempt: u32, note: Note) {
-        if note == Note::Over {
-            self.requests.entry(id).and_modify(|request| request.over(attempt));
+    pub(super) fn on_note(&mut self, now: Micros, id: RequestId, attempt: u32, note: AttemptNote) {
+        if note == AttemptNote::Over {
+            self.requests.entry(id).and_modify(|request| request.mark_ended(attempt));
         }
         let Some((index, position)) = self.find_own_attempt(id, attempt) else { return };
         match note {
-            Note::Started => self.on_started(now, id, attempt),
-            Note::Silent if self.workers[index].own[position].awaits_start => {
+            AttemptNote::Started => self.on_started(now, id, attempt),
+            AttemptNote::Silent if self.workers[index].own[position].awaits_start => {
                 // The worker or the connection to it has failed; this is not a sign of a queue at the worker. A job
                 // that may run twice is tried elsewhere, any other job can only wait.
                 self.workers[index].own[position].awaits_start = false;
@@ -223,7 +239,7 @@
                     self.actions.push(Action::Cancel { request: id, attempt });
                 }
             }
-            Note::Progress(done) if done > 0.0 && done <= 1.0 => {
+            AttemptNote::Progress(done) if done > 0.0 && done <= 1.0 => {
                 let own = &mut self.workers[index].own[position];
                 // The rate of progress is measured between two notices, or from the start to the first notice if the
                 // start is known.
@@ -231,13 +247,13 @@
                     Some((noted_at, noted_done)) if done > noted_done => {
                         (done - noted_done) / (now - noted_at).max(1) as f64
                     }
-                    _ if own.clean => done / (now - own.start.min(now)).max(1) as f64,
-                    _ => 1.0 / self.knowledge.mean_time,
+                    _ if own.measures_size => done / (now - own.start.min(now)).max(1) as f64,
+                    _ => 1.0 / self.knowledge.mean_run_time,
                 };
                 own.progress = Some((now, done));
                 own.end = now + ((1.0 - done) / rate).min(3600.0 * SECOND as f64) as Micros;
             }
-            Note::Silent | Note::Progress(_) | Note::Over => {}
+            AttemptNote::Silent | AttemptNote::Progress(_) | AttemptNote::Over => {}
         }
     }
 
@@ -253,12 +269,12 @@
         let (class, hint) = (request.class, request.hint);
         match ending {
             Ending::Ok => {
-                let strikes_before = self.workers[index].trust.strikes(now);
-                self.workers[index].trust.fine(now);
+                let strikes_before = self.workers[index].health.strikes(now);
+                self.workers[index].health.record_success(now);
                 self.send_fault_report(now, index, strikes_before);
                 self.record_connection(now, index, true);
                 self.adjust_lanes(index, own.slots, true);
-                if own.clean {
+                if own.measures_size {
                     let time = if own.start > own.sent { now.saturating_sub(own.start) } else { elapsed };
                     ln_speed = self.learn_run_time(now, index, (class, hint), time);
                 }
@@ -268,7 +284,7 @@
                 let lanes = self.lane_count(index) as f64;
                 // The waiting room of the worker is full too. It is assumed to hold half a lane of work per lane.
                 self.workers[index].foreign = Some((now, 1.5 * lanes));
-                self.workers[index].known = now;
+                self.workers[index].load_known_at = now;
                 self.learn_zone_load(index, lanes);
             }
             Ending::Unreachable => {
@@ -279,7 +295,7 @@
             // error counts twice.
             Ending::Error => self.record_fault(now, index, 2),
             Ending::Broken => self.record_fault(now, index, 1),
-            Ending::TimedOut | Ending::Cancelled | Ending::Moot | Ending::Unusable => {}
+            Ending::TimedOut | Ending::Cancelled | Ending::NotSent | Ending::Unusable => {}
         }
         self.send_load(now, index, ln_speed);
         self.retry_or_answer(now, id, ending);
@@ -291,16 +307,16 @@
     /// otherwise.
     pub(super) fn retry_or_answer(&mut self, now: Micros, id: RequestId, ending: Ending) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.done || request.held || request.out() {
+        if request.done || request.held || request.has_outstanding() {
             return;
         }
         let may_have_run = request.may_have_run();
         let not_repeatable = request.effect == Effect::Unsafe && may_have_run;
-        let tries_used_up = request.attempts.len() >= self.settings.limits.tries as usize;
+        let tries_used_up = request.attempts.len() >= self.settings.limits.max_attempts as usize;
         let expired = now + 2 * self.settings.tick >= request.expires;
         let rejection = match ending {
             Ending::Unusable => Some(Rejection::Unusable),
-            Ending::Moot => Some(Rejection::Moot),
+            Ending::NotSent => Some(Rejection::SentTooLate),
             _ if not_repeatable => Some(Rejection::NotRepeatable),
             _ if tries_used_up => Some(Rejection::AttemptsSpent),
             _ if expired => Some(Rejection::Expired),
--- a/crates/decisions/src/rules/estimates.rs
+++ b/crates/decisions/src/rules/estimates.rs
@@ -27,7 +27,7 @@
             return None;
         }
         let speed = self.speed(index);
-        self.knowledge.mean_time += (time as f64 - self.knowledge.mean_time) * 0.05;
+        self.knowledge.mean_run_time += (time as f64 - self.knowledge.mean_run_time) * 0.05;
         let error = self.knowledge.classes[class_and_hint.0].learn(time as f64 * speed, class_and_hint.1)?;
         self.learn_speed(index, error);
         Some(speed.ln() - error)
@@ -46,17 +46,17 @@
     pub(super) fn warmth(&self, index: usize, now: Micros) -> f64 {
         let (rules, started) = (&self.settings.rules, self.workers[index].started);
         started.map_or(1.0, |started_at| {
-            warmth(now.saturating_sub(started_at), rules.cold, rules.start_capacity)
+            capacity_fraction(now.saturating_sub(started_at), rules.cold, rules.start_capacity)
         })
     }
 
     /// Takes the error rate, lane count and foreign load of a worker from its load report.
     pub(super) fn on_report(&mut self, now: Micros, index: usize, report: Option<Report>) {
         let Some(report) = report else { return };
-        let errors = report.errors_per_s.unwrap_or(0.0) * self.knowledge.mean_time / SECOND as f64;
+        let errors = report.errors_per_s.unwrap_or(0.0) * self.knowledge.mean_run_time / SECOND as f64;
         let error_share = errors / self.lane_count(index) as f64;
-        self.workers[index].trust.reported(now, error_share);
-        let lanes_estimated = self.workers[index].exact.is_none();
+        self.workers[index].health.record_error_share(now, error_share);
+        let lanes_estimated = self.workers[index].exact_lanes.is_none();
         let Some(free) = report.free_slots.filter(|free| free.is_finite() && lanes_estimated) else { return };
         let free = free.clamp(0.0, 1024.0);
         let made_at = now.saturating_sub(ASSUMED_REPORT_AGE);
@@ -65,7 +65,7 @@
         let visible = free + own as f64;
         // A worker is seldom idle. Without the own jobs that run there, one free lane of two would look like the only
         // lane.
-        let ran_at_report = |own: &&Own| !own.awaits_start && own.start + MAX_REPORT_AGE < now;
+        let ran_at_report = |own: &&OwnAttempt| !own.awaits_start && own.start + MAX_REPORT_AGE < now;
         let own_running: usize = worker.own.iter().filter(ran_at_report).map(|own| own.slots).sum();
         let kind = &mut self.knowledge.kinds[worker.kind];
         let lanes = kind.lanes.unwrap_or(0.0).max((free + own_running as f64).round());
@@ -74,7 +74,7 @@
         let waiting = report.backlog.filter(|backlog| backlog.is_finite()).unwrap_or(0.0).clamp(0.0, lanes);
         let foreign = (lanes - visible).max(0.0) + waiting;
         worker.foreign = Some((now, foreign));
-        worker.known = now;
+        worker.load_known_at = now;
         self.learn_zone_load(index, foreign);
     }
 
@@ -84,6 +84,6 @@
         // The mean is kept as a share of lanes. Absolute lane counts of large workers would make a small worker look
         // full for ever.
         let (zone, share) = (self.workers[index].zone.0, lanes / self.lane_count(index) as f64);
-        self.knowledge.mean_foreign[zone] += (share - self.knowledge.mean_foreign[zone]) * 0.1;
+        self.knowledge.mean_foreign_share[zone] += (share - self.knowledge.mean_foreign_share[zone]) * 0.1;
     }
 }
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -9,8 +9,8 @@
         let worker = &self.workers[index];
         let kind = &self.knowledge.kinds[worker.kind];
         let estimated = worker.lanes.or(kind.lanes).map_or(0, |lanes| lanes.round() as usize);
-        let lanes = if self.counts_lanes_by_starts() { kind.counted.lanes() } else { estimated };
-        worker.exact.unwrap_or(lanes.max(self.knowledge.most_slots))
+        let lanes = if self.counts_lanes_by_starts() { kind.lane_count.lanes() } else { estimated };
+        worker.exact_lanes.unwrap_or(lanes.max(self.knowledge.max_slots))
     }
 
     /// Whether lanes are counted by the start notices of workers, which is the case if these send them and report no
@@ -23,31 +23,31 @@
     /// If it started at once, they held their usual share.
     pub(super) fn record_start(&mut self, now: Micros, index: usize, waited: bool) {
         let (running, kind) = (self.workers[index].running(), self.workers[index].kind);
-        self.knowledge.kinds[kind].counted.started(running, waited);
+        self.knowledge.kinds[kind].lane_count.record_start(running, waited);
         let other_lanes = self.lane_count(index).saturating_sub(running) as f64;
         self.learn_zone_load(index, if waited { other_lanes } else { 0.0 });
-        let share = if waited { 1.0 } else { self.knowledge.mean_foreign[self.workers[index].zone.0] };
+        let share = if waited { 1.0 } else { self.knowledge.mean_foreign_share[self.workers[index].zone.0] };
         self.workers[index].foreign = Some((now, other_lanes * share));
-        self.workers[index].known = now;
+        self.workers[index].load_known_at = now;
     }
 
     /// Returns the estimated number of lanes that other dispatchers use at the worker.
     pub(super) fn foreign_lanes(&self, index: usize, now: Micros) -> f64 {
         let worker = &self.workers[index];
-        let reported = worker.told(now).map(|peer| peer.lanes).sum::<usize>() as f64;
+        let reported = worker.current_peer_loads(now).map(|peer| peer.lanes).sum::<usize>() as f64;
         // Other dispatchers report their use of the own share, as far as they send messages. Elsewhere it is estimated
         // from load reports or start notices.
-        let unreported = if worker.home { 1.0 - self.company.trust(now) } else { 1.0 };
-        let share = if worker.exact.is_some() {
+        let unreported = if worker.in_own_cohort { 1.0 - self.company.confidence(now) } else { 1.0 };
+        let share = if worker.exact_lanes.is_some() {
             0.0
         } else {
-            self.knowledge.mean_foreign[worker.zone.0] * unreported
+            self.knowledge.mean_foreign_share[worker.zone.0] * unreported
         };
         let prior = share * self.lane_count(index) as f64;
         let estimated = match worker.foreign {
             Some((known_at, lanes)) => {
                 let age = now.saturating_sub(known_at) as f64;
-                let weight = (-age / self.knowledge.mean_time).exp();
+                let weight = (-age / self.knowledge.mean_run_time).exp();
                 lanes * weight + prior * (1.0 - weight)
             }
             None => prior,
@@ -88,13 +88,14 @@
         }
         let foreign = self.foreign_lanes(index, now).round() as usize;
         let mut reported = 0;
-        for peer in worker.told(now) {
+        for peer in worker.current_peer_loads(now) {
             busy.extend(peer.ends(now + MILLISECOND));
             reported += peer.lanes;
         }
         for number in reported..foreign {
             busy.push(
-                now + (self.knowledge.mean_time / 2.0) as Micros * (1 + (number - reported) as Micros) / 2
+                now + (self.knowledge.mean_run_time / 2.0) as Micros * (1 + (number - reported) as Micros)
+                    / 2
                     + MILLISECOND,
             );
         }
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -28,17 +28,19 @@
         self.worker_list.lost &= kind == ListKind::Saved;
         if kind != ListKind::Changes {
             let unlisted = |worker: &&mut Worker| members.iter().all(|member| member.worker != worker.id);
-            self.workers.iter_mut().filter(unlisted).for_each(|worker| worker.standing = Standing::Gone);
+            self.workers.iter_mut().filter(unlisted).for_each(|worker| worker.status = WorkerStatus::Gone);
         }
         members.into_iter().for_each(|member| self.update_worker(member));
         self.rebuild_size_maps();
         if kind == ListKind::Saved {
-            if self.company.speaks() {
-                self.actions
-                    .push(Action::Tell { to: None, body: peer::greeting(self.settings.zone.0, true) });
+            if self.company.sends_peer_messages() {
+                self.actions.push(Action::SendMessage {
+                    to: None,
+                    body: peer_message::encode_hello(self.settings.zone.0, true),
+                });
             }
             let home_workers: Vec<usize> =
-                (0..self.workers.len()).filter(|&index| self.workers[index].home).collect();
+                (0..self.workers.len()).filter(|&index| self.workers[index].in_own_cohort).collect();
             self.probe_home_workers(now, &home_workers, home_workers.len());
         }
         self.process_hold_queue(now);
@@ -53,17 +55,18 @@
         let worker = &mut self.workers[index];
         if member.started != worker.started && member.started.is_some() {
             // The worker has a new process. Nothing learned about the health or load of the old process applies to it.
-            worker.trust = Trust::default();
+            worker.health = WorkerHealth::default();
             worker.foreign = None;
             worker.peers.clear();
             worker.cold_sent.clear();
         }
-        worker.standing = member.standing;
+        worker.status = member.status;
         worker.started = member.started.or(worker.started);
-        worker.zone = ZoneIx(member.zone.0.min(self.knowledge.mean_foreign.len() - 1));
+        worker.zone = ZoneIx(member.zone.0.min(self.knowledge.mean_foreign_share.len() - 1));
         worker.kind = member.kind.0.min(self.knowledge.kinds.len() - 1);
         worker.cell = member.cell;
-        (worker.exact, worker.refuses) = (member.lanes.map(|lanes| lanes.max(1) as usize), member.refuses);
+        (worker.exact_lanes, worker.refuses) =
+            (member.lanes.map(|lanes| lanes.max(1) as usize), member.refuses);
         worker.weight = if member.weight.is_finite() && member.weight > 0.0 { member.weight } else { 1.0 };
     }
 
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -15,15 +15,15 @@
 mod talk;
 
 use crate::api::*;
-use crate::peer::{self, Load, Said};
+use crate::peer_message::{self, Load, PeerMessage};
 use crate::rejections::Rejections;
 use crate::state::*;
-use calicolb_fleet::census::MOST_RANKS;
-use calicolb_fleet::cold::{Allowance, ColdShare, Rota, Sender, warmth};
-use calicolb_fleet::company::Company;
-use calicolb_fleet::draw::mix;
-use calicolb_fleet::spending::Spending;
-use calicolb_fleet::trust::Trust;
+use calicolb_fleet::cold::{Allowance, ColdBudget, ColdRotation, Sender, capacity_fraction};
+use calicolb_fleet::fleet_size::MAX_RANKS;
+use calicolb_fleet::hash::mix;
+use calicolb_fleet::health::WorkerHealth;
+use calicolb_fleet::peer_set::PeerSet;
+use calicolb_fleet::usage::Usage;
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -86,7 +86,7 @@
     /// All workers seen so far, including those that left the worker list.
     pub(crate) workers: Vec<Worker>,
     /// Index of each worker in `workers`.
-    pub(crate) worker_index: Table<WorkerId, usize>,
+    pub(crate) worker_index: IdMap<WorkerId, usize>,
     /// Figures learned over time.
     pub(crate) knowledge: Knowledge,
     /// Size maps: the first covers all kinds of machine, the following ones a single kind each.
@@ -94,23 +94,23 @@
     /// Whether the size maps must be rebuilt before the next choice of a worker.
     pub(crate) size_maps_stale: bool,
     /// Requests that are open or still have an attempt in flight.
-    pub(crate) requests: Table<RequestId, Request>,
+    pub(crate) requests: IdMap<RequestId, Request>,
     /// Jobs that wait to be sent, and jobs sent without a start notice.
-    pub(crate) hold_queue: Queue,
+    pub(crate) hold_queue: HoldQueue,
     /// Whether another process of this dispatcher has taken over. This process then only completes its work, and the
     /// successor alone sends messages to other dispatchers for both.
     pub(crate) has_successor: bool,
     /// State of the worker list subscription.
-    pub(crate) worker_list: Listing,
+    pub(crate) worker_list: ListState,
     /// Rotates with every arrival, so that successive jobs examine different workers outside the cohort.
     pub(crate) sample_offset: usize,
     /// Zone and member ranks of each cohort. The zone is `None` if the cohort is not limited to one or the zone is not
     /// known.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
     /// Membership of the other dispatchers, and how far their messages are relied on.
-    pub(crate) company: Company,
+    pub(crate) company: PeerSet,
     /// Use of resources that all dispatchers share, for operators.
-    pub shared_spending: Spending,
+    pub shared_spending: Usage,
     /// Counts of requests without a result by reason, for operators.
     pub rejections: Rejections,
 }
@@ -118,23 +118,23 @@
 impl Dispatcher {
     /// Creates a dispatcher that knows only its settings. `now` is in microseconds.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let company = Company::new(settings.instances, settings.rank, settings.limits.peers);
+        let company = PeerSet::new(settings.instances, settings.rank, settings.limits.peers);
         Dispatcher {
             actions: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             workers: Vec::new(),
-            worker_index: Table::default(),
+            worker_index: IdMap::default(),
             knowledge: Knowledge::new(&settings, company.size(), now),
             size_maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
             size_maps_stale: true,
-            requests: Table::default(),
-            hold_queue: Queue::default(),
+            requests: IdMap::default(),
+            hold_queue: HoldQueue::default(),
             has_successor: false,
-            worker_list: Listing::default(),
+            worker_list: ListState::default(),
             sample_offset: 0,
             cohorts: Vec::new(),
             company,
-            shared_spending: Spending::default(),
+            shared_spending: Usage::default(),
             rejections: Rejections::default(),
             settings,
         }
@@ -158,8 +158,8 @@
                 }
             }
             Event::Timer(_) => self.subscribe_to_list(),
-            Event::ListUntil(until) => {
-                self.worker_list.until = until;
+            Event::ListLease(until) => {
+                self.worker_list.lease_end = until;
                 self.process_hold_queue(now);
             }
             Event::ListMoved => {
@@ -167,8 +167,8 @@
                 self.subscribe_to_list();
             }
             Event::Settings(settings) => self.on_settings(now, *settings),
-            Event::Handed(knowledge) => self.on_handed(knowledge),
-            Event::Succeeded(succeeded) => {
+            Event::KnowledgeReceived(knowledge) => self.on_knowledge_received(knowledge),
+            Event::SuccessorActive(succeeded) => {
                 self.has_successor = succeeded;
                 (0..self.workers.len()).for_each(|index| self.send_load(now, index, None));
             }
@@ -191,10 +191,10 @@
                 }
                 self.offer_freed_lane(now, index);
             }
-            Event::Lapsed(request) => self.on_lapsed(request),
-            Event::Ends(end) => self.on_process_end(now, end),
-            Event::MovedAway(request) => self.on_moved_away(now, request),
-            Event::Conclude(request) => self.on_conclude(now, request),
+            Event::RequestAbandoned(request) => self.on_lapsed(request),
+            Event::ShutdownAt(end) => self.on_process_end(now, end),
+            Event::RequestTransferred(request) => self.on_moved_away(now, request),
+            Event::FinishRequest(request) => self.on_conclude(now, request),
             Event::Peer { from, body } => self.on_peer(now, from, &body),
         }
     }
--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -14,27 +14,34 @@
         let spec = &self.settings.classes[class];
         let size = self.knowledge.classes[class].estimate(arrival.hint, spec.aim as f64);
         let slots = arrival.slots.clamp(1, 1024) as usize;
-        self.knowledge.most_slots = self.knowledge.most_slots.max(slots);
+        self.knowledge.max_slots = self.knowledge.max_slots.max(slots);
         // A retry of a client belongs to its first try, whose aim has been running since then.
-        let arrived = arrival.handed_on.as_ref().map_or(now, |transferred| transferred.arrived.min(now));
+        let arrived = arrival.transferred.as_ref().map_or(now, |transferred| transferred.arrived.min(now));
         let origin =
             if arrival.retry { arrival.expires.saturating_sub(spec.deadline).min(arrived) } else { arrived };
-        let doubt = self.knowledge.classes[class].doubt();
+        let doubt = self.knowledge.classes[class].lower_bound_factor();
         let aim = origin + spec.aim + (spec.stretch.max(0.0) * size * doubt) as Micros;
         let deadline = aim.min(arrival.expires);
         let order = if over_share { arrival.expires } else { deadline };
         let work = size * slots as f64;
         let worth = spec.worth * if over_share { self.settings.over_share_worth } else { 1.0 };
         let value = if self.settings.worth_by_work { worth } else { worth / work };
-        self.knowledge.work.add(now, work);
+        self.knowledge.work_rate.add(now, work);
         let map = &mut self.size_maps[spec.kind.map_or(0, |kind| kind.0 + 1)];
         self.size_maps_stale |= map.sizes.add(work, MIN_SIZES_PER_RANGE * 2);
         let Arrival { hint, expires, skill, .. } = arrival;
         let attributes =
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
-        let request = Request { deadline, order, yields: over_share, value, doubt, ..attributes };
+        let request = Request {
+            deadline,
+            queue_key: order,
+            over_share: over_share,
+            worth_per_work: value,
+            lower_bound_factor: doubt,
+            ..attributes
+        };
         self.requests.insert(arrival.request, request);
-        if let Some(transferred) = arrival.handed_on {
+        if let Some(transferred) = arrival.transferred {
             return self.adopt_request(now, arrival.request, transferred);
         }
         self.sample_offset = self.sample_offset.wrapping_add(1);
@@ -67,7 +74,7 @@
         let neither_held_nor_done = |request: &&mut Request| !request.held && !request.done;
         let Some(request) = self.requests.get_mut(&id).filter(neither_held_nor_done) else { return };
         request.held = true;
-        self.hold_queue.held.insert((request.order, id));
+        self.hold_queue.held.insert((request.queue_key, id));
         self.hold_queue.expiries.insert((request.expires, id));
     }
 
@@ -76,7 +83,7 @@
         self.set_planned_worker(id, None);
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.held) else { return };
         request.held = false;
-        self.hold_queue.held.remove(&(request.order, id));
+        self.hold_queue.held.remove(&(request.queue_key, id));
         self.hold_queue.expiries.remove(&(request.expires, id));
     }
 
@@ -92,7 +99,7 @@
             if let Some(request) = self.requests.get_mut(&id) {
                 request.expires = end;
                 request.deadline = request.deadline.min(end);
-                request.order = request.order.min(end);
+                request.queue_key = request.queue_key.min(end);
             }
             if held {
                 self.hold(id);
@@ -113,8 +120,8 @@
         request.planned = index;
         if let Some(index) = index {
             let planned = &mut self.workers[index].planned;
-            let position = planned.partition_point(|&other| other < (request.order, id));
-            planned.insert(position, (request.order, id));
+            let position = planned.partition_point(|&other| other < (request.queue_key, id));
+            planned.insert(position, (request.queue_key, id));
         }
     }
 
@@ -150,8 +157,8 @@
             };
             let own = self
                 .find_own_attempt(id, last_attempt as u32)
-                .filter(|_| last_attempt + 2 < self.settings.limits.tries as usize);
-            let overdue = |own: &Own| own.awaits_start && now >= own.sent + START_NOTICE_TIMEOUT;
+                .filter(|_| last_attempt + 2 < self.settings.limits.max_attempts as usize);
+            let overdue = |own: &OwnAttempt| own.awaits_start && now >= own.sent + START_NOTICE_TIMEOUT;
             let Some((index, _)) =
                 own.filter(|&(index, position)| overdue(&self.workers[index].own[position]))
             else {
@@ -217,7 +224,7 @@
                 if !request.late && late_worth > 0.0 {
                     self.unhold(id);
                     let Some(request) = self.requests.get_mut(&id) else { return true };
-                    (request.late, request.deadline, request.order) =
+                    (request.late, request.deadline, request.queue_key) =
                         (true, request.expires, request.expires);
                     self.hold(id);
                 } else if !request.late || now + request.size as Micros > request.expires {
--- a/crates/hollow/src/schedulers.rs
+++ b/crates/hollow/src/schedulers.rs
@@ -7,7 +7,7 @@
 use crate::ledger::Ledger;
 use calicolb::api::*;
 use calicolb::rules::Dispatcher;
-use calicolb_freshness::{Act, ListClock, MISSED, Mode};
+use calicolb_freshness::{ListLease, ListSource, MISSED_CHANGE_DELAY, WatchAction};
 use std::collections::{BTreeMap, VecDeque};
 use std::mem;
 
@@ -108,7 +108,7 @@
     ends: Micros,
     /// That binds what was open before, too.
     limited: bool,
-    clock: ListClock,
+    clock: ListLease,
     /// When the list's clock is looked at next.
     armed: Option<Micros>,
     until: Option<Micros>,
@@ -131,12 +131,12 @@
         event,
         Event::Members(..)
             | Event::Timer(_)
-            | Event::ListUntil(_)
+            | Event::ListLease(_)
             | Event::ListMoved
             | Event::Peer { .. }
             | Event::Probed { .. }
-            | Event::Handed(_)
-            | Event::Succeeded(_)
+            | Event::KnowledgeReceived(_)
+            | Event::SuccessorActive(_)
             | Event::Settings(_)
     )
 }
@@ -147,11 +147,11 @@
             rank: settings.rank,
             zone: settings.zone.0,
             alive: true,
-            tries: settings.limits.tries,
-            copies: settings.limits.copies,
+            tries: settings.limits.max_attempts,
+            copies: settings.limits.concurrent_attempts,
             ends: Micros::MAX,
             limited: false,
-            clock: ListClock::new(Mode::Asked, settings.rules.drain_grace, now),
+            clock: ListLease::new(ListSource::SharedService, settings.rules.drain_grace, now),
             dispatcher: Dispatcher::new(settings, seed, now),
             entries: BTreeMap::new(),
             next: 0,
@@ -201,7 +201,7 @@
         let found = self.entries.iter_mut().find(|(_, entry)| entry.job == job && !entry.concluded);
         if let Some((&number, entry)) = found {
             entry.concluded = true;
-            self.events.push_back(Event::Lapsed(RequestId(number)));
+            self.events.push_back(Event::RequestAbandoned(RequestId(number)));
             self.closing.push(number);
         }
     }
@@ -215,7 +215,7 @@
         let entry = self.entries.get(&id.request);
         let open = entry.is_some_and(|entry| !entry.concluded && now < entry.answer_by(last_answer));
         if !open {
-            self.end(now, id, Ending::Moot, false, None);
+            self.end(now, id, Ending::NotSent, false, None);
         } else if !self.dispatcher.may_start_attempt(now, RequestId(id.request), id.number) {
             self.end(now, id, Ending::Unreachable, false, None);
         } else {
@@ -269,7 +269,7 @@
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
         let Some(attempt) = attempt.filter(|attempt| attempt.loose) else { return };
         attempt.loose = false;
-        let note = Note::Over;
+        let note = AttemptNote::Over;
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
 
@@ -280,7 +280,7 @@
         self.end(now, id, ending, ending == Ending::Broken, None);
     }
 
-    pub(crate) fn note(&mut self, id: AttemptId, note: Note) {
+    pub(crate) fn note(&mut self, id: AttemptId, note: AttemptNote) {
         if self.attempt(id).is_some() {
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
         }
@@ -311,7 +311,7 @@
             }
             Due::Silent(id) => {
                 if self.attempt(id).is_some_and(|attempt| !attempt.taken) {
-                    self.note(id, Note::Silent);
+                    self.note(id, AttemptNote::Silent);
                 }
             }
             Due::Unwanted(id) => {
@@ -325,7 +325,7 @@
                     return;
                 }
                 self.armed = None;
-                if self.clock.act(now) == Some(Act::Lose) {
+                if self.clock.poll(now) == Some(WatchAction::GiveUp) {
                     self.watch = None;
                     self.events.push_back(Event::Members(ListKind::Lost, Vec::new()));
                 }
@@ -354,7 +354,7 @@
             if control(&event) {
                 ledger.timed(now, rank, || dispatcher.on_event(now, event, &mut actions));
             } else if let Event::Arrival(Arrival { request, tenant: Some(tenant), .. }) = event {
-                let given = |of: &Dispatcher| of.counted(tenant).map_or(0, |counted| counted.1);
+                let given = |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
                 let before = given(dispatcher);
                 dispatcher.on_event(now, event, &mut actions);
                 let within = given(dispatcher) > before;
--- a/src/net/core/desk/actions.rs
+++ b/src/net/core/desk/actions.rs
@@ -6,7 +6,7 @@
     pub(super) fn carry_out(&mut self, now: Micros, action: Action, deadlines: &mut Deadlines) {
         match action {
             Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, deadlines),
-            Action::Refuse { request, come_back, why } => {
+            Action::Refuse { request, retry_after: come_back, reason: why } => {
                 note!(debug: request = request.0, ?why, "a request is refused");
                 self.conclude(request.0, Answer::Busy { come_back });
             }
@@ -16,7 +16,7 @@
                 let concluded = self.entries.get(&id.request).is_none_or(|entry| entry.concluded);
                 let (copies, takes) = (self.copies, self.takes);
                 let Some(attempt) = self.attempt(id) else { return };
-                let Some(written) = attempt.written_at else { return self.give_up(now, id, Ending::Moot) };
+                let Some(written) = attempt.written_at else { return self.give_up(now, id, Ending::NotSent) };
                 if copies || concluded {
                     return self.give_up(now, id, Ending::Cancelled);
                 }
@@ -37,7 +37,7 @@
                 self.dispatcher.shared_spending.probes += 1;
                 self.work.push(Work::Probe(hop));
             }
-            Action::Tell { to, body } => {
+            Action::SendMessage { to, body } => {
                 self.dispatcher.shared_spending.messages += 1;
                 self.work.push(Work::Tell { to, body });
             }
@@ -71,7 +71,7 @@
         entry.attempts.push(Attempt::new(hop, now));
         // The client may have left, or its time may have run out, in the batch that the module answers here.
         if entry.concluded || ends <= now || id.number >= self.most_tries {
-            return self.end(now, id, Ending::Moot, false, None);
+            return self.end(now, id, Ending::NotSent, false, None);
         }
         deadlines.set(Due::Attempt(id.request, id.number), ends);
         note!(debug: request = id.request, attempt = id.number, hop = hop.0, "an attempt is sent");
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -146,7 +146,7 @@
         zone: ZoneIx(0),
         kind: KindIx(0),
         cell: 0,
-        standing: Standing::On,
+        status: WorkerStatus::On,
         weight: 1.0,
         ..Member::default()
     };
@@ -156,10 +156,10 @@
             ("sku", value) => member.kind = KindIx(index_of("kind", &names.kinds, value)?),
             ("pack", value) => member.cell = parse_number("pack", value)?,
             ("health", value) => {
-                member.standing = match value {
-                    "on" => Standing::On,
-                    "fading" => Standing::Draining,
-                    "off" => Standing::Gone,
+                member.status = match value {
+                    "on" => WorkerStatus::On,
+                    "fading" => WorkerStatus::Draining,
+                    "off" => WorkerStatus::Gone,
                     other => return wire_error(format!("unknown health '{other}'")),
                 }
             }
@@ -188,7 +188,7 @@
                 None => wire_error(format!("TIMEOUT_FIRED: '{name}' is not the name of a timer")),
             }
         }
-        "LAPSED" => Ok(Event::Lapsed(RequestId(parse_number("txn", fields.required("txn")?)?))),
+        "LAPSED" => Ok(Event::RequestAbandoned(RequestId(parse_number("txn", fields.required("txn")?)?))),
         "PEER_DATA" => {
             let contents = match fields.required("contents")? {
                 "-" => Vec::new(),
@@ -285,8 +285,8 @@
         "FIRST_BYTE" => Ok(Event::Streaming { request, attempt }),
         "HINT_UPDATE" => {
             let note = match topic {
-                Some(1) => Note::Started,
-                Some(2) => Note::Progress(level.unwrap_or(0.0)),
+                Some(1) => AttemptNote::Started,
+                Some(2) => AttemptNote::Progress(level.unwrap_or(0.0)),
                 _ => return wire_error("HINT_UPDATE: 'topic' is neither 1 nor 2"),
             };
             Ok(Event::Note { request, attempt, note })
@@ -313,7 +313,7 @@
         "UNAVAILABLE" => Ending::Unreachable,
         "ABORTED" => Ending::Broken,
         "CANCELLED" => Ending::Cancelled,
-        "TOO_LATE" => Ending::Moot,
+        "TOO_LATE" => Ending::NotSent,
         other => return wire_error(format!("unknown state_code '{other}'")),
     })
 }
@@ -338,7 +338,7 @@
         Action::Fail(_) => "ERROR",
         Action::Cancel { .. } => "REVOKE",
         Action::Probe(_) => "ASK_LOAD",
-        Action::Tell { .. } => "ANNOUNCE",
+        Action::SendMessage { .. } => "ANNOUNCE",
         Action::SetTimer { .. } => "ARM",
         Action::FetchList => "FETCH",
         Action::Subscribe(_) => "TAIL",
@@ -356,7 +356,7 @@
                 push_number(out, "\tgive_up_after_us=", *span);
             }
         }
-        Action::Refuse { request, come_back, .. } => {
+        Action::Refuse { request, retry_after: come_back, .. } => {
             push_number(out, "\ttxn=", request.0.into());
             if let Some(span) = come_back {
                 push_number(out, "\tcome_back_us=", *span);
@@ -368,7 +368,7 @@
             push_number(out, "\tsend_no=", (*attempt).into());
         }
         Action::Probe(worker) | Action::CloseIdle(worker) => push_number(out, "\tworker=", worker.0.into()),
-        Action::Tell { to, body } => {
+        Action::SendMessage { to, body } => {
             match to {
                 Some(rank) => push_number(out, "\taddressee=", (*rank).into()),
                 None => out.push_str("\taddressee=-1"),
@@ -633,8 +633,8 @@
         },
         weights: !matches!(info.weight_source.as_str(), "none" | ""),
         limits: Limits {
-            tries: info.ceilings.most_tries.unwrap_or(1),
-            copies: info.ceilings.may_duplicate,
+            max_attempts: info.ceilings.most_tries.unwrap_or(1),
+            concurrent_attempts: info.ceilings.may_duplicate,
             cancel: info.ceilings.cancelling,
             probes: info.ceilings.probes,
             peers: info.ceilings.peers,
@@ -642,7 +642,7 @@
             retry_advice_max: info.ceilings.max_retry_after_us,
             connect_timeout: info.ceilings.connect_timeout_us,
         },
-        rules: RuleFigures {
+        rules: RuleParameters {
             answer_slack: info.rules.answer_slack_us,
             drain_grace: info.rules.drain_grace_us,
             cold: info.rules.cold_us,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -73,7 +73,7 @@
         let mut actions = bench.arrive(1, 0, 100 * MS);
         actions.extend(bench.wait(10 * SECOND));
         let advice = actions.iter().find_map(|action| match action {
-            Action::Refuse { come_back, .. } => Some(come_back.is_some()),
+            Action::Refuse { retry_after: come_back, .. } => Some(come_back.is_some()),
             _ => None,
         });
         assert_eq!(advice, Some(allowed));
@@ -137,7 +137,7 @@
 #[test]
 fn a_safe_job_is_retried_after_errors_up_to_the_limit() {
     let mut settings = settings();
-    settings.limits.tries = 3;
+    settings.limits.max_attempts = 3;
     let mut bench = Bench::with_workers(settings, &[11, 12, 13, 14, 15, 16]);
     let mut sent = sends(&bench.arrive(1, 0, 100 * MS));
     let mut count = 0;
@@ -189,11 +189,11 @@
         let mut other = member(11);
         match case {
             0 => {
-                other.standing = Standing::Draining;
+                other.status = WorkerStatus::Draining;
                 bench.members(ListKind::Changes, vec![other]);
             }
             1 => {
-                other.standing = Standing::Gone;
+                other.status = WorkerStatus::Gone;
                 bench.members(ListKind::Changes, vec![other]);
             }
             _ => {
@@ -214,9 +214,9 @@
 fn a_removed_worker_that_is_listed_again_gets_jobs() {
     let mut bench = Bench::with_workers(settings(), &[11]);
     let mut worker = member(11);
-    worker.standing = Standing::Gone;
+    worker.status = WorkerStatus::Gone;
     bench.members(ListKind::Changes, vec![worker.clone()]);
-    worker.standing = Standing::On;
+    worker.status = WorkerStatus::On;
     bench.members(ListKind::Changes, vec![worker]);
     assert_eq!(sends(&bench.arrive(1, 0, MS)), [(1, WorkerId(11))]);
 }
@@ -269,13 +269,13 @@
     let mut bench = Bench::with_workers(settings(), &[11]);
     bench.arrive(1, 0, SECOND);
     bench.arrive(2, 0, 10 * MS);
-    assert!(bench.tell(Event::Lapsed(RequestId(2))).is_empty());
+    assert!(bench.tell(Event::RequestAbandoned(RequestId(2))).is_empty());
     bench.at(100 * MS);
     let actions = bench.outcome(1, 0, WorkerId(11), Ending::Ok);
     assert!(sends(&actions).is_empty());
     assert!(answers(&bench.outcome(1, 0, WorkerId(11), Ending::Ok)).is_empty());
     assert!(answers(&bench.outcome(99, 3, WorkerId(77), Ending::Error)).is_empty());
-    let note = Event::Note { request: RequestId(1), attempt: 0, note: Note::Progress(0.5) };
+    let note = Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Progress(0.5) };
     assert!(bench.tell(note).is_empty());
 }
 
@@ -406,7 +406,7 @@
     assert_eq!(sends(&actions).len(), 1);
     let bodies = |actions: &[Action]| -> Vec<Vec<u8>> {
         let pick = |action: &Action| match action {
-            Action::Tell { to: Some(1), body } => Some(body.clone()),
+            Action::SendMessage { to: Some(1), body } => Some(body.clone()),
             _ => None,
         };
         actions.iter().filter_map(pick).collect()
@@ -528,7 +528,7 @@
         let mut bench = Bench::with_workers(settings, &[11, 12]);
         assert_eq!(sends(&bench.arrive(1, class, 100 * MS)).len(), 1);
         bench.at(500 * MS);
-        bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Silent })
+        bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Silent })
     };
     assert_eq!(silent(0), [Action::Cancel { request: RequestId(1), attempt: 0 }]);
     assert_eq!(silent(1), []);
@@ -543,7 +543,7 @@
         (ReportSource::Answers, true, true);
     let mut bench = Bench::with_workers(settings, &[11]);
     bench.arrive(1, 0, 3 * SECOND);
-    bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Started });
+    bench.tell(Event::Note { request: RequestId(1), attempt: 0, note: AttemptNote::Started });
     bench.at(3 * SECOND);
     bench.report(1, 0, WorkerId(11), Ending::Ok, true, Some(1.0));
     // Each of the two lanes gets a job at once.
@@ -583,10 +583,10 @@
     }
     assert_eq!(sends(&predecessor.arrive(50, 1, 900 * MS)).len(), 1);
     let knowledge = predecessor.dispatcher.knowledge();
-    let load_messages = predecessor.tell(Event::Succeeded(true));
+    let load_messages = predecessor.tell(Event::SuccessorActive(true));
     let to_own_rank = |actions: &[Action]| -> Vec<Vec<u8>> {
         let pick = |action: &Action| match action {
-            Action::Tell { to: Some(0), body } => Some(body.clone()),
+            Action::SendMessage { to: Some(0), body } => Some(body.clone()),
             _ => None,
         };
         actions.iter().filter_map(pick).collect()
@@ -596,7 +596,7 @@
     let start = |knowledge: Option<serde_json::Value>| {
         let mut successor = Bench::new(peer_settings(0));
         successor.now = now;
-        knowledge.into_iter().for_each(|knowledge| drop(successor.tell(Event::Handed(knowledge))));
+        knowledge.into_iter().for_each(|knowledge| drop(successor.tell(Event::KnowledgeReceived(knowledge))));
         successor.members(ListKind::Saved, vec![member(11)]);
         successor
     };
@@ -604,7 +604,7 @@
     let mut successor = start(Some(knowledge));
     let forwarded = successor.tell(Event::Peer { from: 0, body: to_own_rank(&load_messages)[0].clone() });
     assert!(
-        forwarded.iter().any(|action| matches!(action, Action::Tell { to: Some(1), .. })),
+        forwarded.iter().any(|action| matches!(action, Action::SendMessage { to: Some(1), .. })),
         "the successor sends the load to the other dispatcher"
     );
     assert!(sends(&successor.arrive(1, 0, 300 * MS)).is_empty());
@@ -616,7 +616,7 @@
     assert_eq!(sends(&actions), [(1, WorkerId(11))]);
     let end = |actions: &[Action]| {
         let load_messages = actions.iter().rev().find_map(|action| match action {
-            Action::Tell { to: Some(1), body } => body.last().copied(),
+            Action::SendMessage { to: Some(1), body } => body.last().copied(),
             _ => None,
         });
         load_messages.expect("a load message to rank 1")
@@ -642,7 +642,7 @@
         kind.as_object_mut().and_then(|kind| kind.remove("counted")).expect("field counted of a kind");
     }
     let mut successor = Bench::new(settings());
-    let actions = successor.tell(Event::Handed(knowledge));
+    let actions = successor.tell(Event::KnowledgeReceived(knowledge));
     assert!(actions.iter().all(|action| !matches!(action, Action::Log(_))), "{actions:?}");
     assert_eq!(sends(&successor.arrive(2, 0, 100 * MS)), [(2, WorkerId(11))]);
 }
@@ -674,10 +674,10 @@
 fn attempts_of_a_client_that_has_left_are_cancelled() {
     let mut bench = Bench::with_workers(settings(), &[11, 12]);
     assert_eq!(sends(&bench.arrive(1, 1, 100 * MS)).len(), 1);
-    let actions = bench.tell(Event::Lapsed(RequestId(1)));
+    let actions = bench.tell(Event::RequestAbandoned(RequestId(1)));
     assert_eq!(actions, [Action::Cancel { request: RequestId(1), attempt: 0 }]);
     bench.outcome(1, 0, WorkerId(11), Ending::Cancelled);
-    assert!(bench.tell(Event::Lapsed(RequestId(1))).is_empty());
+    assert!(bench.tell(Event::RequestAbandoned(RequestId(1))).is_empty());
 }
 
 #[test]
