--- a/src/main.rs
+++ b/src/main.rs
@@ -60,7 +60,7 @@
     log::start(how.log_format, how.log_level.unwrap_or(Level::INFO));
     net::platform::inherit::announce(config.passed, |name| std::env::var_os(name));
     let (name, listen) = (config.name.clone(), config.listen);
-    match net::turn::Turn::new(config).and_then(net::turn::Turn::run) {
+    match net::event_loop::EventLoop::new(config).and_then(net::event_loop::EventLoop::run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("calicolb: {name} on {listen}: {error}");
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -2,8 +2,8 @@
 
 use super::{BODY_LIMIT, Io, TALK_LIMIT};
 use crate::log::note;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::{Alarm, Due};
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::http::framing::{self, HEAD_LIMIT, Reject, Request};
 use calicolb::api::Micros;
 use mio::net::{TcpListener, TcpStream};
@@ -112,7 +112,7 @@
             note!(warn: "watching a connection: {error}");
             return None;
         }
-        io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + SLOW);
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + SLOW);
         let buffer = Buffer::default();
         let conn = Conn { stream, buffer, phase: Phase::Open, keep_alive: true, owed: true };
         self.conns.insert(token, conn);
@@ -134,7 +134,7 @@
                 if conn.phase != Phase::Owing {
                     conn.buffer.consume(usize::MAX / 2);
                 }
-                if filled == Filled::Ended {
+                if filled == FillOutcome::Closed {
                     self.close(io, token);
                 }
                 return None;
@@ -145,24 +145,24 @@
                     conn.phase = Phase::Owing;
                     conn.keep_alive = request.keep_alive;
                     conn.owed = false;
-                    io.deadlines.clear(Due::Conn(token, Alarm::Late));
+                    io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
                     return Some(request);
                 }
                 Ok(None) if conn.buffer.input().len() >= message(room) => self.reject(io, token, 413),
                 Ok(None) => match conn.buffer.fill(&mut conn.stream, message(room)) {
-                    Filled::Brimful => {}
-                    Filled::Ended if conn.buffer.input().is_empty() => {
+                    FillOutcome::LimitReached => {}
+                    FillOutcome::Closed if conn.buffer.input().is_empty() => {
                         self.close(io, token);
                         return None;
                     }
                     // What it brought along may be whole; if it isn't, it never will be.
-                    Filled::Ended => {
+                    FillOutcome::Closed => {
                         if let Ok(None) = framing::request_within(conn.buffer.input(), room) {
                             self.close(io, token);
                             return None;
                         }
                     }
-                    Filled::Dry => {
+                    FillOutcome::WouldBlock => {
                         if let Ok(None) = framing::request_within(conn.buffer.input(), room) {
                             self.rest(io, token);
                             return None;
@@ -195,7 +195,7 @@
         }
         conn.owed = !conn.buffer.input().is_empty();
         let span = if conn.owed { SLOW } else { IDLE };
-        io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + span);
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + span);
     }
 
     fn reject(&mut self, io: &mut Io<'_>, token: usize, status: u16) {
@@ -218,7 +218,7 @@
         conn.buffer.put(&framing::write_response(status, extra, body, conn.keep_alive));
         conn.phase = if conn.keep_alive { Phase::Open } else { Phase::Leaving };
         conn.owed = false;
-        io.deadlines.clear(Due::Conn(token, Alarm::Late));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
     }
 
     /// Makes a connection a watch; `false` where as many are open as may be.
@@ -235,7 +235,7 @@
         conn.buffer
             .put(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
         self.watching += 1;
-        io.deadlines.clear(Due::Conn(token, Alarm::Late));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
         true
     }
 
@@ -261,17 +261,20 @@
         let before = conn.buffer.waiting();
         match conn.buffer.flush(&mut conn.stream) {
             Ok(true) => {
-                io.deadlines.clear(Due::Conn(token, Alarm::Owed));
+                io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
                 if conn.phase == Phase::Leaving {
                     // Closed with something unread, the connection would be reset, and take the answer along.
                     let _ = conn.stream.shutdown(Shutdown::Write);
-                    io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + LINGER);
+                    io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + LINGER);
                 }
                 true
             }
             Ok(false) => {
-                if conn.buffer.waiting() < before || !io.deadlines.has(Due::Conn(token, Alarm::Owed)) {
-                    io.deadlines.set(Due::Conn(token, Alarm::Owed), io.now + UNREAD);
+                if conn.buffer.waiting() < before
+                    || !io.deadlines.has(Deadline::Connection(token, ConnectionTimer::OfferTimeout))
+                {
+                    io.deadlines
+                        .set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), io.now + UNREAD);
                 }
                 false
             }
@@ -287,9 +290,9 @@
     }
 
     /// A time that was set for a connection has come.
-    pub fn late(&mut self, io: &mut Io<'_>, token: usize, alarm: Alarm) {
+    pub fn late(&mut self, io: &mut Io<'_>, token: usize, alarm: ConnectionTimer) {
         match self.conns.get(&token) {
-            Some(conn) if alarm == Alarm::Late && conn.phase == Phase::Open && conn.owed => {
+            Some(conn) if alarm == ConnectionTimer::Timeout && conn.phase == Phase::Open && conn.owed => {
                 self.reject(io, token, 408);
                 self.flush(io, token);
             }
@@ -306,8 +309,8 @@
         let Some(mut conn) = self.conns.remove(&token) else { return };
         self.watching -= usize::from(conn.phase == Phase::Watching);
         let _ = io.registry.deregister(&mut conn.stream);
-        io.deadlines.clear(Due::Conn(token, Alarm::Late));
-        io.deadlines.clear(Due::Conn(token, Alarm::Owed));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
     }
 
     /// Ends all watches in order, and takes no more connections. Gives whether anything still waits to go out.
--- a/src/net/control/link.rs
+++ b/src/net/control/link.rs
@@ -1,8 +1,8 @@
 //! The way to another control machine: one kept connection, a bounded queue, and another try after each break.
 
 use super::Io;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::{Alarm, Due};
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::http::framing;
 use calicolb::api::Micros;
 use mio::net::TcpStream;
@@ -84,7 +84,7 @@
     pub fn pump(&mut self, io: &mut Io<'_>) {
         if self.conn.is_none() {
             // Its deadline stands while it waits for another try.
-            if self.queue.is_empty() || io.deadlines.has(Due::Link(self.id)) {
+            if self.queue.is_empty() || io.deadlines.has(Deadline::ControlLinkRetry(self.id)) {
                 return;
             }
             if !self.connect(io) {
@@ -103,7 +103,7 @@
         if io.registry.register(&mut stream, Token(token), both).is_err() {
             return false;
         }
-        io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + ANSWER);
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + ANSWER);
         self.conn = Some(Conn { token, stream, buffer: Buffer::default(), out: 0 });
         true
     }
@@ -121,7 +121,8 @@
             let waiting = conn.buffer.waiting();
             if !conn.buffer.flush(&mut conn.stream).map_err(|_| ())? {
                 if conn.buffer.waiting() < waiting {
-                    io.deadlines.set(Due::Conn(conn.token, Alarm::Late), io.now + ANSWER);
+                    io.deadlines
+                        .set(Deadline::Connection(conn.token, ConnectionTimer::Timeout), io.now + ANSWER);
                 }
                 return Ok(());
             }
@@ -134,21 +135,23 @@
                 conn.out -= 1;
                 self.failed = 0;
                 match conn.out {
-                    0 => io.deadlines.clear(Due::Conn(conn.token, Alarm::Late)),
-                    _ => io.deadlines.set(Due::Conn(conn.token, Alarm::Late), io.now + ANSWER),
+                    0 => io.deadlines.clear(Deadline::Connection(conn.token, ConnectionTimer::Timeout)),
+                    _ => io
+                        .deadlines
+                        .set(Deadline::Connection(conn.token, ConnectionTimer::Timeout), io.now + ANSWER),
                 }
             }
-            if filled == Filled::Ended {
+            if filled == FillOutcome::Closed {
                 return Err(());
             }
             if self.queue.is_empty() || conn.out >= OUT {
                 if conn.out == 0 {
-                    io.deadlines.clear(Due::Conn(conn.token, Alarm::Late));
+                    io.deadlines.clear(Deadline::Connection(conn.token, ConnectionTimer::Timeout));
                 }
                 return Ok(());
             }
             if conn.out == 0 {
-                io.deadlines.set(Due::Conn(conn.token, Alarm::Late), io.now + ANSWER);
+                io.deadlines.set(Deadline::Connection(conn.token, ConnectionTimer::Timeout), io.now + ANSWER);
             }
             while conn.out < OUT
                 && let Some(message) = self.queue.pop_front()
@@ -170,11 +173,11 @@
     fn broken(&mut self, io: &mut Io<'_>) {
         if let Some(mut conn) = self.conn.take() {
             let _ = io.registry.deregister(&mut conn.stream);
-            io.deadlines.clear(Due::Conn(conn.token, Alarm::Late));
+            io.deadlines.clear(Deadline::Connection(conn.token, ConnectionTimer::Timeout));
         }
         let wait = (FIRST_WAIT << self.failed.min(8)).min(LONGEST_WAIT);
         self.failed += 1;
         let wait = wait / 2 + self.random.u64(0..=wait);
-        io.deadlines.set(Due::Link(self.id), io.now + wait);
+        io.deadlines.set(Deadline::ControlLinkRetry(self.id), io.now + wait);
     }
 }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -9,7 +9,7 @@
 use crate::config::control::ControlConfig;
 use crate::log::note;
 use crate::net::core::clock::Clock;
-use crate::net::core::deadlines::{Alarm, Deadlines, Due};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline, Deadlines};
 use calicolb::api::Micros;
 use calicolb_agreed::store::FileStore;
 use calicolb_agreed::{Change, Document, Outcome, Refused, Ticket, Voter};
@@ -125,8 +125,8 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
         let now = self.clock.now();
-        self.deadlines.set(Due::Tick, now);
-        self.deadlines.set(Due::Heartbeat, now + HEARTBEAT);
+        self.deadlines.set(Deadline::ControlTick, now);
+        self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT);
         loop {
             let now = self.clock.now();
             match self.poll.poll(&mut events, self.deadlines.timeout(now)) {
@@ -138,7 +138,7 @@
                 self.ready(now, event.token());
             }
             while let Some(due) = self.deadlines.next_due(now) {
-                if due == Due::Farewell {
+                if due == Deadline::DrainClients {
                     return Ok(());
                 }
                 self.due(now, due);
@@ -164,7 +164,7 @@
                     self.ending = true;
                     let (mut io, inbound, _) = self.split(now);
                     inbound.farewell(&mut io);
-                    self.deadlines.set(Due::Farewell, now + LAST);
+                    self.deadlines.set(Deadline::DrainClients, now + LAST);
                 }
             }
             LISTENER => self.accept(now),
@@ -188,39 +188,39 @@
         tokens.into_iter().for_each(|token| self.serve(now, token));
     }
 
-    fn due(&mut self, now: Micros, due: Due) {
+    fn due(&mut self, now: Micros, due: Deadline) {
         match due {
-            Due::Tick => {
+            Deadline::ControlTick => {
                 // One that stood still does not make up for the ticks that it missed, but what it heard is older now.
                 let missed = now.saturating_sub(self.ticked) / TICK;
                 if missed > 1 {
                     self.voter.missed(missed - 1);
                 }
                 self.ticked = now;
-                self.deadlines.set(Due::Tick, now + TICK);
+                self.deadlines.set(Deadline::ControlTick, now + TICK);
                 self.voter.tick();
                 self.learners.forget(now);
                 if self.accepting {
                     self.accept(now);
                 }
             }
-            Due::Heartbeat => {
-                self.deadlines.set(Due::Heartbeat, now + HEARTBEAT);
+            Deadline::Heartbeat => {
+                self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT);
                 let line = if self.voter.has_majority() { b"\n".to_vec() } else { self.level_line() };
                 for token in self.learners.tokens() {
                     self.tell(now, token, &line);
                 }
             }
-            Due::Link(id) => {
+            Deadline::ControlLinkRetry(id) => {
                 let (mut io, _, links) = self.split(now);
                 if let Some(link) = links.iter_mut().find(|link| link.id == id) {
                     link.pump(&mut io);
                 }
             }
-            Due::Conn(token, alarm) => {
+            Deadline::Connection(token, alarm) => {
                 let (mut io, inbound, links) = self.split(now);
                 match links.iter_mut().find(|link| link.has(token)) {
-                    Some(link) if alarm == Alarm::Late => link.late(&mut io),
+                    Some(link) if alarm == ConnectionTimer::Timeout => link.late(&mut io),
                     Some(_) => {}
                     None => inbound.late(&mut io, token, alarm),
                 }
--- a/src/net/core/buffer.rs
+++ b/src/net/core/buffer.rs
@@ -21,13 +21,13 @@
 
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Filled {
+pub enum FillOutcome {
     /// Nothing more for now.
-    Dry,
+    WouldBlock,
     /// The limit is reached; there may be more.
-    Brimful,
+    LimitReached,
     /// The other side has ended, or the connection broke.
-    Ended,
+    Closed,
 }
 
 impl Buffer {
@@ -53,9 +53,9 @@
     }
 
     /// Reads until the source is dry, or until `limit` bytes are held.
-    pub fn fill(&mut self, source: &mut impl Read, limit: usize) -> Filled {
+    pub fn fill(&mut self, source: &mut impl Read, limit: usize) -> FillOutcome {
         if self.has_output() {
-            return Filled::Brimful;
+            return FillOutcome::LimitReached;
         }
         if self.start > 0 {
             self.data.copy_within(self.start..self.mid, 0);
@@ -64,15 +64,15 @@
         }
         let filled = loop {
             if self.mid >= limit {
-                break Filled::Brimful;
+                break FillOutcome::LimitReached;
             }
             self.data.resize(self.mid + READ, 0);
             match source.read(&mut self.data[self.mid..]) {
-                Ok(0) => break Filled::Ended,
+                Ok(0) => break FillOutcome::Closed,
                 Ok(count) => self.mid += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => break Filled::Dry,
-                Err(_) => break Filled::Ended,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break FillOutcome::WouldBlock,
+                Err(_) => break FillOutcome::Closed,
             }
         };
         self.data.truncate(self.mid);
@@ -159,24 +159,24 @@
     #[test]
     fn output_goes_out_in_parts_and_leaves_the_input_alone() {
         let mut buffer = Buffer::default();
-        assert_eq!(buffer.fill(&mut Trickle(b"first second".to_vec(), 5), 100), Filled::Dry);
+        assert_eq!(buffer.fill(&mut Trickle(b"first second".to_vec(), 5), 100), FillOutcome::WouldBlock);
         buffer.consume(6);
         buffer.put(b"an answer");
         let mut sink = Trickle(Vec::new(), 4);
         assert!(!buffer.flush(&mut sink).expect("it would only block"));
-        assert_eq!(buffer.fill(&mut Trickle(b"more".to_vec(), 9), 100), Filled::Brimful);
+        assert_eq!(buffer.fill(&mut Trickle(b"more".to_vec(), 9), 100), FillOutcome::LimitReached);
         sink.1 = 100;
         assert!(buffer.flush(&mut sink).expect("there is room"));
         assert_eq!(sink.0, b"an answer");
         assert_eq!(buffer.input(), b"second");
-        assert_eq!(buffer.fill(&mut Trickle(b" third".to_vec(), 9), 100), Filled::Dry);
+        assert_eq!(buffer.fill(&mut Trickle(b" third".to_vec(), 9), 100), FillOutcome::WouldBlock);
         assert_eq!(buffer.input(), b"second third");
     }
 
     #[test]
     fn a_flood_stops_at_the_limit_and_memory_is_given_back() {
         let mut buffer = Buffer::default();
-        assert_eq!(buffer.fill(&mut Trickle(vec![7; 1 << 20], 1 << 20), 100_000), Filled::Brimful);
+        assert_eq!(buffer.fill(&mut Trickle(vec![7; 1 << 20], 1 << 20), 100_000), FillOutcome::LimitReached);
         let held = buffer.input().len();
         assert!((100_000..100_000 + READ).contains(&held));
         buffer.consume(held);
--- a/src/net/core/figures.rs
+++ b/src/net/core/counters.rs
@@ -6,7 +6,7 @@
 
 /// How many requests of a class ended how, and how many attempts were written whole for them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ClassCounters {
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -14,28 +14,28 @@
 }
 
 /// What has been counted since the start of the process.
-pub struct Figures(Vec<Tally>);
+pub struct Counters(Vec<ClassCounters>);
 
 /// What is true at the moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Present {
+pub struct Gauges {
     pub in_flight: usize,
     pub known: usize,
     pub avoided: usize,
 }
 
-impl Figures {
+impl Counters {
     pub fn new(classes: usize) -> Self {
-        Figures(vec![Tally::default(); classes])
+        Counters(vec![ClassCounters::default(); classes])
     }
 
     /// There are so many classes now; what was counted stays.
     pub fn grow(&mut self, classes: usize) {
-        self.0.resize(classes.max(self.0.len()), Tally::default());
+        self.0.resize(classes.max(self.0.len()), ClassCounters::default());
     }
 
     /// The counts of a class.
-    pub fn of(&mut self, class: ClassIx) -> &mut Tally {
+    pub fn of(&mut self, class: ClassIx) -> &mut ClassCounters {
         &mut self.0[class.0]
     }
 
@@ -43,7 +43,7 @@
     pub fn write<'a, T: Display>(
         &self,
         classes: impl Iterator<Item = &'a str>,
-        present: Present,
+        present: Gauges,
         others: impl Iterator<Item = (&'static str, T)>,
     ) -> String {
         let mut text = String::new();
@@ -77,11 +77,11 @@
 
     #[test]
     fn figures_are_lines_by_class_and_end_with_end() {
-        let mut figures = Figures::new(2);
+        let mut figures = Counters::new(2);
         figures.of(ClassIx(1)).served += 812;
         figures.of(ClassIx(1)).attempts += 900;
         figures.of(ClassIx(0)).attempts += 1;
-        let present = Present { in_flight: 14, known: 3, avoided: 1 };
+        let present = Gauges { in_flight: 14, known: 3, avoided: 1 };
         let text = figures.write(["look", "book"].into_iter(), present, [("own.lanes", 5)].into_iter());
         let lines: Vec<&str> = text.lines().collect();
         for line in [
--- a/src/net/core/deadlines.rs
+++ b/src/net/core/deadlines.rs
@@ -6,62 +6,62 @@
 
 /// What falls due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Due {
+pub enum Deadline {
     /// A timer of the decision module: its number, and which setting of it.
-    Timer(u64, u64),
+    DispatcherTimer(u64, u64),
     /// The time of an attempt is up: request and attempt.
-    Attempt(u32, u32),
+    AttemptTimeout(u32, u32),
     /// An attempt that is unwanted should have been taken by now: request and attempt.
-    Unwanted(u32, u32),
+    CancelUnaccepted(u32, u32),
     /// By now the end of the connection of an attempt that was given up has come to its next hop: request and attempt.
-    CalledOff(u32, u32),
+    CancelDelivered(u32, u32),
     /// A time that a protocol set for one of its connections or listeners.
-    Conn(usize, Alarm),
+    Connection(usize, ConnectionTimer),
     /// Datagrams are left from the last turn.
-    Peers,
+    ReceivePeers,
     /// The one-off call to discovery has waited too long.
-    Fetch,
+    DiscoveryFetch,
     /// Nothing has come on the watch for too long.
-    Watch,
+    DiscoveryWatch,
     /// The list grows too old to be acted on.
-    Stale,
+    ListExpiry,
     /// Other schedulers are asked how fresh their lists are.
-    Witness,
+    PeerListCheck,
     /// The program counts as ready by now, whether the list is confirmed or not.
-    Ready,
+    Readiness,
     /// An operator's call has been open for too long.
-    Call(usize),
+    ManagementCall(usize),
     /// The operators' door is tried again after descriptors ran out.
-    Door,
+    ManagementAccept,
     /// The process before this one has not handed over in time.
-    Predecessor,
+    PredecessorHandover,
     /// The address for datagrams was taken, and is tried again.
-    PeersAgain,
+    PeerSocketRetry,
     /// After SIGTERM: what is owed to the requests that are open is looked at again.
-    OpenRequests,
+    OpenRequestsCheck,
     /// The agreed configuration: something on its way from a control machine is owed, or another call is to be made.
-    Control,
+    ControlClient,
     /// What a control machine keeps time by.
-    Tick,
+    ControlTick,
     /// Learners are told that there is nothing new.
     Heartbeat,
     /// The connection to the control machine of this number is tried again.
-    Link(u64),
+    ControlLinkRetry(u64),
     /// In a drain: clients have been told elsewhere to go by now.
-    Farewell,
+    DrainClients,
 }
 
 /// What a protocol set a time for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Alarm {
+pub enum ConnectionTimer {
     /// Something is owed on the connection, and has not come.
-    Late,
+    Timeout,
     /// The connection has rested long enough.
-    Rested,
+    Idle,
     /// There is more to read than was one turn's share.
-    More,
+    ContinueRead,
     /// What was offered on the connection has not been taken up.
-    Owed,
+    OfferTimeout,
     /// Accepting goes on, after a turn's share of it, or after descriptors ran out.
     Accept,
 }
@@ -70,13 +70,13 @@
 /// what it speaks of.
 #[derive(Default)]
 pub struct Deadlines {
-    sorted: BTreeSet<(Micros, Due)>,
-    at: HashMap<Due, Micros>,
+    sorted: BTreeSet<(Micros, Deadline)>,
+    at: HashMap<Deadline, Micros>,
 }
 
 impl Deadlines {
     /// Sets or moves a deadline.
-    pub fn set(&mut self, due: Due, at: Micros) {
+    pub fn set(&mut self, due: Deadline, at: Micros) {
         if let Some(before) = self.at.insert(due, at) {
             self.sorted.remove(&(before, due));
         }
@@ -84,19 +84,19 @@
     }
 
     /// Forgets a deadline.
-    pub fn clear(&mut self, due: Due) {
+    pub fn clear(&mut self, due: Deadline) {
         if let Some(before) = self.at.remove(&due) {
             self.sorted.remove(&(before, due));
         }
     }
 
     /// A deadline of this kind is set.
-    pub fn has(&self, due: Due) -> bool {
+    pub fn has(&self, due: Deadline) -> bool {
         self.at.contains_key(&due)
     }
 
     /// Takes the earliest deadline that has come.
-    pub fn next_due(&mut self, now: Micros) -> Option<Due> {
+    pub fn next_due(&mut self, now: Micros) -> Option<Deadline> {
         let &(at, due) = self.sorted.first()?;
         if at > now {
             return None;
@@ -119,15 +119,15 @@
     #[test]
     fn deadlines_come_in_order_move_and_go() {
         let mut deadlines = Deadlines::default();
-        deadlines.set(Due::Conn(1, Alarm::Late), 50);
-        deadlines.set(Due::Conn(2, Alarm::Accept), 20);
-        deadlines.set(Due::Conn(1, Alarm::Late), 10);
-        deadlines.set(Due::Fetch, 5);
-        deadlines.clear(Due::Fetch);
+        deadlines.set(Deadline::Connection(1, ConnectionTimer::Timeout), 50);
+        deadlines.set(Deadline::Connection(2, ConnectionTimer::Accept), 20);
+        deadlines.set(Deadline::Connection(1, ConnectionTimer::Timeout), 10);
+        deadlines.set(Deadline::DiscoveryFetch, 5);
+        deadlines.clear(Deadline::DiscoveryFetch);
         assert_eq!(deadlines.timeout(4), Some(Duration::from_micros(6)));
         assert_eq!(deadlines.next_due(9), None);
-        assert_eq!(deadlines.next_due(60), Some(Due::Conn(1, Alarm::Late)));
-        assert_eq!(deadlines.next_due(60), Some(Due::Conn(2, Alarm::Accept)));
+        assert_eq!(deadlines.next_due(60), Some(Deadline::Connection(1, ConnectionTimer::Timeout)));
+        assert_eq!(deadlines.next_due(60), Some(Deadline::Connection(2, ConnectionTimer::Accept)));
         assert_eq!(deadlines.next_due(60), None);
         assert_eq!(deadlines.timeout(60), None);
     }
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -4,10 +4,10 @@
 pub mod buffer;
 mod bytes_as_text;
 pub mod clock;
+pub mod counters;
 pub mod deadlines;
-pub mod desk;
 pub mod envelope;
-pub mod figures;
-pub mod journey;
-pub mod roster;
+pub mod network_delay;
+pub mod request_table;
 pub mod transfer;
+pub mod worker_registry;
--- a/src/net/core/desk.rs
+++ b/src/net/core/request_table.rs
@@ -3,10 +3,10 @@
 //! and it decides nothing itself.
 
 use crate::log::note;
-use crate::net::core::deadlines::{Deadlines, Due};
-use crate::net::core::figures::Figures;
-use crate::net::core::journey;
-use crate::net::core::roster::{Roster, Source};
+use crate::net::core::counters::Counters;
+use crate::net::core::deadlines::{Deadline, Deadlines};
+use crate::net::core::network_delay;
+use crate::net::core::worker_registry::{WorkerRegistry, WorkerSource};
 use calicolb::api::*;
 use calicolb::renewal::{Fault, key_of};
 use calicolb::rules::Dispatcher;
@@ -17,7 +17,7 @@
 const ELSEWHERE: usize = 4096;
 
 /// See the head of this file.
-pub struct Desk<P> {
+pub struct RequestTable<P> {
     dispatcher: Dispatcher,
     /// Slots that a job takes by its class.
     slots: Vec<u32>,
@@ -37,27 +37,27 @@
     ends: Micros,
     limited: bool,
     events: VecDeque<Event>,
-    work: Vec<Work<P>>,
+    work: Vec<Command<P>>,
     /// Requests whose records may go, once the module has answered the batch that says so.
     closing: Vec<u32>,
-    figures: Figures,
-    roster: Roster,
+    figures: Counters,
+    roster: WorkerRegistry,
     /// Names that are open at the other process of this scheduler.
     elsewhere: HashSet<String>,
     /// Names that were opened (`true`) and closed here, while there is somebody to be told.
     turnover: Option<Vec<(String, bool)>>,
 }
 
-impl<P: Clone> Desk<P> {
+impl<P: Clone> RequestTable<P> {
     pub fn new(settings: Settings, seed: u64, now: Micros, most_open: usize) -> Self {
-        Desk {
+        RequestTable {
             most_tries: settings.limits.tries,
             copies: settings.limits.copies,
-            takes: journey::silence(settings.limits.connect_timeout),
+            takes: network_delay::silence(settings.limits.connect_timeout),
             slots: settings.classes.iter().map(|class| class.slots).collect(),
-            figures: Figures::new(settings.classes.len()),
+            figures: Counters::new(settings.classes.len()),
             dispatcher: Dispatcher::new(settings, seed, now),
-            roster: Roster::default(),
+            roster: WorkerRegistry::default(),
             most_open,
             entries: HashMap::new(),
             names: HashMap::new(),
@@ -77,18 +77,18 @@
     // ---- Facts -----------------------------------------------------------------------------------
 
     /// A request has come in whole. Gives its number.
-    pub fn arrive(&mut self, now: Micros, client: ClientId, job: Job<P>) -> Result<u32, Unfit> {
+    pub fn arrive(&mut self, now: Micros, client: ClientId, job: Job<P>) -> Result<u32, IntakeError> {
         if self.names.contains_key(&job.name) || self.elsewhere.contains(&job.name) {
-            return Err(Unfit::Repeated);
+            return Err(IntakeError::DuplicateName);
         }
         if self.entries.len() >= self.most_open {
             self.figures.of(job.class).refused += 1;
-            return Err(Unfit::TooMany);
+            return Err(IntakeError::TooManyOpen);
         }
         Ok(self.enter(now, client, job, None))
     }
 
-    fn enter(&mut self, now: Micros, client: ClientId, job: Job<P>, history: Option<&History>) -> u32 {
+    fn enter(&mut self, now: Micros, client: ClientId, job: Job<P>, history: Option<&RequestHistory>) -> u32 {
         while self.entries.contains_key(&self.next_request) {
             self.next_request = self.next_request.wrapping_add(1);
         }
@@ -143,7 +143,7 @@
     }
 
     /// A client is told more of its request from now on.
-    pub fn hear(&mut self, client: ClientId, hears: Hears) {
+    pub fn hear(&mut self, client: ClientId, hears: ClientUpdates) {
         if let Some(entry) = self.clients.get(&client).and_then(|number| self.entries.get_mut(number)) {
             entry.hears = hears;
         }
@@ -154,8 +154,8 @@
         self.events.push_back(Event::Probed { worker: hop, ending, elapsed, report });
     }
 
-    /// News of the next hops, from one of those who name them.
-    pub fn members(&mut self, source: Source, kind: ListKind, members: Vec<Member>) {
+    /// AttemptUpdate of the next hops, from one of those who name them.
+    pub fn members(&mut self, source: WorkerSource, kind: ListKind, members: Vec<Member>) {
         let members = self.roster.merge(source, kind, members);
         self.events.push_back(Event::Members(kind, members));
     }
@@ -166,7 +166,7 @@
     }
 
     /// A next hop of this number was named by somebody else.
-    pub fn foreign(&self, hop: WorkerId, source: Source) -> bool {
+    pub fn foreign(&self, hop: WorkerId, source: WorkerSource) -> bool {
         self.roster.foreign(hop, source)
     }
 
@@ -205,12 +205,12 @@
         self.dispatcher.could_take(new).map_err(|refused| Fault::new(key_of(refused.field), refused.why))
     }
 
-    /// Takes up settings that [`Desk::could_take`] let pass. No action of the module's waits between two batches, so what
+    /// Takes up settings that [`RequestTable::could_take`] let pass. No action of the module's waits between two batches, so what
     /// it decided by the old ones has been carried out by them.
     pub fn take_up(&mut self, now: Micros, settings: Settings, deadlines: &mut Deadlines) {
         let (limits, classes) = (&settings.limits, &settings.classes);
         (self.most_tries, self.copies) = (limits.tries, limits.copies);
-        self.takes = journey::silence(limits.connect_timeout);
+        self.takes = network_delay::silence(limits.connect_timeout);
         self.slots = classes.iter().map(|class| class.slots).collect();
         self.figures.grow(classes.len());
         let mut actions = Vec::new();
@@ -223,7 +223,7 @@
     // ---- The module ------------------------------------------------------------------------------
 
     /// Hands all that was gathered to the module, and gives what is to be done.
-    pub fn settle(&mut self, now: Micros, deadlines: &mut Deadlines) -> Vec<Work<P>> {
+    pub fn settle(&mut self, now: Micros, deadlines: &mut Deadlines) -> Vec<Command<P>> {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.dispatcher.on_event(now, event, &mut actions);
@@ -245,7 +245,7 @@
     }
 
     /// What was counted since the start.
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &Counters {
         &self.figures
     }
 
@@ -270,7 +270,7 @@
     }
 }
 
-pub use end_of_process::{History, PastSend};
+pub use end_of_process::{AttemptRecord, RequestHistory};
 pub use request::*;
 
 mod actions;
--- a/src/net/core/desk/actions.rs
+++ b/src/net/core/request_table/actions.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<P: Clone> Desk<P> {
+impl<P: Clone> RequestTable<P> {
     pub(super) fn carry_out(&mut self, now: Micros, action: Action, deadlines: &mut Deadlines) {
         match action {
             Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, deadlines),
@@ -26,30 +26,30 @@
                 if attempt.taken || now >= written + takes {
                     self.tell_off(id);
                 } else {
-                    deadlines.set(Due::Unwanted(id.request, id.number), written + takes);
+                    deadlines.set(Deadline::CancelUnaccepted(id.request, id.number), written + takes);
                 }
             }
             Action::SetTimer { timer, after } => {
                 self.next_timer += 1;
-                deadlines.set(Due::Timer(timer.0, self.next_timer), now + after);
+                deadlines.set(Deadline::DispatcherTimer(timer.0, self.next_timer), now + after);
             }
             Action::Probe(hop) => {
                 self.dispatcher.spent.probes += 1;
-                self.work.push(Work::Probe(hop));
+                self.work.push(Command::Probe(hop));
             }
             Action::Tell { to, body } => {
                 self.dispatcher.spent.messages += 1;
-                self.work.push(Work::Tell { to, body });
+                self.work.push(Command::SendPeerMessage { to, body });
             }
             Action::FetchList => {
                 self.dispatcher.spent.list_calls += 1;
-                self.work.push(Work::FetchList);
+                self.work.push(Command::FetchList);
             }
             Action::Subscribe(want) => {
                 self.dispatcher.spent.list_calls += u64::from(want);
-                self.work.push(Work::Watch(want));
+                self.work.push(Command::SetWatch(want));
             }
-            Action::CloseIdle(hop) => self.work.push(Work::CloseIdle(hop)),
+            Action::CloseIdle(hop) => self.work.push(Command::CloseIdle(hop)),
             Action::Log(text) => note!("module: {text}"),
         }
     }
@@ -73,9 +73,9 @@
         if entry.concluded || ends <= now || id.number >= self.most_tries {
             return self.end(now, id, Ending::Moot, false, None);
         }
-        deadlines.set(Due::Attempt(id.request, id.number), ends);
+        deadlines.set(Deadline::AttemptTimeout(id.request, id.number), ends);
         note!(debug: request = id.request, attempt = id.number, hop = hop.0, "an attempt is sent");
-        self.work.push(Work::Send { attempt: id, hop, payload: entry.payload.clone(), wait: ends - now });
+        self.work.push(Command::Send { attempt: id, hop, payload: entry.payload.clone(), wait: ends - now });
     }
 
     pub(super) fn attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
@@ -95,7 +95,7 @@
         attempt.told_off = true;
         let hop = attempt.hop;
         let name = self.entries.get(&id.request).map(|entry| entry.name.clone()).unwrap_or_default();
-        self.work.push(Work::GiveUp { attempt: id, hop, name });
+        self.work.push(Command::Cancel { attempt: id, hop, name });
     }
 
     pub(super) fn serve(&mut self, now: Micros, id: AttemptId, result: Vec<u8>, report: Option<Report>) {
@@ -149,7 +149,7 @@
             Answer::Failed => tally.failed += 1,
         }
         self.clients.remove(&entry.client);
-        self.work.push(Work::Answer { client: entry.client, answer });
+        self.work.push(Command::Answer { client: entry.client, answer });
         self.closing.push(number);
     }
 
--- a/src/net/core/desk/attempts.rs
+++ b/src/net/core/request_table/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<P: Clone> Desk<P> {
+impl<P: Clone> RequestTable<P> {
     /// Whether an attempt whose connection has come up may still begin, and if not, what it ends with: its client may have
     /// left meanwhile or its time be over, or the module may no longer want it there.
     pub fn begins(&mut self, now: Micros, id: AttemptId) -> Result<(), Ending> {
@@ -51,10 +51,10 @@
         if self.attempt(id).is_some() {
             if note == Note::Started
                 && let Some(entry) = self.entries.get(&id.request)
-                && entry.hears != Hears::Nothing
+                && entry.hears != ClientUpdates::Nothing
                 && !entry.concluded
             {
-                self.work.push(Work::Relay { client: entry.client, part: Part::Started });
+                self.work.push(Command::Relay { client: entry.client, part: PartialResult::Started });
             }
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
         }
@@ -62,26 +62,26 @@
 
     /// A next hop has told a part of what comes. Gives back a part of the result that the client cannot be told yet:
     /// whoever drives the next hop keeps it for the end.
-    pub fn part(&mut self, id: AttemptId, part: Part) -> Option<Part> {
+    pub fn part(&mut self, id: AttemptId, part: PartialResult) -> Option<PartialResult> {
         self.attempt(id)?;
         let entry = self.entries.get_mut(&id.request)?;
         let (request, attempt) = (RequestId(id.request), id.number);
-        let result = matches!(part, Part::Data(_) | Part::Warning(_));
-        if let Part::Progress(done, of) = part {
+        let result = matches!(part, PartialResult::Data(_) | PartialResult::Warning(_));
+        if let PartialResult::Progress(done, of) = part {
             let note = Note::Progress(if of > 0 { done as f64 / of as f64 } else { 0.0 });
             self.events.push_back(Event::Note { request, attempt, note });
         }
         if entry.concluded {
             return None;
         }
-        if entry.hears == Hears::Nothing || (result && entry.hears != Hears::All) {
+        if entry.hears == ClientUpdates::Nothing || (result && entry.hears != ClientUpdates::All) {
             return result.then_some(part);
         }
         if result && !entry.streaming {
             entry.streaming = true;
             self.events.push_back(Event::Streaming { request, attempt });
         }
-        self.work.push(Work::Relay { client: entry.client, part });
+        self.work.push(Command::Relay { client: entry.client, part });
         None
     }
 
@@ -153,7 +153,7 @@
         now: Micros,
         name: &str,
         hop: WorkerId,
-        news: News,
+        news: AttemptUpdate,
         report: Option<Report>,
     ) -> bool {
         let Some(&number) = self.names.get(name) else { return false };
@@ -163,7 +163,7 @@
         let attempt = &entry.attempts[nr];
         // Before its last byte is written nothing can be known of an attempt: the news is of an older one.
         if attempt.ending.is_some() || attempt.written_at.is_none() {
-            let ended = matches!(news, News::Served(_) | News::Over(_));
+            let ended = matches!(news, AttemptUpdate::Served(_) | AttemptUpdate::Ended(_));
             if ended && attempt.ending.is_some() {
                 self.surely_over(AttemptId { request: number, number: nr as u32 });
             }
@@ -175,13 +175,13 @@
             |ending| entry.attempts[..nr].iter().any(|old| old.hop == hop && old.ended_by == Some(ending));
         let id = AttemptId { request: number, number: nr as u32 };
         match news {
-            News::Note(Note::Progress(share)) if entry.hears != Hears::Nothing => {
-                self.part(id, Part::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
+            AttemptUpdate::Note(Note::Progress(share)) if entry.hears != ClientUpdates::Nothing => {
+                self.part(id, PartialResult::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
             }
-            News::Note(note) => self.note(id, note),
-            News::Served(result) => self.serve(now, id, result, report),
-            News::Over(ending) if !attempt.taken && repeats(ending) => return false,
-            News::Over(ending) => {
+            AttemptUpdate::Note(note) => self.note(id, note),
+            AttemptUpdate::Served(result) => self.serve(now, id, result, report),
+            AttemptUpdate::Ended(ending) if !attempt.taken && repeats(ending) => return false,
+            AttemptUpdate::Ended(ending) => {
                 if let Some(attempt) = self.attempt(id) {
                     attempt.ended_by = Some(ending);
                 }
--- a/src/net/core/desk/end_of_process.rs
+++ b/src/net/core/request_table/end_of_process.rs
@@ -7,7 +7,7 @@
 
 /// What is known of a request that goes on at another process, beside what its worker gets of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct History {
+pub struct RequestHistory {
     /// When it came in.
     pub arrived: Micros,
     /// When its client leaves.
@@ -15,12 +15,12 @@
     /// What a repeat would do; `None`: as its class says.
     pub effect: Option<Effect>,
     /// Its attempts, in the order in which they were sent.
-    pub attempts: Vec<PastSend>,
+    pub attempts: Vec<AttemptRecord>,
 }
 
 /// An attempt of a request that goes on at another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PastSend {
+pub struct AttemptRecord {
     pub worker: WorkerId,
     pub sent: Micros,
     pub state: AttemptState,
@@ -28,7 +28,7 @@
     pub ended_by: Option<Ending>,
 }
 
-impl History {
+impl RequestHistory {
     /// The same on a clock that is so far ahead of the one by which its times are told.
     pub fn on_clock(mut self, ahead: i64) -> Self {
         let attempts = self.attempts.iter_mut().map(|attempt| &mut attempt.sent);
@@ -38,10 +38,10 @@
     }
 }
 
-impl History {
+impl RequestHistory {
     /// The same for the decision module. `of_class`: what a repeat would do by its class.
     pub(super) fn handed_on(&self, of_class: Effect) -> HandedOn {
-        let past = |attempt: &PastSend| PastAttempt {
+        let past = |attempt: &AttemptRecord| PastAttempt {
             worker: attempt.worker,
             sent: attempt.sent,
             state: attempt.state,
@@ -67,7 +67,7 @@
     }
 
     /// One that another process sent.
-    fn past(past: &PastSend) -> Self {
+    fn past(past: &AttemptRecord) -> Self {
         let mut attempt = Attempt {
             written_at: Some(past.sent),
             taken: true,
@@ -84,7 +84,7 @@
     }
 }
 
-impl<P: Clone> Desk<P> {
+impl<P: Clone> RequestTable<P> {
     /// The program ends, and nobody is answered after this time: what comes in from now on is taken only if it can be done
     /// by then.
     pub fn stop(&mut self, last_answer: Micros) {
@@ -97,7 +97,7 @@
         self.events.push_back(Event::Ends(self.ends));
         for (&number, entry) in self.entries.iter().filter(|(_, entry)| entry.expires > self.ends) {
             let out = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
-            out.for_each(|(nr, _)| deadlines.set(Due::Attempt(number, nr), self.ends));
+            out.for_each(|(nr, _)| deadlines.set(Deadline::AttemptTimeout(number, nr), self.ends));
         }
     }
 
@@ -138,15 +138,15 @@
     }
 
     /// The name of a request, what its worker gets of it, and what another process has to know to go on with it.
-    pub fn history(&self, number: u32) -> Option<(String, P, History)> {
+    pub fn history(&self, number: u32) -> Option<(String, P, RequestHistory)> {
         let entry = self.entries.get(&number)?;
-        let past = |attempt: &Attempt| PastSend {
+        let past = |attempt: &Attempt| AttemptRecord {
             worker: attempt.hop,
             sent: attempt.sent,
             state: attempt.progress().state(),
             ended_by: attempt.ended_by,
         };
-        let history = History {
+        let history = RequestHistory {
             arrived: entry.arrived,
             expires: entry.expires,
             effect: Some(self.effect(number, entry)),
@@ -169,7 +169,7 @@
         now: Micros,
         client: ClientId,
         mut job: Job<P>,
-        history: &History,
+        history: &RequestHistory,
         deadlines: &mut Deadlines,
     ) {
         self.elsewhere.remove(&job.name);
@@ -180,7 +180,7 @@
         entry.attempts = history.attempts.iter().map(Attempt::past).collect();
         let ends = entry.expires.min(self.ends);
         let out = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
-        out.for_each(|(nr, _)| deadlines.set(Due::Attempt(number, nr), ends));
+        out.for_each(|(nr, _)| deadlines.set(Deadline::AttemptTimeout(number, nr), ends));
     }
 
     /// The process ends before this request has a result: it gets its final answer.
--- a/src/net/core/desk/request.rs
+++ b/src/net/core/request_table/request.rs
@@ -27,13 +27,13 @@
     /// What a next hop must be able to do for it.
     pub skill: u32,
     /// What its client is told before the end.
-    pub hears: Hears,
+    pub hears: ClientUpdates,
     pub payload: P,
 }
 
 /// What a client is told of a request before the end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Hears {
+pub enum ClientUpdates {
     /// Nothing: its protocol has no words for it.
     #[default]
     Nothing,
@@ -45,7 +45,7 @@
 
 /// What a next hop tells of an attempt on the way to its end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum PartialResult {
     /// The job has started.
     Started,
     /// A part of the result.
@@ -60,11 +60,11 @@
 
 /// Why a request is not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum IntakeError {
     /// One of this name is still open.
-    Repeated,
+    DuplicateName,
     /// As many are open as may be.
-    TooMany,
+    TooManyOpen,
 }
 
 /// The final answer to a request.
@@ -87,18 +87,18 @@
 
 /// What is told of an attempt, apart from the connection that it went out on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum AttemptUpdate {
     Note(Note),
     Served(Vec<u8>),
-    Over(Ending),
+    Ended(Ending),
 }
 
 /// What is to be done.
 #[derive(Debug, PartialEq)]
-pub enum Work<P> {
+pub enum Command<P> {
     Relay {
         client: ClientId,
-        part: Part,
+        part: PartialResult,
     },
     Answer {
         client: ClientId,
@@ -111,19 +111,19 @@
         wait: Micros,
     },
     /// An attempt was given up, and may be with its next hop. Who drives that tells when it has heard, with
-    /// [`Desk::called_off`].
-    GiveUp {
+    /// [`RequestTable::called_off`].
+    Cancel {
         attempt: AttemptId,
         hop: WorkerId,
         name: String,
     },
     Probe(WorkerId),
-    Tell {
+    SendPeerMessage {
         to: Option<u32>,
         body: Vec<u8>,
     },
     FetchList,
-    Watch(bool),
+    SetWatch(bool),
     CloseIdle(WorkerId),
 }
 
@@ -172,7 +172,7 @@
     pub(super) payload: P,
     /// The final answer is given, or nobody waits for it any more.
     pub(super) concluded: bool,
-    pub(super) hears: Hears,
+    pub(super) hears: ClientUpdates,
     /// Its client has a part of the result: it is not sent again, and the module has done with it.
     pub(super) streaming: bool,
     pub(super) attempts: Vec<Attempt>,
--- a/src/net/core/desk/tests.rs
+++ b/src/net/core/request_table/tests.rs
@@ -7,7 +7,7 @@
 const SECOND: Micros = 1_000_000;
 
 struct Table {
-    desk: Desk<&'static str>,
+    desk: RequestTable<&'static str>,
     deadlines: Deadlines,
     now: Micros,
     connect_timeout: Micros,
@@ -29,7 +29,7 @@
         let (now, connect_timeout) = (50 * SECOND, settings.limits.connect_timeout);
         let mut table = Table {
             connect_timeout,
-            desk: Desk::new(settings, 1, now, 100),
+            desk: RequestTable::new(settings, 1, now, 100),
             deadlines: Deadlines::default(),
             now,
         };
@@ -42,23 +42,23 @@
             weight: 1.0,
             ..Member::default()
         };
-        table.desk.members(Source::Listed, ListKind::Saved, vec![member]);
+        table.desk.members(WorkerSource::Discovery, ListKind::Saved, vec![member]);
         table.turn();
         table
     }
 
-    fn turn(&mut self) -> Vec<Work<&'static str>> {
+    fn turn(&mut self) -> Vec<Command<&'static str>> {
         self.desk.settle(self.now, &mut self.deadlines)
     }
 
     /// Lets time pass, timers and all, until there is something to do.
-    fn later(&mut self) -> Vec<Work<&'static str>> {
+    fn later(&mut self) -> Vec<Command<&'static str>> {
         for _ in 0..10_000 {
             self.now += 1_000;
             while let Some(due) = self.deadlines.next_due(self.now) {
                 match due {
-                    Due::Timer(timer, _) => self.desk.timer(timer),
-                    Due::Attempt(request, attempt) => {
+                    Deadline::DispatcherTimer(timer, _) => self.desk.timer(timer),
+                    Deadline::AttemptTimeout(request, attempt) => {
                         self.desk.time_up(self.now, AttemptId { request, number: attempt });
                     }
                     other => panic!("the desk never sets {other:?}"),
@@ -84,7 +84,7 @@
             key: None,
             retry: false,
             skill: 0,
-            hears: Hears::Nothing,
+            hears: ClientUpdates::Nothing,
             payload: "job",
         }
     }
@@ -94,20 +94,20 @@
         sent(&self.turn())
     }
 
-    fn news(&mut self, news: News) -> bool {
+    fn news(&mut self, news: AttemptUpdate) -> bool {
         self.desk.news(self.now, "a1", HOP, news, None)
     }
 }
 
-fn sent(work: &[Work<&'static str>]) -> AttemptId {
+fn sent(work: &[Command<&'static str>]) -> AttemptId {
     match work {
-        [Work::Send { attempt, hop: HOP, payload: "job", .. }] => *attempt,
+        [Command::Send { attempt, hop: HOP, payload: "job", .. }] => *attempt,
         other => panic!("one attempt was due, not {other:?}"),
     }
 }
 
-fn answer(answer: Answer) -> Work<&'static str> {
-    Work::Answer { client: 99, answer }
+fn answer(answer: Answer) -> Command<&'static str> {
+    Command::Answer { client: 99, answer }
 }
 
 #[test]
@@ -133,9 +133,9 @@
     table.desk.taken(attempt);
     table.desk.broke(table.now, attempt);
     assert_eq!(table.turn(), []);
-    assert!(table.news(News::Served(b"r".to_vec())));
+    assert!(table.news(AttemptUpdate::Served(b"r".to_vec())));
     assert_eq!(table.turn(), [answer(Answer::Served(b"r".to_vec()))]);
-    assert!(!table.news(News::Served(b"r".to_vec())), "a repeat meets nothing");
+    assert!(!table.news(AttemptUpdate::Served(b"r".to_vec())), "a repeat meets nothing");
     assert_eq!((table.turn(), table.desk.owed()), (vec![], 0));
 }
 
@@ -143,15 +143,18 @@
 fn stale_news_does_not_end_a_newer_attempt() {
     let mut table = Table::new();
     let first = table.arrive(1);
-    assert!(!table.news(News::Over(Ending::Full)), "its last byte is not written yet");
+    assert!(!table.news(AttemptUpdate::Ended(Ending::Full)), "its last byte is not written yet");
     table.desk.written(table.now, first);
-    assert!(!table.desk.news(table.now, "a1", WorkerId(8), News::Over(Ending::Broken), None));
-    assert!(table.news(News::Over(Ending::Full)));
+    assert!(!table.desk.news(table.now, "a1", WorkerId(8), AttemptUpdate::Ended(Ending::Broken), None));
+    assert!(table.news(AttemptUpdate::Ended(Ending::Full)));
     let second = sent(&table.later());
     table.desk.written(table.now, second);
-    assert!(!table.news(News::Over(Ending::Full)), "the same again, before the hop took the new one");
+    assert!(
+        !table.news(AttemptUpdate::Ended(Ending::Full)),
+        "the same again, before the hop took the new one"
+    );
     table.desk.taken(second);
-    assert!(table.news(News::Over(Ending::Full)));
+    assert!(table.news(AttemptUpdate::Ended(Ending::Full)));
 }
 
 #[test]
@@ -159,7 +162,7 @@
     let mut table = Table::new();
     let attempt = table.arrive(1);
     table.desk.written(table.now, attempt);
-    let given_up = Work::GiveUp { attempt, hop: HOP, name: "a1".to_owned() };
+    let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
     assert_eq!(table.later(), [given_up, answer(Answer::Failed)]);
 }
 
@@ -172,7 +175,7 @@
     let cancel = Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel, &mut table.deadlines);
     // The word is on its way, and may be lost: nothing has ended, and no other attempt may go out.
-    let given_up = Work::GiveUp { attempt, hop: HOP, name: "a1".to_owned() };
+    let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
     assert_eq!(table.turn(), [given_up]);
     assert!(!table.desk.has_news());
     table.desk.called_off(table.now, attempt);
@@ -184,11 +187,11 @@
     table.desk.carry_out(table.now, cancel, &mut table.deadlines);
     assert_eq!(table.turn(), []);
     table.desk.taken(second);
-    assert!(matches!(table.turn()[..], [Work::GiveUp { .. }]));
+    assert!(matches!(table.turn()[..], [Command::Cancel { .. }]));
     table.desk.untaken(second);
     assert_eq!(table.turn(), [], "it was told in words");
     // Where its result comes before the word has got there, that is the answer.
-    assert!(table.news(News::Served(b"r".to_vec())));
+    assert!(table.news(AttemptUpdate::Served(b"r".to_vec())));
     assert!(table.turn().contains(&answer(Answer::Served(b"r".to_vec()))));
     table.desk.called_off(table.now, second);
     assert_eq!((table.turn(), table.desk.owed()), (vec![], 0));
@@ -200,7 +203,7 @@
     let attempt = table.arrive(0);
     table.desk.written(table.now, attempt);
     table.desk.leave(99);
-    assert!(table.news(News::Served(b"r".to_vec())));
+    assert!(table.news(AttemptUpdate::Served(b"r".to_vec())));
     assert_eq!((table.turn(), table.desk.owed()), (vec![], 0));
     assert!(table.desk.entries.is_empty() && table.desk.names.is_empty());
 }
@@ -228,9 +231,9 @@
     let cancel = || Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel(), &mut table.deadlines);
     assert_eq!(table.turn(), [], "it may yet be taken");
-    table.now += journey::silence(table.connect_timeout);
+    table.now += network_delay::silence(table.connect_timeout);
     table.desk.untaken(attempt);
-    let given_up = Work::GiveUp { attempt, hop: HOP, name: "a1".to_owned() };
+    let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
     assert_eq!(table.turn(), [given_up]);
     table.desk.carry_out(table.now, cancel(), &mut table.deadlines);
     assert_eq!(table.turn(), []);
@@ -273,7 +276,8 @@
             "its connection was ended, and it may have taken the job before"
         );
         // What the hop itself tells of the job's end is believed, and answers nobody.
-        let news = if tells { News::Served(b"r".to_vec()) } else { News::Over(Ending::Broken) };
+        let news =
+            if tells { AttemptUpdate::Served(b"r".to_vec()) } else { AttemptUpdate::Ended(Ending::Broken) };
         assert!(!table.news(news));
         assert!(matches!(table.desk.events.pop_front(), Some(Event::Note { note: Note::Over, .. })));
     }
@@ -288,7 +292,7 @@
         if broke {
             table.desk.broke(table.now, attempt);
         } else {
-            table.news(News::Over(Ending::Broken));
+            table.news(AttemptUpdate::Ended(Ending::Broken));
         }
         match table.desk.events.pop_front() {
             Some(Event::Outcome(Outcome { ending: Ending::Broken, running, .. })) => running,
--- a/src/net/core/desk/upgrade.rs
+++ b/src/net/core/request_table/upgrade.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<P: Clone> Desk<P> {
+impl<P: Clone> RequestTable<P> {
     /// Another process takes over: gives what the module has learned. From now on that one speaks for both.
     pub fn hand_over(&mut self) -> serde_json::Value {
         self.events.push_back(Event::Succeeded(true));
--- a/src/net/core/transfer.rs
+++ b/src/net/core/transfer.rs
@@ -1,7 +1,7 @@
 //! A request on its way from one process of a scheduler to the next, as it is written between them.
 
-use crate::net::core::desk::{History, PastSend};
 use crate::net::core::envelope::Envelope;
+use crate::net::core::request_table::{AttemptRecord, RequestHistory};
 use calicolb::api::{AttemptState, Micros, WorkerId};
 use serde::{Deserialize, Serialize};
 
@@ -14,14 +14,14 @@
     /// What came in on its connection behind it, and is not dealt with.
     #[serde(with = "crate::net::core::bytes_as_text")]
     pub unread: Vec<u8>,
-    pub history: History,
+    pub history: RequestHistory,
     /// The sender's clock as it was sent. The times above are by that clock.
     pub clock: Micros,
 }
 
 /// A transfer as older versions write it: one attempt that a worker has taken, by Unix time.
 #[derive(Serialize, Deserialize)]
-pub struct TakenAttempt {
+pub struct LegacyTransfer {
     pub envelope: Envelope,
     pub keep_alive: bool,
     pub hop: u32,
@@ -33,8 +33,8 @@
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum AnyTransfer {
-    Whole(Transfer),
-    Taken(TakenAttempt),
+    Current(Transfer),
+    Legacy(LegacyTransfer),
 }
 
 impl AnyTransfer {
@@ -42,11 +42,11 @@
     /// sender's clock is ahead.
     pub fn received(self, ahead: i64) -> (Transfer, bool) {
         match self {
-            AnyTransfer::Whole(mut transfer) => {
+            AnyTransfer::Current(mut transfer) => {
                 transfer.history = transfer.history.on_clock(-ahead);
                 (transfer, true)
             }
-            AnyTransfer::Taken(taken) => (taken.into(), false),
+            AnyTransfer::Legacy(taken) => (taken.into(), false),
         }
     }
 }
@@ -54,11 +54,11 @@
 #[cfg(test)]
 mod tests;
 
-impl From<TakenAttempt> for Transfer {
-    fn from(taken: TakenAttempt) -> Self {
-        let TakenAttempt { envelope, keep_alive, hop, sent, expires } = taken;
-        let attempt = PastSend { worker: WorkerId(hop), sent, state: AttemptState::Out, ended_by: None };
-        let history = History { arrived: sent, expires, effect: None, attempts: vec![attempt] };
+impl From<LegacyTransfer> for Transfer {
+    fn from(taken: LegacyTransfer) -> Self {
+        let LegacyTransfer { envelope, keep_alive, hop, sent, expires } = taken;
+        let attempt = AttemptRecord { worker: WorkerId(hop), sent, state: AttemptState::Out, ended_by: None };
+        let history = RequestHistory { arrived: sent, expires, effect: None, attempts: vec![attempt] };
         Transfer { envelope, keep_alive, unread: Vec::new(), history, clock: 0 }
     }
 }
--- a/src/net/core/transfer/tests.rs
+++ b/src/net/core/transfer/tests.rs
@@ -14,8 +14,8 @@
 #[test]
 fn a_transfer_comes_over_as_it_was_but_for_the_clock() {
     let sent =
-        PastSend { worker: WorkerId(7), sent: 50 * SECOND, state: AttemptState::MayRun, ended_by: None };
-    let history = History {
+        AttemptRecord { worker: WorkerId(7), sent: 50 * SECOND, state: AttemptState::MayRun, ended_by: None };
+    let history = RequestHistory {
         arrived: 49 * SECOND,
         expires: 60 * SECOND,
         effect: Some(calicolb::api::Effect::Unsafe),
@@ -23,16 +23,16 @@
     };
     let unread = b"POST".to_vec();
     let transfer = Transfer { envelope: envelope(), keep_alive: true, unread, history, clock: 55 * SECOND };
-    let line = serde_json::to_string(&AnyTransfer::Whole(transfer.clone())).expect("it is written");
+    let line = serde_json::to_string(&AnyTransfer::Current(transfer.clone())).expect("it is written");
     let read: AnyTransfer = serde_json::from_str(&line).expect("it is read");
     // The sender's clock is 40 s ahead.
     let (received, answers) = read.received(40 * SECOND.cast_signed());
     assert!(answers && received.keep_alive);
     assert_eq!((received.envelope.body, received.unread), (transfer.envelope.body, transfer.unread));
-    let expected = History {
+    let expected = RequestHistory {
         arrived: 9 * SECOND,
         expires: 20 * SECOND,
-        attempts: vec![PastSend { sent: 10 * SECOND, ..sent }],
+        attempts: vec![AttemptRecord { sent: 10 * SECOND, ..sent }],
         ..transfer.history
     };
     assert_eq!(received.history, expected);
@@ -46,6 +46,9 @@
     let (received, answers) = read.received(0);
     assert!(!answers, "it does not wait for an answer");
     assert_eq!(received.envelope.body, b"hi");
-    let attempt = PastSend { worker: WorkerId(7), sent: 50, state: AttemptState::Out, ended_by: None };
-    assert_eq!(received.history, History { arrived: 50, expires: 60, effect: None, attempts: vec![attempt] });
+    let attempt = AttemptRecord { worker: WorkerId(7), sent: 50, state: AttemptState::Out, ended_by: None };
+    assert_eq!(
+        received.history,
+        RequestHistory { arrived: 50, expires: 60, effect: None, attempts: vec![attempt] }
+    );
 }
--- a/src/net/core/roster.rs
+++ b/src/net/core/worker_registry.rs
@@ -6,33 +6,33 @@
 
 /// Who names a next hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum WorkerSource {
     /// Discovery, or the list that the configuration holds of it.
-    Listed,
+    Discovery,
     /// The operator file.
-    Fixed,
+    OperatorFile,
     /// A protocol whose workers connect by themselves, by its name.
-    Arrived(&'static str),
+    SelfRegistered(&'static str),
 }
 
 /// See the head of this file.
 #[derive(Default)]
-pub struct Roster(HashMap<WorkerId, (Source, Member)>);
+pub struct WorkerRegistry(HashMap<WorkerId, (WorkerSource, Member)>);
 
-impl Roster {
+impl WorkerRegistry {
     /// How many next hops are known, those that end their work included.
     pub fn known(&self) -> usize {
         self.0.len()
     }
 
     /// A hop of this number was named by somebody else.
-    pub fn foreign(&self, id: WorkerId, source: Source) -> bool {
+    pub fn foreign(&self, id: WorkerId, source: WorkerSource) -> bool {
         self.0.get(&id).is_some_and(|(whose, _)| *whose != source)
     }
 
     /// Takes in news from one source; gives what the module is to be told. A number that another source has named
     /// already stays with that one.
-    pub fn merge(&mut self, source: Source, kind: ListKind, mut members: Vec<Member>) -> Vec<Member> {
+    pub fn merge(&mut self, source: WorkerSource, kind: ListKind, mut members: Vec<Member>) -> Vec<Member> {
         members.retain(|member| !self.foreign(member.worker, source));
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             self.0.retain(|_, (whose, _)| *whose != source);
@@ -68,22 +68,32 @@
 
     #[test]
     fn a_whole_list_of_one_source_keeps_what_others_named() {
-        let mut roster = Roster::default();
+        let mut roster = WorkerRegistry::default();
         let on = |id| member(id, Standing::On);
-        assert_eq!(ids(&roster.merge(Source::Fixed, ListKind::Saved, vec![on(1)])), [1]);
-        assert_eq!(ids(&roster.merge(Source::Arrived("g"), ListKind::Changes, vec![on(2)])), [2]);
-        assert_eq!(ids(&roster.merge(Source::Listed, ListKind::Full, vec![on(3), on(4)])), [1, 2, 3, 4]);
-        assert_eq!(ids(&roster.merge(Source::Listed, ListKind::Full, vec![on(4)])), [1, 2, 4]);
+        assert_eq!(ids(&roster.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![on(1)])), [1]);
+        assert_eq!(
+            ids(&roster.merge(WorkerSource::SelfRegistered("g"), ListKind::Changes, vec![on(2)])),
+            [2]
+        );
+        assert_eq!(
+            ids(&roster.merge(WorkerSource::Discovery, ListKind::Full, vec![on(3), on(4)])),
+            [1, 2, 3, 4]
+        );
+        assert_eq!(ids(&roster.merge(WorkerSource::Discovery, ListKind::Full, vec![on(4)])), [1, 2, 4]);
         assert_eq!(roster.known(), 3);
     }
 
     #[test]
     fn a_number_stays_with_who_named_it_first() {
-        let mut roster = Roster::default();
-        roster.merge(Source::Fixed, ListKind::Saved, vec![member(1, Standing::On)]);
-        assert!(roster.foreign(WorkerId(1), Source::Listed));
-        assert!(roster.merge(Source::Listed, ListKind::Changes, vec![member(1, Standing::Gone)]).is_empty());
-        roster.merge(Source::Fixed, ListKind::Changes, vec![member(1, Standing::Gone)]);
+        let mut roster = WorkerRegistry::default();
+        roster.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![member(1, Standing::On)]);
+        assert!(roster.foreign(WorkerId(1), WorkerSource::Discovery));
+        assert!(
+            roster
+                .merge(WorkerSource::Discovery, ListKind::Changes, vec![member(1, Standing::Gone)])
+                .is_empty()
+        );
+        roster.merge(WorkerSource::OperatorFile, ListKind::Changes, vec![member(1, Standing::Gone)]);
         assert_eq!(roster.known(), 0);
     }
 }
--- a/src/net/turn.rs
+++ b/src/net/event_loop.rs
@@ -5,11 +5,11 @@
 use crate::config::{Config, Fixed, PeerConfig};
 use crate::log::note;
 use crate::net::core::clock::Clock;
-use crate::net::core::deadlines::{Deadlines, Due};
-use crate::net::core::desk::{AttemptId, Desk, Work};
+use crate::net::core::counters::Gauges;
+use crate::net::core::deadlines::{Deadline, Deadlines};
 use crate::net::core::envelope::Payload;
-use crate::net::core::figures::Present;
-use crate::net::core::roster::Source;
+use crate::net::core::request_table::{AttemptId, Command, RequestTable};
+use crate::net::core::worker_registry::WorkerSource;
 use crate::net::gearman::Gearman;
 use crate::net::http::Http;
 use crate::net::http::call_back::call_back;
@@ -22,8 +22,8 @@
 use crate::net::platform::peers::Peers;
 use crate::net::platform::route_set::RouteSet;
 use crate::net::platform::upgrade::{Handover, Listed, PATIENCE, Side, UpgradeLink, Word};
-use crate::net::protocol::{Protocol, Shares, Wish};
-use crate::net::{Audience, Ctx};
+use crate::net::protocol::{DescriptorLimits, Protocol, ProtocolRequest};
+use crate::net::{Context, PeerTarget};
 use calicolb::api::{Class, ListKind, Micros, WorkerId};
 use calicolb::wire::Names;
 use calicolb_shutdown::Grace;
@@ -49,19 +49,19 @@
 const OWN_SOCKETS: usize = 24;
 
 /// The program at work.
-pub struct Turn {
+pub struct EventLoop {
     poll: Poll,
     registry: Registry,
     clock: Clock,
     names: Names,
     deadlines: Deadlines,
-    desk: Desk<Payload>,
+    desk: RequestTable<Payload>,
     tokens: usize,
     signals: Signals,
     http: Http,
     /// The other protocols.
     others: Vec<Box<dyn Protocol>>,
-    wishes: Vec<Wish>,
+    wishes: Vec<ProtocolRequest>,
     routes: RouteSet,
     /// Next hops that the operator file names.
     fixed: Vec<Fixed>,
@@ -74,7 +74,7 @@
     /// What the other process is to be told at the end of the turn.
     strays: Vec<String>,
     /// Datagrams for other schedulers, sent at the end of the turn.
-    outbox: Vec<(Audience, Vec<u8>)>,
+    outbox: Vec<(PeerTarget, Vec<u8>)>,
     /// The list of next hops to begin with, while the predecessor is asked for a better one.
     waiting: Option<Option<Update>>,
     /// A successor has taken over; and it takes clients.
@@ -106,7 +106,7 @@
     appliance: bool,
 }
 
-impl Turn {
+impl EventLoop {
     /// Opens the sockets and takes in the list of next hops that the configuration brings.
     pub fn new(config: Config) -> io::Result<Self> {
         // First of all: a signal that comes before it is waited for ends the program.
@@ -129,12 +129,12 @@
         let (asked, drain) = (config.settings.list_on_request, config.settings.rules.drain_grace);
         let routes = RouteSet::new(config.discovery, asked, drain, clock.now());
         let hops = NextHops::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
-        let mut turn = Turn {
+        let mut turn = EventLoop {
             grace: grace(&config.settings.classes),
             ending: None,
             transfers: Transfers::default(),
             rank: config.settings.rank,
-            desk: Desk::new(config.settings, config.seed, clock.now(), 0),
+            desk: RequestTable::new(config.settings, config.seed, clock.now(), 0),
             poll,
             registry,
             clock,
@@ -176,7 +176,7 @@
         }
         let (mut ctx, parts) = turn.split(now);
         if parts.upgrade.call(&mut ctx) {
-            ctx.deadlines.set(Due::Predecessor, now + PATIENCE);
+            ctx.deadlines.set(Deadline::PredecessorHandover, now + PATIENCE);
             turn.share_out(now);
         } else {
             turn.start(now, None)?;
@@ -197,7 +197,7 @@
         self.share_out(now);
         let appliance = self.appliance;
         let (mut ctx, parts) = self.split(now);
-        ctx.deadlines.clear(Due::Predecessor);
+        ctx.deadlines.clear(Deadline::PredecessorHandover);
         let confirmed_ago = handover.as_ref().and_then(|handover| handover.confirmed_us_ago);
         let (known, drained) = match handover {
             Some(handover) => {
@@ -214,7 +214,7 @@
                 .iter()
                 .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.dial, 0));
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
-            ctx.desk.members(Source::Fixed, ListKind::Changes, members);
+            ctx.desk.members(WorkerSource::OperatorFile, ListKind::Changes, members);
         }
         parts.routes.warm(&mut ctx, &mut parts.http.hops, known, confirmed_ago);
         parts.http.listen(&mut ctx)?;
@@ -245,9 +245,9 @@
                 let seed = self.clock.now() ^ u64::from(self.rank);
                 self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
             }
-            // A silent predecessor still has it. Work does not hang on datagrams: they are let in when it has gone.
+            // A silent predecessor still has it. Command does not hang on datagrams: they are let in when it has gone.
             Err(error) if self.passed && error.kind() == io::ErrorKind::AddrInUse => {
-                self.deadlines.set(Due::PeersAgain, now + PEERS_AGAIN);
+                self.deadlines.set(Deadline::PeerSocketRetry, now + PEERS_AGAIN);
             }
             Err(error) => return Err(error),
         }
@@ -264,7 +264,7 @@
         ctx.desk.limit(most_open);
         // Alike for all protocols: which of them is in use is not known beforehand.
         let count = 1 + parts.others.len();
-        let each = Shares { clients: shares.clients / count, hops: shares.hops / count };
+        let each = DescriptorLimits { clients: shares.clients / count, hops: shares.hops / count };
         parts.protocols().for_each(|protocol| protocol.limit(&mut ctx, each));
     }
 
@@ -340,8 +340,8 @@
             && (self.retired || !self.desk.any_elsewhere())
     }
 
-    fn split(&mut self, now: Micros) -> (Ctx<'_>, Parts<'_>) {
-        let ctx = Ctx {
+    fn split(&mut self, now: Micros) -> (Context<'_>, Parts<'_>) {
+        let ctx = Context {
             registry: &self.registry,
             names: &self.names,
             deadlines: &mut self.deadlines,
@@ -399,54 +399,58 @@
         }
     }
 
-    fn due(&mut self, now: Micros, due: Due) {
+    fn due(&mut self, now: Micros, due: Deadline) {
         let (mut ctx, mut parts) = self.split(now);
         match due {
-            Due::Timer(timer, _) => ctx.desk.timer(timer),
-            Due::Attempt(request, attempt) => {
+            Deadline::DispatcherTimer(timer, _) => ctx.desk.timer(timer),
+            Deadline::AttemptTimeout(request, attempt) => {
                 let attempt = AttemptId { request, number: attempt };
                 if !ctx.desk.time_up(now, attempt) {
                     parts.protocols().for_each(|protocol| protocol.release(&mut ctx, attempt));
                 }
             }
-            Due::Unwanted(request, attempt) => ctx.desk.untaken(AttemptId { request, number: attempt }),
-            Due::CalledOff(request, attempt) => {
+            Deadline::CancelUnaccepted(request, attempt) => {
+                ctx.desk.untaken(AttemptId { request, number: attempt })
+            }
+            Deadline::CancelDelivered(request, attempt) => {
                 ctx.desk.called_off(now, AttemptId { request, number: attempt })
             }
-            Due::Conn(token, alarm) => {
+            Deadline::Connection(token, alarm) => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.has(token)) {
                     protocol.due(&mut ctx, token, alarm);
                 }
             }
-            Due::Peers => parts.hear_peers(&mut ctx),
-            Due::Witness => parts.routes.ask_witnesses(&mut ctx),
-            Due::Fetch | Due::Watch => parts.routes.late(&mut ctx, parts.http, due),
-            Due::Control => {
+            Deadline::ReceivePeers => parts.hear_peers(&mut ctx),
+            Deadline::PeerListCheck => parts.routes.ask_witnesses(&mut ctx),
+            Deadline::DiscoveryFetch | Deadline::DiscoveryWatch => {
+                parts.routes.late(&mut ctx, parts.http, due)
+            }
+            Deadline::ControlClient => {
                 if let Some(control) = parts.control {
                     control.late(&mut ctx);
                 }
             }
-            Due::Stale => parts.routes.expire(now),
+            Deadline::ListExpiry => parts.routes.expire(now),
             // A look at the end of the turn is all that it takes.
-            Due::Ready => {}
+            Deadline::Readiness => {}
             // Of another role.
-            Due::Tick | Due::Heartbeat | Due::Link(_) => {}
-            Due::Farewell => {
+            Deadline::ControlTick | Deadline::Heartbeat | Deadline::ControlLinkRetry(_) => {}
+            Deadline::DrainClients => {
                 parts.protocols().for_each(|protocol| protocol.farewell(&mut ctx));
                 self.drain.part();
             }
-            Due::Call(token) => {
+            Deadline::ManagementCall(token) => {
                 if let Some(door) = parts.door {
                     door.late(&mut ctx, token);
                 }
             }
-            Due::Door => self.door_opens(now),
-            Due::Predecessor => {
+            Deadline::ManagementAccept => self.door_opens(now),
+            Deadline::PredecessorHandover => {
                 note!("the predecessor says nothing");
                 self.begin(now, None);
             }
-            Due::OpenRequests => self.settle_open_requests(now),
-            Due::PeersAgain => {
+            Deadline::OpenRequestsCheck => self.settle_open_requests(now),
+            Deadline::PeerSocketRetry => {
                 if let Err(error) = self.open_peers(now) {
                     note!("hearing schedulers: {error}");
                 }
@@ -454,37 +458,39 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, work: Work<Payload>) {
+    fn carry_out(&mut self, now: Micros, work: Command<Payload>) {
         let rank = self.rank;
         let (mut ctx, mut parts) = self.split(now);
         match work {
-            Work::Answer { client, answer } => {
+            Command::Answer { client, answer } => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.serves(client)) {
                     protocol.answer(&mut ctx, client, answer);
                 }
             }
-            Work::Relay { client, part } => {
+            Command::Relay { client, part } => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.serves(client)) {
                     protocol.relay(&mut ctx, client, part);
                 }
             }
-            Work::Send { attempt, hop, payload, wait } => {
+            Command::Send { attempt, hop, payload, wait } => {
                 parts.driver(hop).send(&mut ctx, attempt, hop, &payload, wait);
             }
-            Work::GiveUp { attempt, hop, name } => parts.driver(hop).give_up(&mut ctx, attempt, hop, &name),
-            Work::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
+            Command::Cancel { attempt, hop, name } => {
+                parts.driver(hop).give_up(&mut ctx, attempt, hop, &name)
+            }
+            Command::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
             // To the own rank: the process that took over counts it with its own.
-            Work::Tell { to, body } if to == Some(rank) => {
+            Command::SendPeerMessage { to, body } if to == Some(rank) => {
                 self.upgrade.say(Side::Successor, &Word::Load(body));
             }
-            Work::Tell { to, body } => {
+            Command::SendPeerMessage { to, body } => {
                 if let Some(peers) = parts.peers {
                     peers.tell(to, &body);
                 }
             }
-            Work::FetchList => parts.routes.fetch(&mut ctx, parts.http),
-            Work::Watch(want) => parts.routes.watch(&mut ctx, parts.http, want),
-            Work::CloseIdle(hop) => parts.driver(hop).close_idle(&mut ctx, hop),
+            Command::FetchList => parts.routes.fetch(&mut ctx, parts.http),
+            Command::SetWatch(want) => parts.routes.watch(&mut ctx, parts.http, want),
+            Command::CloseIdle(hop) => parts.driver(hop).close_idle(&mut ctx, hop),
         }
     }
 
@@ -500,10 +506,10 @@
     }
 
     /// Does what a protocol wants of the whole program.
-    fn grant(&mut self, now: Micros, wish: Wish) {
+    fn grant(&mut self, now: Micros, wish: ProtocolRequest) {
         match wish {
-            Wish::End { patient: false } => self.begin_drain(now, Why::Ending),
-            Wish::End { patient: true } => self.begin_patient_end(now),
+            ProtocolRequest::End { patient: false } => self.begin_drain(now, Why::Ending),
+            ProtocolRequest::End { patient: true } => self.begin_patient_end(now),
         }
     }
 }
@@ -515,14 +521,14 @@
 
 /// How many descriptors of these may go to clients and to next hops, beside the program's own, and how many
 /// requests may be open.
-fn shares(sockets: usize, own: usize) -> (Shares, usize) {
+fn shares(sockets: usize, own: usize) -> (DescriptorLimits, usize) {
     // A third is kept for next hops: however many clients come, work can be placed.
     let usable = sockets.saturating_sub(own).max(8);
     let to_hops = usable / 3;
     let to_clients = usable - to_hops;
     // Requests in work hold a connection each, a third of all descriptors at most: the rest of the connections is for
     // call-backs, without which no work would end, and for clients at rest.
-    (Shares { clients: to_clients, hops: to_hops }, (sockets / 3).min(to_clients * 9 / 10))
+    (DescriptorLimits { clients: to_clients, hops: to_hops }, (sockets / 3).min(to_clients * 9 / 10))
 }
 
 struct Parts<'a> {
@@ -539,7 +545,7 @@
 
 impl Parts<'_> {
     /// Takes the datagrams that have come: those about the list are for the route set, the others for the module.
-    fn hear_peers(&mut self, ctx: &mut Ctx<'_>) {
+    fn hear_peers(&mut self, ctx: &mut Context<'_>) {
         let Some(peers) = self.peers else { return };
         for (from, message) in peers.ready(ctx) {
             self.routes.witness(ctx, from, message);
--- a/src/net/turn/orders.rs
+++ b/src/net/event_loop/orders.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Turn {
+impl EventLoop {
     /// Operators call.
     pub(super) fn door_opens(&mut self, now: Micros) {
         let (mut ctx, parts) = self.split(now);
@@ -19,7 +19,7 @@
             Some(Order::Ping) => "error no list of stock workers is known yet\n".to_owned(),
             Some(Order::Info) => {
                 let list = self.routes.figures(now);
-                let present = Present {
+                let present = Gauges {
                     in_flight: self.desk.owed(),
                     known: self.desk.known(),
                     avoided: self.desk.avoided(now),
--- a/src/net/turn/renewal.rs
+++ b/src/net/event_loop/renewal.rs
@@ -1,6 +1,6 @@
 //! Settings that come into force while the program runs: all of them between two batches of the module, or none.
 
-use super::{Control, Turn};
+use super::{Control, EventLoop};
 use crate::config::{Config, Fault, Renewal};
 use crate::log::note;
 use crate::net::platform::upgrade::Listed;
@@ -14,7 +14,7 @@
 /// Two clocks that differ by less show the same time: what a word between two processes takes is no difference.
 const SAME_CLOCK: u64 = 1_000_000;
 
-impl Turn {
+impl EventLoop {
     /// SIGHUP: the configuration is read again. The addresses of discovery and of the other schedulers are taken up, and
     /// of the settings all that may change, or, where something cannot, nothing. What the module knows, and all that is
     /// open, stays; a file that cannot be read changes nothing.
--- a/src/net/turn/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -14,13 +14,13 @@
     limited: bool,
 }
 
-impl Turn {
+impl EventLoop {
     /// The program ends once all that was taken is answered, however long that takes.
     pub(super) fn begin_patient_end(&mut self, now: Micros) {
         note!("the program ends when {} requests are answered", self.desk.owed());
         self.patient = !self.drain.ending();
         if self.drain.begin(Why::Ending) {
-            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
+            self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill * 3 / 5));
         }
     }
 
@@ -40,7 +40,7 @@
         self.upgrade.say(Side::Predecessor, &Word::Drain(true));
         if self.drain.begin(why) {
             note!("clients are sent away: {} requests are open", self.desk.owed());
-            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
+            self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill * 3 / 5));
         }
         self.http.clients.open = self.begun && self.welcome();
         self.settle_open_requests(now);
@@ -63,7 +63,7 @@
                 Duty::Answer(_) => self.desk.conclude_at_end(number),
             }
         }
-        self.deadlines.set(Due::OpenRequests, now + LOOK);
+        self.deadlines.set(Deadline::OpenRequestsCheck, now + LOOK);
     }
 
     /// Ends a drain; tells whether the scheduler is open.
@@ -72,7 +72,7 @@
         if open {
             self.upgrade.say(Side::Predecessor, &Word::Drain(false));
             note!("clients are welcome");
-            self.deadlines.clear(Due::Farewell);
+            self.deadlines.clear(Deadline::DrainClients);
             self.http.stay();
             self.others.iter_mut().for_each(|other| other.stay());
             self.http.clients.open = self.begun;
--- a/src/net/turn/transfers.rs
+++ b/src/net/event_loop/transfers.rs
@@ -1,7 +1,7 @@
 //! Requests that have been sent to the successor, and of which it has not said yet that it goes on with them. Until it has, or
 //! has declined, they belong to neither process; if it dies before, they come back.
 
-use crate::net::core::desk::ClientId;
+use crate::net::core::request_table::ClientId;
 use crate::net::core::transfer::Transfer;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashSet};
--- a/src/net/turn/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -3,10 +3,10 @@
 
 use super::transfers::Pending;
 use super::*;
-use crate::net::core::desk::ClientId;
+use crate::net::core::request_table::ClientId;
 use crate::net::core::transfer::{AnyTransfer, Transfer};
 
-impl Turn {
+impl EventLoop {
     /// A successor has come: it takes what comes from now on, and what was taken here is answered here.
     pub(super) fn retire(&mut self, now: Micros) {
         note!("handing over to the next process: {} requests are open", self.desk.owed());
@@ -110,8 +110,8 @@
     fn take_over(&mut self, now: Micros, transfer: AnyTransfer) {
         let stream = self.upgrade.passed();
         let ahead = match &transfer {
-            AnyTransfer::Whole(whole) => self.upgrade.hear_clock(now, whole.clock),
-            AnyTransfer::Taken(_) => 0,
+            AnyTransfer::Current(whole) => self.upgrade.hear_clock(now, whole.clock),
+            AnyTransfer::Legacy(_) => 0,
         };
         let (transfer, answers) = transfer.received(ahead);
         let name = transfer.envelope.name.clone();
--- a/src/net/gearman/admin.rs
+++ b/src/net/gearman/admin.rs
@@ -1,14 +1,14 @@
 //! The answers to the text commands.
 
 use super::Gearman;
-use crate::net::Ctx;
-use crate::net::protocol::Wish;
+use crate::net::Context;
+use crate::net::protocol::ProtocolRequest;
 use calicolb_gearman::admin::{self, Command};
 use std::fmt::Write;
 
 impl Gearman {
     /// Carries out a line of text; gives its answer.
-    pub(super) fn command(&mut self, ctx: &mut Ctx<'_>, line: &[u8]) -> String {
+    pub(super) fn command(&mut self, ctx: &mut Context<'_>, line: &[u8]) -> String {
         match admin::read(line) {
             Ok(command) if command.changes() && !self.config.admin => {
                 "ERR NOT_ALLOWED the operator file does not let this port change anything\n".to_owned()
@@ -18,7 +18,7 @@
         }
     }
 
-    fn answer_to(&mut self, ctx: &mut Ctx<'_>, command: Command) -> String {
+    fn answer_to(&mut self, ctx: &mut Context<'_>, command: Command) -> String {
         let mut text = String::new();
         match command {
             Command::Status => {
@@ -69,7 +69,7 @@
                 "OK\n".to_owned()
             }
             Command::Shutdown { graceful } => {
-                ctx.wishes.push(Wish::End { patient: graceful });
+                ctx.wishes.push(ProtocolRequest::End { patient: graceful });
                 "OK\n".to_owned()
             }
         }
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -3,11 +3,11 @@
 use super::Gearman;
 use super::packets::submits;
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::AttemptId;
-use crate::net::protocol::Spare;
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
+use crate::net::core::request_table::AttemptId;
+use crate::net::protocol::ReleaseIdle;
 use calicolb::api::{Micros, Note};
 use calicolb_gearman::ConnId;
 use calicolb_gearman::admin::LINE;
@@ -64,8 +64,8 @@
 }
 
 impl Gearman {
-    pub(super) fn accept(&mut self, ctx: &mut Ctx<'_>) {
-        let again = Due::Conn(self.token, Alarm::Accept);
+    pub(super) fn accept(&mut self, ctx: &mut Context<'_>) {
+        let again = Deadline::Connection(self.token, ConnectionTimer::Accept);
         for _ in 0..ACCEPTS {
             if self.conns.len() >= self.most && !self.shed(ctx) {
                 // They wait in the listener's queue until a connection ends.
@@ -86,14 +86,14 @@
         ctx.deadlines.set(again, ctx.now + 1);
     }
 
-    pub(super) fn open(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream, from: IpAddr) {
+    pub(super) fn open(&mut self, ctx: &mut Context<'_>, mut stream: TcpStream, from: IpAddr) {
         let token = ctx.next_token();
         let _ = stream.set_nodelay(true);
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
             return note!(warn: "watching a Gearman connection: {error}");
         }
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + FIRST);
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + FIRST);
         let conn = Conn {
             stream,
             buffer: Buffer::default(),
@@ -110,11 +110,16 @@
 
     /// A connection has ended, or is ended. What was offered or assigned to it ends as its last byte says, and its
     /// client waits for nothing any more.
-    pub(super) fn drop_conn(&mut self, ctx: &mut Ctx<'_>, token: ConnId) {
+    pub(super) fn drop_conn(&mut self, ctx: &mut Context<'_>, token: ConnId) {
         let Some(mut conn) = self.conns.remove(&token) else { return };
         let _ = ctx.registry.deregister(&mut conn.stream);
-        for alarm in [Alarm::Late, Alarm::More, Alarm::Owed, Alarm::Rested] {
-            ctx.deadlines.clear(Due::Conn(token, alarm));
+        for alarm in [
+            ConnectionTimer::Timeout,
+            ConnectionTimer::ContinueRead,
+            ConnectionTimer::OfferTimeout,
+            ConnectionTimer::Idle,
+        ] {
+            ctx.deadlines.clear(Deadline::Connection(token, alarm));
         }
         self.blocked.remove(&token);
         if let Some(Lost::Offered(attempt) | Lost::Assigned(attempt)) = self.fleet.close(token) {
@@ -127,35 +132,35 @@
     }
 
     /// Writes a packet or text to a peer, as far as it takes it now.
-    pub(super) fn put(&mut self, ctx: &mut Ctx<'_>, token: ConnId, bytes: &[u8]) {
+    pub(super) fn put(&mut self, ctx: &mut Context<'_>, token: ConnId, bytes: &[u8]) {
         let Some(conn) = self.conns.get_mut(&token).filter(|conn| !conn.ending) else { return };
         conn.buffer.put(bytes);
         self.flush(ctx, token);
     }
 
-    pub(super) fn mail(&mut self, ctx: &mut Ctx<'_>, mail: Vec<Mail>) {
+    pub(super) fn mail(&mut self, ctx: &mut Context<'_>, mail: Vec<Mail>) {
         mail.into_iter().for_each(|(conn, bytes)| self.put(ctx, conn, &bytes));
     }
 
-    pub(super) fn error(&mut self, ctx: &mut Ctx<'_>, token: ConnId, code: &str, text: &str) {
+    pub(super) fn error(&mut self, ctx: &mut Context<'_>, token: ConnId, code: &str, text: &str) {
         self.put(ctx, token, &write(From::Server, Kind::Error, &[code.as_bytes(), text.as_bytes()]));
     }
 
     /// The last word to a peer that is out of step.
-    pub(super) fn part_with(&mut self, ctx: &mut Ctx<'_>, token: ConnId, last: &[u8]) {
+    pub(super) fn part_with(&mut self, ctx: &mut Context<'_>, token: ConnId, last: &[u8]) {
         self.put(ctx, token, last);
         if let Some(conn) = self.conns.get_mut(&token) {
             // Closing with input unread would reset the connection, and the answer with it.
             let _ = conn.stream.shutdown(Shutdown::Write);
             conn.ending = true;
-            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER);
+            ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + LINGER);
         }
     }
 
     /// Writes what waits; tells whether the connection lives and has nothing more to write.
-    pub(super) fn flush(&mut self, ctx: &mut Ctx<'_>, token: ConnId) -> bool {
+    pub(super) fn flush(&mut self, ctx: &mut Context<'_>, token: ConnId) -> bool {
         let Some(conn) = self.conns.get_mut(&token) else { return false };
-        let late = Due::Conn(token, Alarm::Late);
+        let late = Deadline::Connection(token, ConnectionTimer::Timeout);
         match conn.buffer.flush(&mut conn.stream) {
             Ok(true) => {
                 if let Some((attempt, limit)) = conn.assigning.take() {
@@ -163,7 +168,7 @@
                     ctx.desk.note(attempt, Note::Started);
                     if limit > 0 {
                         let ends = ctx.now + Micros::from(limit) * SECOND;
-                        ctx.deadlines.set(Due::Conn(token, Alarm::Rested), ends);
+                        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Idle), ends);
                     }
                 }
                 if !conn.ending {
@@ -188,7 +193,7 @@
         }
     }
 
-    pub(super) fn read(&mut self, ctx: &mut Ctx<'_>, token: ConnId) {
+    pub(super) fn read(&mut self, ctx: &mut Context<'_>, token: ConnId) {
         let most = HEAD + NAMES + self.config.workload;
         let mut left = PACKETS;
         for _ in 0..FILLS {
@@ -204,21 +209,24 @@
             if left == 0 {
                 break;
             }
-            if filled == Filled::Ended {
+            if filled == FillOutcome::Closed {
                 // What it said before it left has been heard.
                 return self.drop_conn(ctx, token);
             }
             // The buffer was full of packets, and room has come; or else the rest waits for something.
-            if filled == Filled::Dry || conn.buffer.has_output() || conn.buffer.input().len() >= most {
+            if filled == FillOutcome::WouldBlock
+                || conn.buffer.has_output()
+                || conn.buffer.input().len() >= most
+            {
                 return;
             }
         }
         // The rest in the next turn: who sends without end gets its share of this one.
-        ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now + 1);
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::ContinueRead), ctx.now + 1);
     }
 
     /// Deals with the next packet or line; tells whether there was one.
-    pub(super) fn step(&mut self, ctx: &mut Ctx<'_>, token: ConnId) -> bool {
+    pub(super) fn step(&mut self, ctx: &mut Context<'_>, token: ConnId) -> bool {
         let limit = NAMES + self.config.workload;
         let ready = |conn: &&mut Conn| !(conn.ending || conn.buffer.has_output());
         let Some(conn) = self.conns.get_mut(&token).filter(ready) else { return false };
@@ -265,7 +273,7 @@
     }
 
     /// Deals with a line of text, if a whole one is there.
-    pub(super) fn line(&mut self, ctx: &mut Ctx<'_>, token: ConnId) -> bool {
+    pub(super) fn line(&mut self, ctx: &mut Context<'_>, token: ConnId) -> bool {
         let Some(conn) = self.conns.get_mut(&token) else { return false };
         let input = conn.buffer.input();
         match input.iter().take(LINE).position(|&byte| byte == b'\n') {
@@ -291,8 +299,8 @@
 
 impl Conn {
     /// Sets the time by which something is owed, while nothing waits to go out.
-    fn rest(&self, ctx: &mut Ctx<'_>, token: ConnId) {
-        let late = Due::Conn(token, Alarm::Late);
+    fn rest(&self, ctx: &mut Context<'_>, token: ConnId) {
+        let late = Deadline::Connection(token, ConnectionTimer::Timeout);
         match self.begun {
             Some(begun) => ctx.deadlines.set(late, begun + PARTIAL),
             None if self.spoke => ctx.deadlines.clear(late),
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -11,12 +11,12 @@
 
 use crate::config::{Function, GearmanConfig, Grade};
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::{Answer, AttemptId, ClientId, Part};
+use crate::net::Context;
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::Payload;
-use crate::net::core::roster::Source;
-use crate::net::protocol::{Protocol, Shares, Spare};
+use crate::net::core::request_table::{Answer, AttemptId, ClientId, PartialResult};
+use crate::net::core::worker_registry::WorkerSource;
+use crate::net::protocol::{DescriptorLimits, Protocol, ReleaseIdle};
 use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, Standing, WorkerId};
 use calicolb::renewal::Fault;
 use calicolb::wire::Names;
@@ -37,7 +37,7 @@
 /// A worker that was woken asks within this time, or has not taken what was offered to it.
 const GRAB: Micros = 500 * MILLI;
 /// Whose next hops the roster calls these.
-const SOURCE: Source = Source::Arrived("gearman");
+const SOURCE: WorkerSource = WorkerSource::SelfRegistered("gearman");
 
 /// See the head of this file.
 pub struct Gearman {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The address cannot be had.
-    pub fn new(ctx: &mut Ctx<'_>, config: GearmanConfig) -> io::Result<Gearman> {
+    pub fn new(ctx: &mut Context<'_>, config: GearmanConfig) -> io::Result<Gearman> {
         let listener = TcpListener::bind(config.listen).map_err(|error| {
             io::Error::new(error.kind(), format!("gearman on {}: {error}", config.listen))
         })?;
@@ -97,9 +97,9 @@
     }
 }
 
-impl Spare for Gearman {
+impl ReleaseIdle for Gearman {
     /// Closes a connection that is at its end, else a client that waits for nothing and has said nothing for longest.
-    fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool {
+    fn shed(&mut self, ctx: &mut Context<'_>) -> bool {
         let order = |(&token, conn): (&ConnId, &Conn)| {
             let rests = conn.ending || !(self.fleet.knows(token) || self.book.awaits(token));
             rests.then_some((!conn.ending, conn.spoke, conn.since, token))
@@ -116,7 +116,7 @@
         token == self.token || self.conns.contains_key(&token)
     }
 
-    fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if token == self.token {
             return self.accept(ctx);
         }
@@ -125,24 +125,24 @@
         }
     }
 
-    fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
+    fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
         match alarm {
-            Alarm::Accept => self.accept(ctx),
-            Alarm::More => self.ready(ctx, token),
-            Alarm::Owed => {
+            ConnectionTimer::Accept => self.accept(ctx),
+            ConnectionTimer::ContinueRead => self.ready(ctx, token),
+            ConnectionTimer::OfferTimeout => {
                 if let Some(attempt) = self.fleet.expire(token) {
                     note!(request = attempt.request, "a worker was woken and did not ask");
                     self.offers.remove(&attempt);
                     ctx.desk.broke(ctx.now, attempt);
                 }
             }
-            Alarm::Rested => {
+            ConnectionTimer::Idle => {
                 // The worker's own limit is over.
                 if let Some(attempt) = self.fleet.running(token) {
                     ctx.desk.time_up(ctx.now, attempt);
                 }
             }
-            Alarm::Late => {
+            ConnectionTimer::Timeout => {
                 let Some(conn) = self.conns.get(&token) else { return };
                 if conn.ending || conn.buffer.has_output() || conn.begun.is_none() {
                     return self.drop_conn(ctx, token);
@@ -157,7 +157,7 @@
         self.book.has(client)
     }
 
-    fn answer(&mut self, ctx: &mut Ctx<'_>, client: ClientId, answer: Answer) {
+    fn answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         let end = match answer {
             Answer::Served(result) => End::Served(result),
             Answer::Busy { come_back } => End::Refused(come_back),
@@ -167,14 +167,14 @@
         self.mail(ctx, mail);
     }
 
-    fn relay(&mut self, ctx: &mut Ctx<'_>, client: ClientId, part: Part) {
+    fn relay(&mut self, ctx: &mut Context<'_>, client: ClientId, part: PartialResult) {
         use calicolb_gearman::book::Part as Told;
         let part = match part {
-            Part::Started => Told::Started,
-            Part::Data(data) => Told::Data(data),
-            Part::Warning(data) => Told::Warning(data),
-            Part::Progress(done, of) => Told::Status(done, of),
-            Part::Exception(what) => Told::Exception(what),
+            PartialResult::Started => Told::Started,
+            PartialResult::Data(data) => Told::Data(data),
+            PartialResult::Warning(data) => Told::Warning(data),
+            PartialResult::Progress(done, of) => Told::Status(done, of),
+            PartialResult::Exception(what) => Told::Exception(what),
         };
         let mail = self.book.relay(client, part);
         self.mail(ctx, mail);
@@ -186,7 +186,7 @@
 
     fn send(
         &mut self,
-        ctx: &mut Ctx<'_>,
+        ctx: &mut Context<'_>,
         attempt: AttemptId,
         hop: WorkerId,
         payload: &Payload,
@@ -205,17 +205,17 @@
             return ctx.desk.answered(ctx.now, attempt, Ending::Full, None);
         };
         self.offers.insert(attempt, Rc::clone(payload));
-        ctx.deadlines.set(Due::Conn(token, Alarm::Owed), ctx.now + GRAB);
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + GRAB);
         if matches!(offered, Offered::Wake(_)) {
             self.wake(ctx, token);
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
+    fn give_up(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
         let conn = self.fleet.give_up(attempt);
         if self.offers.remove(&attempt).is_some() {
             if let Some(token) = conn {
-                ctx.deadlines.clear(Due::Conn(token, Alarm::Owed));
+                ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             }
             return ctx.desk.called_off(ctx.now, attempt);
         }
@@ -223,19 +223,19 @@
         ctx.desk.runs_on(ctx.now, attempt);
     }
 
-    fn release(&mut self, _ctx: &mut Ctx<'_>, _attempt: AttemptId) {}
+    fn release(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
 
-    fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
+    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
         // What a worker could say of its load is known here.
         let free = self.hops.get(&hop).map(|&nr| self.fleet.free(nr) as f64);
         let ending = if free.is_some() { Ending::Ok } else { Ending::Unreachable };
         ctx.desk.probed(hop, ending, 0, Some(Report { free_slots: free, ..Report::default() }));
     }
 
-    fn close_idle(&mut self, _ctx: &mut Ctx<'_>, _hop: WorkerId) {}
+    fn close_idle(&mut self, _ctx: &mut Context<'_>, _hop: WorkerId) {}
 
     /// Tells of workers that came, went, or can do other things now.
-    fn gathered(&mut self, ctx: &mut Ctx<'_>) {
+    fn gathered(&mut self, ctx: &mut Context<'_>) {
         let mut members = Vec::new();
         for change in self.fleet.changes() {
             let worker = calicolb::wire::hop_id(&format!("gearman worker {}", change.nr));
@@ -270,18 +270,18 @@
         }
     }
 
-    fn settled(&mut self, ctx: &mut Ctx<'_>) {
+    fn settled(&mut self, ctx: &mut Context<'_>) {
         for token in std::mem::take(&mut self.asking) {
             self.assign(ctx, token);
         }
         let mail = self.book.settle();
         self.mail(ctx, mail);
         for token in std::mem::take(&mut self.blocked) {
-            ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now);
+            ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::ContinueRead), ctx.now);
         }
     }
 
-    fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
+    fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
         if !self.listening {
             ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
             note!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
@@ -290,13 +290,13 @@
         Ok(())
     }
 
-    fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares) {
+    fn limit(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         // Workers come in like clients.
         self.most = shares.clients + shares.hops;
         while self.conns.len() > self.most && self.shed(ctx) {}
     }
 
-    fn farewell(&mut self, ctx: &mut Ctx<'_>) {
+    fn farewell(&mut self, ctx: &mut Context<'_>) {
         self.parting = true;
         let rests = |token: &&ConnId| !(self.fleet.knows(**token) || self.book.awaits(**token));
         let resting: Vec<ConnId> = self.conns.keys().filter(rests).copied().collect();
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -3,10 +3,10 @@
 use super::Gearman;
 use crate::config::Function;
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::{AttemptId, Hears, Job, Part, Unfit};
+use crate::net::Context;
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::Envelope;
+use crate::net::core::request_table::{AttemptId, ClientUpdates, IntakeError, Job, PartialResult};
 use calicolb::api::Ending;
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::Submission;
@@ -22,7 +22,7 @@
 const RESULT: usize = 64 * 1024;
 
 impl Gearman {
-    pub(super) fn packet(&mut self, ctx: &mut Ctx<'_>, token: ConnId, packet: Packet<'_>) {
+    pub(super) fn packet(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
         match packet.kind {
             kind if submits(kind) => self.submit(ctx, token, packet),
             Kind::SubmitJobSched | Kind::SubmitJobEpoch | Kind::SubmitReduceJob | Kind::SubmitReduceJobBg => {
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn ability(&mut self, ctx: &mut Ctx<'_>, token: ConnId, packet: Packet<'_>) {
+    pub(super) fn ability(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
         let [first, second] = packet.fields();
         let withdrawn = match (packet.kind, name(first)) {
             (Kind::ResetAbilities, _) => self.fleet.reset(token),
@@ -111,13 +111,13 @@
         };
         if let Some(attempt) = withdrawn {
             // Only offered: it never ran, and goes elsewhere at once.
-            ctx.deadlines.clear(Due::Conn(token, Alarm::Owed));
+            ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             self.offers.remove(&attempt);
             ctx.desk.answered(ctx.now, attempt, Ending::Full, None);
         }
     }
 
-    pub(super) fn submit(&mut self, ctx: &mut Ctx<'_>, token: ConnId, packet: Packet<'_>) {
+    pub(super) fn submit(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
         let [function, unique, workload] = packet.fields();
         let declared = |known: &&Function| known.name.as_bytes() == function;
         let Some(function) = self.config.functions.iter().find(declared) else {
@@ -144,7 +144,7 @@
         if let Some(job) = self.book.same(&submission) {
             self.book.join(job, &submission);
             if !background {
-                ctx.desk.hear(job, Hears::All);
+                ctx.desk.hear(job, ClientUpdates::All);
             }
             return;
         }
@@ -180,7 +180,7 @@
             key: None,
             retry: false,
             skill: function.skill,
-            hears: if background { Hears::Progress } else { Hears::All },
+            hears: if background { ClientUpdates::Progress } else { ClientUpdates::All },
             payload: Rc::new(envelope),
         };
         match ctx.desk.arrive(ctx.now, client, job) {
@@ -188,7 +188,7 @@
                 let handle = self.handle(AttemptId { request, number: 0 });
                 self.book.open(client, handle, submission);
             }
-            Err(Unfit::Repeated | Unfit::TooMany) => {
+            Err(IntakeError::DuplicateName | IntakeError::TooManyOpen) => {
                 self.error(ctx, token, "BUSY", "as many jobs are open as may be");
             }
         }
@@ -202,7 +202,7 @@
     }
 
     /// A worker tells of what it has at hand.
-    pub(super) fn report(&mut self, ctx: &mut Ctx<'_>, token: ConnId, packet: Packet<'_>) {
+    pub(super) fn report(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
         // Each has its handle first; FAIL has nothing else.
         let [handle, rest] = packet.fields();
         let assigning = self.conns.get(&token).is_none_or(|conn| conn.assigning.is_some());
@@ -215,7 +215,7 @@
             }
         };
         if matches!(packet.kind, Kind::WorkComplete | Kind::WorkFail) {
-            ctx.deadlines.clear(Due::Conn(token, Alarm::Rested));
+            ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Idle));
             self.fleet.done(token);
         }
         let Some(attempt) = attempt else { return };
@@ -227,19 +227,22 @@
                 return ctx.desk.served(ctx.now, attempt, result, None);
             }
             Kind::WorkFail => return ctx.desk.answered(ctx.now, attempt, Ending::Error, None),
-            Kind::WorkData => Part::Data(rest.to_vec()),
-            Kind::WorkWarning => Part::Warning(rest.to_vec()),
-            Kind::WorkException => Part::Exception(rest.to_vec()),
+            Kind::WorkData => PartialResult::Data(rest.to_vec()),
+            Kind::WorkWarning => PartialResult::Warning(rest.to_vec()),
+            Kind::WorkException => PartialResult::Exception(rest.to_vec()),
             _ => {
                 let mut numbers = rest.split(|&byte| byte == 0);
                 let mut next = || numbers.next().and_then(number);
                 let (Some(done), Some(of)) = (next(), next()) else {
                     return self.error(ctx, token, "BAD_STATUS", "a status is two numbers");
                 };
-                Part::Progress(done, of)
+                PartialResult::Progress(done, of)
             }
         };
-        let Some(Part::Data(part) | Part::Warning(part)) = ctx.desk.part(attempt, part) else { return };
+        let Some(PartialResult::Data(part) | PartialResult::Warning(part)) = ctx.desk.part(attempt, part)
+        else {
+            return;
+        };
         if conn.parts.len() + part.len() <= RESULT {
             conn.parts.extend_from_slice(&part);
         } else {
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::config::Grade;
 use crate::net::core::deadlines::Deadlines;
-use crate::net::core::desk::{Desk, Work};
+use crate::net::core::request_table::{Command, RequestTable};
 use calicolb::api::{Class, ClassIx, Effect};
 use calicolb::wire::{self, Names};
 use mio::Poll;
@@ -17,7 +17,7 @@
     poll: Poll,
     names: Names,
     deadlines: Deadlines,
-    desk: Desk<Payload>,
+    desk: RequestTable<Payload>,
     tokens: usize,
     now: Micros,
 }
@@ -28,7 +28,7 @@
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
         let (settings, names) = wire::settings(info).expect("the settings are sound");
         let now = 50 * SECOND;
-        let desk = Desk::new(settings, 1, now, 100);
+        let desk = RequestTable::new(settings, 1, now, 100);
         let poll = Poll::new().expect("a poll can be had");
         let mut table = Table { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
         let grades = [Grade { class: ClassIx(0), patience: 9 * SECOND }; 3];
@@ -48,8 +48,8 @@
         (table, gearman)
     }
 
-    fn with<T>(&mut self, run: impl FnOnce(&mut Ctx<'_>) -> T) -> T {
-        run(&mut Ctx {
+    fn with<T>(&mut self, run: impl FnOnce(&mut Context<'_>) -> T) -> T {
+        run(&mut Context {
             registry: self.poll.registry(),
             names: &self.names,
             deadlines: &mut self.deadlines,
@@ -69,10 +69,10 @@
         let mut answers = Vec::new();
         for work in self.desk.settle(self.now, &mut self.deadlines) {
             match work {
-                Work::Send { attempt, hop, payload, wait } => {
+                Command::Send { attempt, hop, payload, wait } => {
                     self.with(|ctx| gearman.send(ctx, attempt, hop, &payload, wait));
                 }
-                Work::Answer { client, answer } => {
+                Command::Answer { client, answer } => {
                     answers.push(answer.clone());
                     self.with(|ctx| gearman.answer(ctx, client, answer));
                 }
--- a/src/net/gearman/workers.rs
+++ b/src/net/gearman/workers.rs
@@ -1,23 +1,23 @@
 //! The pull: carries out what the module decided with workers that ask for themselves.
 
 use super::Gearman;
-use crate::net::Ctx;
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::AttemptId;
+use crate::net::Context;
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
+use crate::net::core::request_table::AttemptId;
 use calicolb_gearman::ConnId;
 use calicolb_gearman::packet::{From, Kind, write};
 
 impl Gearman {
-    pub(super) fn wake(&mut self, ctx: &mut Ctx<'_>, token: ConnId) {
+    pub(super) fn wake(&mut self, ctx: &mut Context<'_>, token: ConnId) {
         self.put(ctx, token, &write(From::Server, Kind::Noop, &[]));
     }
 
     /// Answers a connection that asks for work.
-    pub(super) fn assign(&mut self, ctx: &mut Ctx<'_>, token: ConnId) {
+    pub(super) fn assign(&mut self, ctx: &mut Context<'_>, token: ConnId) {
         let Some((how, given, from)) = self.fleet.assign(token) else {
             return self.put(ctx, token, &write(From::Server, Kind::NoJob, &[]));
         };
-        ctx.deadlines.clear(Due::Conn(from, Alarm::Owed));
+        ctx.deadlines.clear(Deadline::Connection(from, ConnectionTimer::OfferTimeout));
         let Some(payload) = self.offers.remove(&given.attempt) else {
             // It cannot be missing; were it, nothing was written of it.
             self.fleet.done(token);
--- a/src/net/http/call_back.rs
+++ b/src/net/http/call_back.rs
@@ -1,8 +1,8 @@
 //! What next hops tell of jobs that they took: call-backs, and the load reports that come along.
 
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::desk::News;
+use crate::net::Context;
+use crate::net::core::request_table::AttemptUpdate;
 use crate::net::http::framing::Reject;
 use calicolb::api::{Ending, Note, Report};
 use calicolb::wire::{Names, hop_id};
@@ -21,7 +21,7 @@
 }
 
 /// Takes a call-back. One that fits nothing is taken all the same, or it would come again and again.
-pub fn call_back(ctx: &mut Ctx<'_>, body: &[u8]) -> Result<(), Reject> {
+pub fn call_back(ctx: &mut Context<'_>, body: &[u8]) -> Result<(), Reject> {
     let call: CallBack = serde_json::from_slice(body).map_err(|_| Reject(400))?;
     // Next hops call whoever takes the connection: it may be for the other process on this socket.
     if !ctx.desk.knows(&call.id) {
@@ -29,14 +29,14 @@
         return Ok(());
     }
     let news = match (call.state.as_str(), call.result) {
-        ("started", _) => News::Note(Note::Started),
-        ("running", _) => News::Note(Note::Progress(call.share.unwrap_or(0.0))),
-        ("done", Some(Value::String(text))) => News::Served(text.into_bytes()),
-        ("done", Some(other)) => News::Served(other.to_string().into_bytes()),
+        ("started", _) => AttemptUpdate::Note(Note::Started),
+        ("running", _) => AttemptUpdate::Note(Note::Progress(call.share.unwrap_or(0.0))),
+        ("done", Some(Value::String(text))) => AttemptUpdate::Served(text.into_bytes()),
+        ("done", Some(other)) => AttemptUpdate::Served(other.to_string().into_bytes()),
         // It ran, but there is no result to serve.
-        ("done", None) | ("failed", _) => News::Over(Ending::Error),
-        ("returned", _) => News::Over(Ending::Full),
-        ("lost", _) => News::Over(Ending::Broken),
+        ("done", None) | ("failed", _) => AttemptUpdate::Ended(Ending::Error),
+        ("returned", _) => AttemptUpdate::Ended(Ending::Full),
+        ("lost", _) => AttemptUpdate::Ended(Ending::Broken),
         (other, _) => {
             note!("a call-back of unknown state '{}'", other.escape_debug());
             return Ok(());
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -2,15 +2,15 @@
 //! listener serves both.
 
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::{Answer, Hears, Job, Unfit};
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::{Envelope, Payload};
+use crate::net::core::request_table::{Answer, ClientUpdates, IntakeError, Job};
 use crate::net::core::transfer::Transfer;
 use crate::net::http::call_back::call_back;
 use crate::net::http::framing::{self, Reject, Request};
-use crate::net::protocol::Spare;
+use crate::net::protocol::ReleaseIdle;
 use calicolb::api::{ClassIx, Micros};
 use calicolb::wire;
 use mio::net::{TcpListener, TcpStream};
@@ -95,7 +95,7 @@
     }
 
     /// Begins to take connections.
-    pub fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
+    pub fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
         if !self.listening {
             ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
         }
@@ -104,27 +104,29 @@
     }
 
     /// Leaves new connections to the other process on this socket: one that is taken and not served is lost.
-    pub fn stop_listening(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn stop_listening(&mut self, ctx: &mut Context<'_>) {
         self.listening = false;
         let _ = ctx.registry.deregister(&mut self.listener);
-        ctx.deadlines.clear(Due::Conn(self.token, Alarm::Accept));
+        ctx.deadlines.clear(Deadline::Connection(self.token, ConnectionTimer::Accept));
     }
 
     /// So many connections may be open from now on.
-    pub fn limit(&mut self, ctx: &mut Ctx<'_>, most: usize) {
+    pub fn limit(&mut self, ctx: &mut Context<'_>, most: usize) {
         self.most = most;
         while self.connections.len() > most && self.shed(ctx) {}
     }
 
     /// Takes new connections.
-    fn accept(&mut self, ctx: &mut Ctx<'_>) {
+    fn accept(&mut self, ctx: &mut Context<'_>) {
         if !self.listening {
             return;
         }
         for _ in 0..ACCEPTS {
             if self.connections.len() >= self.most && !self.shed(ctx) {
                 // They wait in the listener's queue until a connection ends.
-                return ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + ACCEPT_AGAIN);
+                return ctx
+                    .deadlines
+                    .set(Deadline::Connection(self.token, ConnectionTimer::Accept), ctx.now + ACCEPT_AGAIN);
             }
             match self.listener.accept() {
                 Ok((stream, _)) => self.open(ctx, stream),
@@ -135,26 +137,29 @@
                     // Out of descriptors or memory: a connection at rest makes room, else time may.
                     note!("accepting: {error}");
                     self.shed(ctx);
-                    return ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + ACCEPT_AGAIN);
+                    return ctx.deadlines.set(
+                        Deadline::Connection(self.token, ConnectionTimer::Accept),
+                        ctx.now + ACCEPT_AGAIN,
+                    );
                 }
             }
         }
-        ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + 1);
+        ctx.deadlines.set(Deadline::Connection(self.token, ConnectionTimer::Accept), ctx.now + 1);
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>, stream: TcpStream) {
+    fn open(&mut self, ctx: &mut Context<'_>, stream: TcpStream) {
         let token = ctx.next_token();
         self.open_as(ctx, stream, token);
     }
 
-    fn open_as(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream, token: usize) {
+    fn open_as(&mut self, ctx: &mut Context<'_>, mut stream: TcpStream, token: usize) {
         let _ = stream.set_nodelay(true);
         if let Err(error) =
             ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE)
         {
             return note!("watching a client connection: {error}");
         }
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.first());
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + self.first());
         let connection = Connection {
             stream,
             buffer: Buffer::default(),
@@ -174,7 +179,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if token == self.token {
             return self.accept(ctx);
         }
@@ -186,32 +191,34 @@
     }
 
     /// A time that was set for a connection, or for the listener, has come.
-    pub fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
+    pub fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
         match alarm {
-            Alarm::Accept => self.accept(ctx),
-            Alarm::More => self.ready(ctx, token),
-            Alarm::Late | Alarm::Rested => self.late(ctx, token),
+            ConnectionTimer::Accept => self.accept(ctx),
+            ConnectionTimer::ContinueRead => self.ready(ctx, token),
+            ConnectionTimer::Timeout | ConnectionTimer::Idle => self.late(ctx, token),
             // The loop looks again whether all is done.
-            Alarm::Owed => {}
+            ConnectionTimer::OfferTimeout => {}
         }
     }
 
-    fn read(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn read(&mut self, ctx: &mut Context<'_>, token: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&token) else { return };
             let filled = connection.buffer.fill(&mut connection.stream, framing::MESSAGE_LIMIT);
             if connection.state == State::Ending && !connection.buffer.has_output() {
                 connection.buffer.consume(usize::MAX / 2);
-                if filled == Filled::Brimful {
+                if filled == FillOutcome::LimitReached {
                     // Who sends without end gets its share of a turn, not the whole of it.
-                    return ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now + 1);
+                    return ctx
+                        .deadlines
+                        .set(Deadline::Connection(token, ConnectionTimer::ContinueRead), ctx.now + 1);
                 }
             }
             while self.connections.get(&token).is_some_and(|connection| {
                 connection.state == State::Reading && !connection.buffer.has_output()
             }) && self.step(ctx, token)
             {}
-            if filled == Filled::Ended {
+            if filled == FillOutcome::Closed {
                 // Who closes has gone away, also in the middle of an answer.
                 ctx.desk.leave(token);
                 return self.drop_connection(ctx, token);
@@ -223,17 +230,19 @@
                 // turn's share at a time, and the answer is the last on this connection.
                 connection.last = true;
                 connection.buffer.consume(usize::MAX / 2);
-                return ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now + 1);
+                return ctx
+                    .deadlines
+                    .set(Deadline::Connection(token, ConnectionTimer::ContinueRead), ctx.now + 1);
             }
             // The buffer was full of requests, and room has come.
-            if filled == Filled::Dry || connection.buffer.has_output() || full {
+            if filled == FillOutcome::WouldBlock || connection.buffer.has_output() || full {
                 return;
             }
         }
     }
 
     /// Deals with the next request in the buffer; tells whether there was one.
-    fn step(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
+    fn step(&mut self, ctx: &mut Context<'_>, token: usize) -> bool {
         let first = self.first();
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         match framing::request(connection.buffer.input()) {
@@ -246,7 +255,7 @@
                 } else {
                     *connection.begun.get_or_insert(ctx.now) + STALLED
                 };
-                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ends);
+                ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ends);
                 false
             }
             Ok(Some((request, length))) => {
@@ -255,7 +264,7 @@
                 connection.fresh = false;
                 connection.begun = None;
                 connection.last |= !request.keep_alive;
-                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + IDLE);
+                ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + IDLE);
                 match self.route(ctx, token, request) {
                     Ok(()) => {}
                     Err(Reject(status)) => self.reply(ctx, token, status, &[], b""),
@@ -271,7 +280,7 @@
         }
     }
 
-    fn route(&mut self, ctx: &mut Ctx<'_>, token: usize, request: Request) -> Result<(), Reject> {
+    fn route(&mut self, ctx: &mut Context<'_>, token: usize, request: Request) -> Result<(), Reject> {
         let wanted = |method: &str| if request.method == method { Ok(()) } else { Err(Reject(405)) };
         let path = request.path().to_owned();
         match path.as_str() {
@@ -295,10 +304,10 @@
                         if let Some(connection) = self.connections.get_mut(&token) {
                             connection.state = State::Waiting;
                         }
-                        ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
+                        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
                     }
-                    Err(Unfit::Repeated) => return Err(Reject(409)),
-                    Err(Unfit::TooMany) => return Err(Reject(503)),
+                    Err(IntakeError::DuplicateName) => return Err(Reject(409)),
+                    Err(IntakeError::TooManyOpen) => return Err(Reject(503)),
                 }
             }
         }
@@ -314,9 +323,9 @@
     }
 
     /// Another process may have this connection now: nothing is read or written here until it is known which of the two has it.
-    pub fn suspend(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
-        ctx.deadlines.clear(Due::Conn(token, Alarm::More));
+    pub fn suspend(&mut self, ctx: &mut Context<'_>, token: usize) {
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::ContinueRead));
         if let Some(connection) = self.connections.get_mut(&token) {
             let _ = ctx.registry.deregister(&mut connection.stream);
         }
@@ -328,7 +337,7 @@
     }
 
     /// No other process has the connection: the request on it goes on here.
-    pub fn resume(&mut self, ctx: &mut Ctx<'_>, token: usize, transfer: Transfer) {
+    pub fn resume(&mut self, ctx: &mut Context<'_>, token: usize, transfer: Transfer) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut connection.stream, Token(token), both) {
@@ -347,7 +356,12 @@
     ///
     /// # Errors
     /// The request is none that this process can take; its connection is not touched.
-    pub fn adopt(&mut self, ctx: &mut Ctx<'_>, stream: TcpStream, transfer: Transfer) -> Result<(), Reject> {
+    pub fn adopt(
+        &mut self,
+        ctx: &mut Context<'_>,
+        stream: TcpStream,
+        transfer: Transfer,
+    ) -> Result<(), Reject> {
         let job = transferred(ctx, &transfer)?;
         if ctx.desk.knows(&job.name) {
             return Err(Reject(409));
@@ -359,13 +373,13 @@
         connection.last = !transfer.keep_alive;
         connection.state = State::Waiting;
         connection.buffer = Buffer::with_input(&transfer.unread);
-        ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
         ctx.desk.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines);
         Ok(())
     }
 
     /// Gives the final answer to the request of a connection.
-    pub fn answer(&mut self, ctx: &mut Ctx<'_>, token: usize, answer: Answer) {
+    pub fn answer(&mut self, ctx: &mut Context<'_>, token: usize, answer: Answer) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.state = State::Reading;
         match answer {
@@ -381,17 +395,24 @@
         self.read(ctx, token);
     }
 
-    fn reply(&mut self, ctx: &mut Ctx<'_>, token: usize, status: u16, extra: &[(&str, &str)], body: &[u8]) {
+    fn reply(
+        &mut self,
+        ctx: &mut Context<'_>,
+        token: usize,
+        status: u16,
+        extra: &[(&str, &str)],
+        body: &[u8],
+    ) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.last |= self.parting && !connection.back;
         connection.since = ctx.now;
         connection.buffer.put(&framing::write_response(status, extra, body, !connection.last));
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + STALLED);
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + STALLED);
         self.flush(ctx, token);
     }
 
     /// Writes what waits; tells whether the connection goes on.
-    fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
+    fn flush(&mut self, ctx: &mut Context<'_>, token: usize) -> bool {
         let parting = self.parting;
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let flushed = connection.buffer.flush(&mut connection.stream);
@@ -404,13 +425,14 @@
                 let _ = connection.stream.shutdown(Shutdown::Write);
                 connection.state = State::Ending;
                 connection.buffer.consume(usize::MAX / 2);
-                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER);
-                ctx.deadlines.set(Due::Conn(token, Alarm::Owed), ctx.now + TAKEN);
+                ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + LINGER);
+                ctx.deadlines
+                    .set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + TAKEN);
                 true
             }
             Ok(true) => {
                 if connection.state == State::Reading {
-                    ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + IDLE);
+                    ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + IDLE);
                 }
                 true
             }
@@ -423,7 +445,7 @@
     }
 
     /// A connection has rested or stalled for too long.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn late(&mut self, ctx: &mut Context<'_>, token: usize) {
         // What came in since the poll counts: a request that lies unread has been taken, and a close would reset it.
         let Some(&Connection { state, since, .. }) = self.connections.get(&token) else { return };
         if state != State::Waiting {
@@ -450,19 +472,19 @@
     }
 
     /// Ends a connection at rest: its client hears of it, and what crosses the end is thrown away, not reset.
-    fn part(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn part(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let _ = connection.stream.shutdown(Shutdown::Write);
         connection.state = State::Ending;
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER);
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + LINGER);
     }
 
-    fn drop_connection(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn drop_connection(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let _ = ctx.registry.deregister(&mut connection.stream);
-        [Alarm::Late, Alarm::More, Alarm::Owed]
+        [ConnectionTimer::Timeout, ConnectionTimer::ContinueRead, ConnectionTimer::OfferTimeout]
             .into_iter()
-            .for_each(|alarm| ctx.deadlines.clear(Due::Conn(token, alarm)));
+            .for_each(|alarm| ctx.deadlines.clear(Deadline::Connection(token, alarm)));
     }
 
     /// Answers are no longer the last of their connections.
@@ -472,7 +494,7 @@
 
     /// Closes the connections at rest, between two requests, and from now on every answer is the last of its connection;
     /// call-backs keep theirs.
-    pub fn farewell(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn farewell(&mut self, ctx: &mut Context<'_>) {
         self.parting = true;
         let resting: Vec<usize> = self
             .connections
@@ -495,10 +517,10 @@
     }
 }
 
-impl Spare for Clients {
+impl ReleaseIdle for Clients {
     /// Closes the connection that has been at rest for longest, of clients first; if none is, the one that has been in
     /// the middle of sending a request, which is not taken before its last byte.
-    fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool {
+    fn shed(&mut self, ctx: &mut Context<'_>) -> bool {
         let now = ctx.now;
         let order = |connection: &Connection| match connection.state {
             State::Ending => Some((if connection.over(now) { 0 } else { 3 }, connection.since)),
@@ -540,21 +562,21 @@
 }
 
 /// A request that another process has worked on, as the desk takes it, if its class is known here.
-fn transferred(ctx: &Ctx<'_>, transfer: &Transfer) -> Result<Job<Payload>, Reject> {
+fn transferred(ctx: &Context<'_>, transfer: &Transfer) -> Result<Job<Payload>, Reject> {
     let Envelope { target, headers, body, .. } = transfer.envelope.clone();
     let keep_alive = transfer.keep_alive;
     job_of(ctx, Request { method: "POST".to_owned(), target, headers, body, keep_alive })
 }
 
 /// A client's request as the desk takes it, if it is one.
-fn job_of(ctx: &Ctx<'_>, request: Request) -> Result<Job<Payload>, Reject> {
+fn job_of(ctx: &Context<'_>, request: Request) -> Result<Job<Payload>, Reject> {
     let path = request.path().to_owned();
     let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let class = ctx.names.class(first).map_err(|_| Reject(404))?;
     if request.method == "POST" { job(ctx, class, first, request) } else { Err(Reject(405)) }
 }
 
-fn job(ctx: &Ctx<'_>, class: ClassIx, name: &str, request: Request) -> Result<Job<Payload>, Reject> {
+fn job(ctx: &Context<'_>, class: ClassIx, name: &str, request: Request) -> Result<Job<Payload>, Reject> {
     let bad = Reject(400);
     let header = |name: &str| request.headers.get(name);
     if header("request-class").is_some_and(|told| told != name) {
@@ -596,7 +618,7 @@
         key,
         retry,
         skill,
-        hears: Hears::Nothing,
+        hears: ClientUpdates::Nothing,
         payload: Rc::new(envelope),
     })
 }
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::core::deadlines::Deadlines;
-use crate::net::core::desk::Desk;
+use crate::net::core::request_table::RequestTable;
 use calicolb::wire::Names;
 use mio::Poll;
 use std::io::{Read, Write};
@@ -16,7 +16,7 @@
     poll: Poll,
     names: Names,
     deadlines: Deadlines,
-    desk: Desk<Payload>,
+    desk: RequestTable<Payload>,
     tokens: usize,
     now: Micros,
 }
@@ -27,7 +27,7 @@
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
         let (settings, names) = wire::settings(info).expect("the settings are sound");
         let now = 50 * SECOND;
-        let desk = Desk::new(settings, 1, now, 100);
+        let desk = RequestTable::new(settings, 1, now, 100);
         let poll = Poll::new().expect("a poll can be had");
         let mut table = Table { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
         let at = "127.0.0.1:0".parse().expect("it is an address");
@@ -37,8 +37,8 @@
         (table, clients)
     }
 
-    fn with<T>(&mut self, run: impl FnOnce(&mut Ctx<'_>) -> T) -> T {
-        run(&mut Ctx {
+    fn with<T>(&mut self, run: impl FnOnce(&mut Context<'_>) -> T) -> T {
+        run(&mut Context {
             registry: self.poll.registry(),
             names: &self.names,
             deadlines: &mut self.deadlines,
@@ -91,7 +91,7 @@
         }
         table.now += IDLE + SECOND;
         peer.write_all(REQUEST).expect("it is read");
-        table.with(|ctx| clients.due(ctx, connection, Alarm::Late));
+        table.with(|ctx| clients.due(ctx, connection, ConnectionTimer::Timeout));
         assert_eq!(
             (table.desk.owed(), clients.connections[&connection].state),
             (1, State::Waiting),
@@ -105,7 +105,7 @@
     let (mut table, mut clients) = Table::new();
     let (mut peer, connection) = table.connect(&mut clients);
     table.now += FIRST;
-    table.with(|ctx| clients.due(ctx, connection, Alarm::Late));
+    table.with(|ctx| clients.due(ctx, connection, ConnectionTimer::Timeout));
     peer.write_all(REQUEST).expect("the way there is open");
     table.with(|ctx| clients.ready(ctx, connection));
     assert_eq!(
@@ -115,7 +115,7 @@
     );
     table.now += LINGER;
     peer.write_all(REQUEST).expect("the way there is open");
-    table.with(|ctx| clients.due(ctx, connection, Alarm::Late));
+    table.with(|ctx| clients.due(ctx, connection, ConnectionTimer::Timeout));
     assert!(clients.connections.is_empty());
     assert_eq!(rest(peer), "", "an end, and no reset");
 }
@@ -161,7 +161,11 @@
         } else {
             table.now += TAKEN;
             let due = table.deadlines.next_due(table.now);
-            assert_eq!(due, Some(Due::Conn(connection, Alarm::Owed)), "the loop looks again then");
+            assert_eq!(
+                due,
+                Some(Deadline::Connection(connection, ConnectionTimer::OfferTimeout)),
+                "the loop looks again then"
+            );
             assert!(clients.at_rest(table.now));
         }
     }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -5,11 +5,11 @@
 pub mod framing;
 pub mod next_hop;
 
-use crate::net::Ctx;
-use crate::net::core::deadlines::Alarm;
-use crate::net::core::desk::{Answer, AttemptId, ClientId};
+use crate::net::Context;
+use crate::net::core::deadlines::ConnectionTimer;
 use crate::net::core::envelope::Payload;
-use crate::net::protocol::{Protocol, Shares, Spare};
+use crate::net::core::request_table::{Answer, AttemptId, ClientId};
+use crate::net::protocol::{DescriptorLimits, Protocol, ReleaseIdle};
 use calicolb::api::{Micros, WorkerId};
 use client::Clients;
 use next_hop::NextHops;
@@ -21,8 +21,8 @@
     pub hops: NextHops,
 }
 
-impl Spare for Http {
-    fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool {
+impl ReleaseIdle for Http {
+    fn shed(&mut self, ctx: &mut Context<'_>) -> bool {
         self.clients.shed(ctx)
     }
 }
@@ -32,11 +32,11 @@
         self.clients.has(token) || self.hops.has(token)
     }
 
-    fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if self.clients.has(token) { self.clients.ready(ctx, token) } else { self.hops.ready(ctx, token) }
     }
 
-    fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
+    fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
         if self.clients.has(token) {
             self.clients.due(ctx, token, alarm);
         } else {
@@ -48,7 +48,7 @@
         self.clients.has(client)
     }
 
-    fn answer(&mut self, ctx: &mut Ctx<'_>, client: ClientId, answer: Answer) {
+    fn answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         self.clients.answer(ctx, client, answer);
     }
 
@@ -58,7 +58,7 @@
 
     fn send(
         &mut self,
-        ctx: &mut Ctx<'_>,
+        ctx: &mut Context<'_>,
         attempt: AttemptId,
         hop: WorkerId,
         payload: &Payload,
@@ -67,36 +67,36 @@
         self.hops.send(ctx, &mut self.clients, attempt, hop, payload, wait);
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
+    fn give_up(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
         self.hops.give_up(ctx, &mut self.clients, attempt, hop, name);
     }
 
-    fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
+    fn release(&mut self, ctx: &mut Context<'_>, attempt: AttemptId) {
         self.hops.release(ctx, attempt);
     }
 
-    fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
+    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
         self.hops.probe(ctx, &mut self.clients, hop);
     }
 
-    fn close_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
+    fn close_idle(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
         self.hops.close_idle(ctx, hop);
     }
 
-    fn settled(&mut self, ctx: &mut Ctx<'_>) {
+    fn settled(&mut self, ctx: &mut Context<'_>) {
         self.hops.begin(ctx);
     }
 
-    fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
+    fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
         self.clients.listen(ctx)
     }
 
-    fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares) {
+    fn limit(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         self.clients.limit(ctx, shares.clients);
         self.hops.limit(ctx, shares.hops);
     }
 
-    fn farewell(&mut self, ctx: &mut Ctx<'_>) {
+    fn farewell(&mut self, ctx: &mut Context<'_>) {
         self.clients.farewell(ctx);
     }
 
--- a/src/net/http/next_hop.rs
+++ b/src/net/http/next_hop.rs
@@ -4,15 +4,15 @@
 //! written byte says, and whether it goes out again is the module's to say.
 
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::AttemptId;
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::Payload;
-use crate::net::core::journey;
+use crate::net::core::network_delay;
+use crate::net::core::request_table::AttemptId;
 use crate::net::http::call_back::report_of;
 use crate::net::http::framing;
-use crate::net::protocol::Spare;
+use crate::net::protocol::ReleaseIdle;
 use calicolb::api::{Ending, Micros, WorkerId};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
@@ -161,7 +161,7 @@
     }
 
     /// So many connections may be open from now on; of those at rest, all that are too many are closed.
-    pub fn limit(&mut self, ctx: &mut Ctx<'_>, most: usize) {
+    pub fn limit(&mut self, ctx: &mut Context<'_>, most: usize) {
         self.most = most;
         let idle: Vec<usize> = self.hops.values().flat_map(|hop| hop.idle.iter().copied()).collect();
         for token in idle.into_iter().take(self.links.len().saturating_sub(most)) {
@@ -180,7 +180,7 @@
     }
 
     /// Learns where a next hop listens. One that has moved or started anew has no connections left.
-    pub fn learn(&mut self, ctx: &mut Ctx<'_>, id: WorkerId, dial: SocketAddr, born: u64) {
+    pub fn learn(&mut self, ctx: &mut Context<'_>, id: WorkerId, dial: SocketAddr, born: u64) {
         let changed = self.hops.get(&id).is_some_and(|hop| hop.dial != dial || hop.born != born);
         if changed {
             self.close_idle(ctx, id);
@@ -190,7 +190,7 @@
     }
 
     /// Forgets a next hop that is gone. What is out on its connections ends as these show.
-    pub fn forget(&mut self, ctx: &mut Ctx<'_>, id: WorkerId) {
+    pub fn forget(&mut self, ctx: &mut Context<'_>, id: WorkerId) {
         self.close_idle(ctx, id);
         self.hops.remove(&id);
     }
@@ -202,7 +202,7 @@
     }
 
     /// Closes the idle connections to a next hop.
-    pub fn close_idle(&mut self, ctx: &mut Ctx<'_>, id: WorkerId) {
+    pub fn close_idle(&mut self, ctx: &mut Context<'_>, id: WorkerId) {
         let idle = self.hops.get_mut(&id).map(|hop| std::mem::take(&mut hop.idle)).unwrap_or_default();
         for token in idle {
             self.drop_link(ctx, token);
@@ -212,8 +212,8 @@
     /// Sends an attempt.
     pub fn send(
         &mut self,
-        ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
+        ctx: &mut Context<'_>,
+        spare: &mut dyn ReleaseIdle,
         attempt: AttemptId,
         hop: WorkerId,
         payload: &Payload,
@@ -233,8 +233,8 @@
     /// that in words.
     pub fn give_up(
         &mut self,
-        ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
+        ctx: &mut Context<'_>,
+        spare: &mut dyn ReleaseIdle,
         attempt: AttemptId,
         hop: WorkerId,
         name: &str,
@@ -243,8 +243,8 @@
             Some(token) => {
                 self.drop_link(ctx, token);
                 ctx.deadlines.set(
-                    Due::CalledOff(attempt.request, attempt.number),
-                    ctx.now + journey::arrives(self.connect_timeout),
+                    Deadline::CancelDelivered(attempt.request, attempt.number),
+                    ctx.now + network_delay::arrives(self.connect_timeout),
                 );
             }
             None => {
@@ -261,14 +261,14 @@
 
     /// Lets go of the connection of an attempt that is over: news ended it, but the answer that was due on the
     /// connection itself has not come in all its time, and nothing else would ever end the wait for it.
-    pub fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
+    pub fn release(&mut self, ctx: &mut Context<'_>, attempt: AttemptId) {
         if let Some(token) = self.out.get(&attempt).copied() {
             self.drop_link(ctx, token);
         }
     }
 
     /// Asks a next hop for its load.
-    pub fn probe(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, hop: WorkerId) {
+    pub fn probe(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle, hop: WorkerId) {
         let bytes = framing::write_request("GET", "/metrics/load", &[("Host", "origin.svc")], b"");
         if !self.put(ctx, spare, hop, Task::Probe(ctx.now), &bytes) {
             ctx.desk.probed(hop, Ending::Unreachable, 0, None);
@@ -278,8 +278,8 @@
     /// Writes a request on an idle connection, or on a new one; tells whether there is one.
     fn put(
         &mut self,
-        ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
+        ctx: &mut Context<'_>,
+        spare: &mut dyn ReleaseIdle,
         hop: WorkerId,
         task: Task,
         bytes: &[u8],
@@ -297,7 +297,7 @@
         let Some(link) = self.links.get_mut(&token) else { return false };
         link.buffer.put(bytes);
         if link.up && !matches!(task, Task::Attempt(_)) {
-            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + SIDE_CALL);
+            ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + SIDE_CALL);
         }
         if let Task::Attempt(attempt) = task {
             self.out.insert(attempt, token);
@@ -309,9 +309,9 @@
         true
     }
 
-    fn take_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) -> Option<usize> {
+    fn take_idle(&mut self, ctx: &mut Context<'_>, hop: WorkerId) -> Option<usize> {
         while let Some(token) = self.hops.get_mut(&hop)?.idle.pop() {
-            ctx.deadlines.clear(Due::Conn(token, Alarm::Rested));
+            ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Idle));
             let Some(link) = self.links.get_mut(&token) else { continue };
             link.rest = link.rested.map(|since| ctx.now.saturating_sub(since));
             if link.rest.is_some_and(|rest| rest > self.rest.bound(ctx.now)) {
@@ -328,7 +328,7 @@
         None
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, hop: WorkerId) -> Option<usize> {
+    fn open(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle, hop: WorkerId) -> Option<usize> {
         if self.links.len() >= self.most {
             let idle = self.hops.values().find_map(|hop| hop.idle.first().copied());
             let Some(token) = idle else {
@@ -356,7 +356,8 @@
             note!("watching a connection to {dial}: {error}");
             return None;
         }
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.connect_timeout);
+        ctx.deadlines
+            .set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + self.connect_timeout);
         let link = Link {
             stream,
             buffer: Buffer::default(),
@@ -373,7 +374,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(link) = self.links.get_mut(&token) else { return };
         if !link.up {
             let failed = !matches!(link.stream.take_error(), Ok(None));
@@ -389,15 +390,15 @@
             link.up = true;
             let _ = link.stream.set_nodelay(true);
             if let Task::Attempt(_) = link.task {
-                ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
+                ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
                 return self.risen.push(token);
             }
-            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + SIDE_CALL);
+            ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + SIDE_CALL);
         }
         self.go_on(ctx, token);
     }
 
-    fn go_on(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn go_on(&mut self, ctx: &mut Context<'_>, token: usize) {
         if self.flush(ctx, token) {
             self.read(ctx, token);
         }
@@ -405,7 +406,7 @@
 
     /// Begins the attempts whose connections have come up. The module has heard all that came with them: what it no longer
     /// wants is gone by now, or is asked for here.
-    pub fn begin(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn begin(&mut self, ctx: &mut Context<'_>) {
         for token in std::mem::take(&mut self.risen) {
             let Some(&Link { task: Task::Attempt(attempt), .. }) = self.links.get(&token) else { continue };
             match ctx.desk.begins(ctx.now, attempt) {
@@ -419,10 +420,10 @@
     }
 
     /// Writes what waits; tells whether the connection lives and has nothing more to write.
-    fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
+    fn flush(&mut self, ctx: &mut Context<'_>, token: usize) -> bool {
         // A next hop says at once that it takes a job. One that has not after this time has fallen silent, or the way to
         // it has: the connection would show nothing of that.
-        let silence = journey::silence(self.connect_timeout);
+        let silence = network_delay::silence(self.connect_timeout);
         let Some(link) = self.links.get_mut(&token) else { return false };
         if !link.buffer.has_output() {
             return true;
@@ -431,7 +432,8 @@
             Ok(true) => {
                 if let Task::Attempt(attempt) = link.task {
                     ctx.desk.written(ctx.now, attempt);
-                    ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + silence);
+                    ctx.deadlines
+                        .set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + silence);
                 }
                 true
             }
@@ -443,12 +445,12 @@
         }
     }
 
-    fn read(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn read(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(link) = self.links.get_mut(&token) else { return };
         let filled = link.buffer.fill(&mut link.stream, framing::MESSAGE_LIMIT);
         if link.task == Task::Idle {
             // A next hop has nothing to say unasked; it ends the connection, or is out of step.
-            if filled != Filled::Dry || !link.buffer.input().is_empty() {
+            if filled != FillOutcome::WouldBlock || !link.buffer.input().is_empty() {
                 self.drop_link(ctx, token);
             }
             return;
@@ -458,7 +460,7 @@
                 link.buffer.consume(length);
                 let task = std::mem::replace(&mut link.task, Task::Idle);
                 let (hop, clean) = (link.hop, link.buffer.input().is_empty());
-                ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
+                ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
                 if let Some(rest) = link.rest.take() {
                     self.rest.held(rest);
                 }
@@ -484,15 +486,17 @@
                         .is_some_and(|link| link.stream.peer_addr().is_ok_and(|at| at == hop.dial))
                 });
                 match known {
-                    Some(hop) if response.keep_alive && clean && filled == Filled::Dry => {
+                    Some(hop) if response.keep_alive && clean && filled == FillOutcome::WouldBlock => {
                         hop.idle.push(token);
-                        ctx.deadlines
-                            .set(Due::Conn(token, Alarm::Rested), ctx.now + self.rest.bound(ctx.now));
+                        ctx.deadlines.set(
+                            Deadline::Connection(token, ConnectionTimer::Idle),
+                            ctx.now + self.rest.bound(ctx.now),
+                        );
                     }
                     _ => self.drop_link(ctx, token),
                 }
             }
-            Ok(None) if filled == Filled::Dry => {}
+            Ok(None) if filled == FillOutcome::WouldBlock => {}
             Ok(None) => self.fail(ctx, token),
             Err(_) => {
                 note!("a next hop's answer is malformed");
@@ -502,7 +506,7 @@
     }
 
     /// The connection has broken, or never came up.
-    fn fail(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn fail(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(link) = self.links.get_mut(&token) else { return };
         let (hop, up) = (link.hop, link.up);
         let task = std::mem::replace(&mut link.task, Task::Idle);
@@ -523,11 +527,11 @@
         self.drop_link(ctx, token);
     }
 
-    fn drop_link(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn drop_link(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(mut link) = self.links.remove(&token) else { return };
         let _ = ctx.registry.deregister(&mut link.stream);
-        ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
-        ctx.deadlines.clear(Due::Conn(token, Alarm::Rested));
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Idle));
         if let Task::Attempt(attempt) = link.task {
             self.out.remove(&attempt);
         }
@@ -537,7 +541,7 @@
     }
 
     /// The connect, a side call or the answer to an attempt has taken too long.
-    fn late(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn late(&mut self, ctx: &mut Context<'_>, token: usize) {
         match self.links.get(&token) {
             // It may be with the next hop, and news of it may yet come: what to do is the module's to say.
             Some(Link { up: true, task: Task::Attempt(attempt), .. }) => ctx.desk.silent(*attempt),
@@ -546,12 +550,12 @@
     }
 
     /// A time that was set for a connection has come.
-    pub fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
-        if alarm == Alarm::Rested { self.rested(ctx, token) } else { self.late(ctx, token) }
+    pub fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
+        if alarm == ConnectionTimer::Idle { self.rested(ctx, token) } else { self.late(ctx, token) }
     }
 
     /// An idle connection has rested long enough.
-    fn rested(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn rested(&mut self, ctx: &mut Context<'_>, token: usize) {
         if self.links.get(&token).is_some_and(|link| link.task == Task::Idle) {
             self.drop_link(ctx, token);
         }
@@ -571,7 +575,7 @@
 ];
 
 /// What the answer on its own connection says of an attempt.
-fn answered(ctx: &mut Ctx<'_>, attempt: AttemptId, response: &framing::Response) {
+fn answered(ctx: &mut Context<'_>, attempt: AttemptId, response: &framing::Response) {
     let load = response.headers.get("server-load").and_then(|text| serde_json::from_str(text).ok());
     let report = load.and_then(|value| report_of(ctx.names, &value));
     let unstarted = response.headers.get("not-started") == Some("1");
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,48 +6,48 @@
 
 pub mod control;
 pub mod core;
+pub mod event_loop;
 mod gearman;
 mod http;
 mod operators;
 pub mod platform;
 mod protocol;
-pub mod turn;
 
 use self::core::deadlines::Deadlines;
-use self::core::desk::Desk;
 use self::core::envelope::Payload;
+use self::core::request_table::RequestTable;
 use calicolb::api::Micros;
 use calicolb::wire::Names;
 use mio::Registry;
 
 /// What every part of the network side works with in a turn of the loop.
-pub struct Ctx<'a> {
+pub struct Context<'a> {
     registry: &'a Registry,
     names: &'a Names,
     deadlines: &'a mut Deadlines,
-    desk: &'a mut Desk<Payload>,
+    desk: &'a mut RequestTable<Payload>,
     tokens: &'a mut usize,
     /// Call-backs that fit nothing here: the other process of this scheduler, if there is one, is to be told.
     strays: &'a mut Vec<String>,
     /// What a protocol wants of the whole program.
-    wishes: &'a mut Vec<protocol::Wish>,
+    wishes: &'a mut Vec<protocol::ProtocolRequest>,
     /// Datagrams to other schedulers, sent at the end of the turn.
-    outbox: &'a mut Vec<(Audience, Vec<u8>)>,
+    outbox: &'a mut Vec<(PeerTarget, Vec<u8>)>,
     now: Micros,
 }
 
 /// Which other schedulers a datagram is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum PeerTarget {
     /// The one of this rank.
-    One(u32),
+    Rank(u32),
     /// So many, drawn by chance.
-    Some(usize),
+    Random(usize),
 }
 
-impl Ctx<'_> {
+impl Context<'_> {
     /// Sends a datagram to other schedulers, where there are any.
-    fn tell(&mut self, audience: Audience, body: Vec<u8>) {
+    fn tell(&mut self, audience: PeerTarget, body: Vec<u8>) {
         self.outbox.push((audience, body));
     }
 
--- a/src/net/operators/door.rs
+++ b/src/net/operators/door.rs
@@ -1,10 +1,10 @@
 //! The operators' door: a second listener, where a connection carries one line and gets one answer.
 
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::Due;
-use crate::net::protocol::Spare;
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::Deadline;
+use crate::net::protocol::ReleaseIdle;
 use calicolb::api::Micros;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
@@ -58,7 +58,11 @@
     }
 
     /// Takes new calls; those that bring their line along are given back at once.
-    pub fn accept(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare) -> Vec<(usize, Option<Order>)> {
+    pub fn accept(
+        &mut self,
+        ctx: &mut Context<'_>,
+        spare: &mut dyn ReleaseIdle,
+    ) -> Vec<(usize, Option<Order>)> {
         let mut orders = Vec::new();
         // As many in a turn as may be open; the rest come in the next.
         for _ in 0..CALLS {
@@ -77,16 +81,16 @@
                     // Out of descriptors, say: operators come before clients at rest.
                     note!("accepting an operator's call: {error}");
                     spare.shed(ctx);
-                    ctx.deadlines.set(Due::Door, ctx.now + AGAIN);
+                    ctx.deadlines.set(Deadline::ManagementAccept, ctx.now + AGAIN);
                     return orders;
                 }
             }
         }
-        ctx.deadlines.set(Due::Door, ctx.now + 1);
+        ctx.deadlines.set(Deadline::ManagementAccept, ctx.now + 1);
         orders
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream) -> Option<usize> {
+    fn open(&mut self, ctx: &mut Context<'_>, mut stream: TcpStream) -> Option<usize> {
         if self.calls.len() >= CALLS
             && let Some(&oldest) = self.calls.keys().next()
         {
@@ -98,14 +102,14 @@
             note!("watching an operator's call: {error}");
             return None;
         }
-        ctx.deadlines.set(Due::Call(token), ctx.now + SLOW);
+        ctx.deadlines.set(Deadline::ManagementCall(token), ctx.now + SLOW);
         self.calls.insert(token, Call { stream, buffer: Buffer::default(), answered: false });
         Some(token)
     }
 
     /// Something can be read or written. Gives the order once its line is whole; `Some(None)` is one that
     /// nobody understands.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> Option<Option<Order>> {
+    pub fn ready(&mut self, ctx: &mut Context<'_>, token: usize) -> Option<Option<Order>> {
         let call = self.calls.get_mut(&token)?;
         if call.buffer.has_output() {
             self.flush(ctx, token);
@@ -114,14 +118,14 @@
         let filled = call.buffer.fill(&mut call.stream, LINE);
         if call.answered {
             call.buffer.consume(usize::MAX / 2);
-            if filled == Filled::Ended {
+            if filled == FillOutcome::Closed {
                 self.drop_call(ctx, token);
             }
             return None;
         }
         let input = call.buffer.input();
         let end = input.iter().position(|&byte| byte == b'\n');
-        if end.is_none() && filled == Filled::Dry {
+        if end.is_none() && filled == FillOutcome::WouldBlock {
             return None;
         }
         // The end of what the client has to say ends its line as well.
@@ -135,15 +139,15 @@
     }
 
     /// Answers a call; it ends with that.
-    pub fn answer(&mut self, ctx: &mut Ctx<'_>, token: usize, text: &str) {
+    pub fn answer(&mut self, ctx: &mut Context<'_>, token: usize, text: &str) {
         let Some(call) = self.calls.get_mut(&token) else { return };
         call.answered = true;
         call.buffer.put(text.as_bytes());
-        ctx.deadlines.set(Due::Call(token), ctx.now + LINGER);
+        ctx.deadlines.set(Deadline::ManagementCall(token), ctx.now + LINGER);
         self.flush(ctx, token);
     }
 
-    fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn flush(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(call) = self.calls.get_mut(&token) else { return };
         match call.buffer.flush(&mut call.stream) {
             // Closed with something unread, the connection would be reset, and take the answer along.
@@ -154,17 +158,17 @@
     }
 
     /// A call has been open for too long.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn late(&mut self, ctx: &mut Context<'_>, token: usize) {
         match self.calls.get(&token) {
             Some(call) if !call.answered => self.answer(ctx, token, "error no call came\n"),
             _ => self.drop_call(ctx, token),
         }
     }
 
-    fn drop_call(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn drop_call(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(mut call) = self.calls.remove(&token) else { return };
         let _ = ctx.registry.deregister(&mut call.stream);
-        ctx.deadlines.clear(Due::Call(token));
+        ctx.deadlines.clear(Deadline::ManagementCall(token));
     }
 }
 
--- a/src/net/platform/call.rs
+++ b/src/net/platform/call.rs
@@ -1,6 +1,6 @@
 //! One connection to discovery or a control machine: what goes out on it, and how what comes back is read.
 
-use crate::net::core::buffer::{Buffer, Filled};
+use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::http::framing;
 use mio::net::TcpStream;
 use serde::de::DeserializeOwned;
@@ -19,7 +19,7 @@
 }
 
 /// Writes and reads; `Ok(None)` while the connection is not up or has not been written to.
-fn pump(call: &mut Call) -> Result<Option<Filled>, &'static str> {
+fn pump(call: &mut Call) -> Result<Option<FillOutcome>, &'static str> {
     if !matches!(call.stream.take_error(), Ok(None)) {
         return Err("the connection was refused or reset");
     }
@@ -39,7 +39,7 @@
     match framing::response(call.buffer.input()) {
         Ok(Some((response, _))) if (200..300).contains(&response.status) => Ok(true),
         Ok(Some(_)) => Err("the call failed"),
-        Ok(None) if filled == Filled::Dry => Ok(false),
+        Ok(None) if filled == FillOutcome::WouldBlock => Ok(false),
         Ok(None) => Err("the connection ended"),
         Err(_) => Err("the answer is malformed"),
     }
@@ -53,7 +53,7 @@
             serde_json::from_slice(&response.body).map(Some).map_err(|_| "the list is malformed")
         }
         Ok(Some(_)) => Err("the call failed"),
-        Ok(None) if filled == Filled::Dry => Ok(None),
+        Ok(None) if filled == FillOutcome::WouldBlock => Ok(None),
         Ok(None) => Err("the connection ended"),
         Err(_) => Err("the answer is malformed"),
     }
@@ -121,12 +121,12 @@
             *chunks = chunks.saturating_add(1);
         }
         match filled {
-            Filled::Dry => return Ok(()),
-            Filled::Ended => return Err("the watch broke"),
-            Filled::Brimful if call.buffer.input().len() >= LIST_LIMIT => {
+            FillOutcome::WouldBlock => return Ok(()),
+            FillOutcome::Closed => return Err("the watch broke"),
+            FillOutcome::LimitReached if call.buffer.input().len() >= LIST_LIMIT => {
                 return Err("the watch is malformed");
             }
-            Filled::Brimful => filled = call.buffer.fill(&mut call.stream, LIST_LIMIT),
+            FillOutcome::LimitReached => filled = call.buffer.fill(&mut call.stream, LIST_LIMIT),
         }
     }
 }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -6,10 +6,10 @@
 use crate::config::document::{self, Document};
 use crate::config::{Fault, LearnerConfig, Renewal};
 use crate::log::note;
-use crate::net::Ctx;
+use crate::net::Context;
 use crate::net::control::form::{InForce as Told, Line};
 use crate::net::core::buffer::Buffer;
-use crate::net::core::deadlines::Due;
+use crate::net::core::deadlines::Deadline;
 use crate::net::http::framing;
 use crate::net::platform::call::{Call, Heard, Word, done, watched};
 use calicolb::api::Micros;
@@ -99,7 +99,7 @@
     }
 
     /// Begins to learn.
-    pub fn start(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn start(&mut self, ctx: &mut Context<'_>) {
         note!(
             "settings are agreed by {} control machines: {} is asked first",
             self.machines.len(),
@@ -113,7 +113,7 @@
     }
 
     /// The machines are at these addresses from now on.
-    pub fn move_to(&mut self, ctx: &mut Ctx<'_>, machines: Vec<SocketAddr>) {
+    pub fn move_to(&mut self, ctx: &mut Context<'_>, machines: Vec<SocketAddr>) {
         let here = self.machines[self.at];
         self.machines = in_order(machines, &self.name);
         match self.machines.iter().position(|at| *at == here) {
@@ -131,7 +131,7 @@
         [&self.watch, &self.tell].into_iter().flatten().any(|call| call.token == token)
     }
 
-    fn call(&self, ctx: &mut Ctx<'_>, request: &[u8]) -> Option<Call> {
+    fn call(&self, ctx: &mut Context<'_>, request: &[u8]) -> Option<Call> {
         let token = ctx.next_token();
         let made = TcpStream::connect(self.machines[self.at]).and_then(|mut stream| {
             let both = Interest::READABLE | Interest::WRITABLE;
@@ -151,7 +151,7 @@
         }
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>) {
+    fn open(&mut self, ctx: &mut Context<'_>) {
         let held = self.learner.holds();
         let target =
             format!("/control/versions?watch=1&from={}&digest={}&name={}", held.seq, held.digest, self.name);
@@ -163,14 +163,14 @@
     }
 
     /// The next machine is asked after some time.
-    fn wait(&mut self, ctx: &mut Ctx<'_>) {
+    fn wait(&mut self, ctx: &mut Context<'_>) {
         self.at = (self.at + 1) % self.machines.len();
         let wait = (FIRST_WAIT << self.failed.min(8)).min(LONGEST_WAIT);
         self.failed += 1;
         self.again = Some(ctx.now + wait / 2 + self.random.u64(0..=wait));
     }
 
-    fn lose(&mut self, ctx: &mut Ctx<'_>, why: &str) {
+    fn lose(&mut self, ctx: &mut Context<'_>, why: &str) {
         note!(debug: "control machine {}: {why}", self.machines[self.at]);
         for call in [self.watch.take(), self.tell.take()].into_iter().flatten() {
             hang_up(ctx, call);
@@ -179,7 +179,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if let Some(mut call) = self.tell.take_if(|call| call.token == token) {
             match done(&mut call) {
                 Ok(false) => self.tell = Some(call),
@@ -211,7 +211,7 @@
         self.keep_time(ctx);
     }
 
-    fn hear(&mut self, ctx: &mut Ctx<'_>, line: Line) -> Result<(), &'static str> {
+    fn hear(&mut self, ctx: &mut Context<'_>, line: Line) -> Result<(), &'static str> {
         self.failed = 0;
         self.seq = line.seq;
         let (seq, majority) = (line.seq, line.majority);
@@ -251,7 +251,7 @@
     }
 
     /// What became of it.
-    pub fn taken(&mut self, ctx: &mut Ctx<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
+    pub fn taken(&mut self, ctx: &mut Context<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
         match (outcome, news.tightened_to) {
             (Ok(()), None) => note!(seq = news.seq, "version {} is in force", news.seq),
             (Ok(()), Some(seq)) => {
@@ -273,7 +273,7 @@
     }
 
     /// Tells the machine which version is in force, unless it knows.
-    fn say(&mut self, ctx: &mut Ctx<'_>) {
+    fn say(&mut self, ctx: &mut Context<'_>) {
         let seq = self.taken.seq;
         if self.heard.is_none() || self.tell.is_some() || seq == 0 || self.told == Some(seq) {
             return;
@@ -288,7 +288,7 @@
     }
 
     /// A time that was set has come.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn late(&mut self, ctx: &mut Context<'_>) {
         let now = ctx.now;
         if let Some(call) = self.tell.take_if(|_| self.tell_by <= now) {
             hang_up(ctx, call);
@@ -313,7 +313,7 @@
     }
 
     /// Sees to it that all of this is looked at again when it must be, and that it is logged once who falls behind.
-    fn keep_time(&mut self, ctx: &mut Ctx<'_>) {
+    fn keep_time(&mut self, ctx: &mut Context<'_>) {
         let now = ctx.now;
         let behind = self.behind(now);
         // In the first moments nothing can have been heard.
@@ -340,8 +340,8 @@
             sooner((self.majority + self.silence + MILLI).max(now + MILLI));
         }
         match at {
-            Some(at) => ctx.deadlines.set(Due::Control, at),
-            None => ctx.deadlines.clear(Due::Control),
+            Some(at) => ctx.deadlines.set(Deadline::ControlClient, at),
+            None => ctx.deadlines.clear(Deadline::ControlClient),
         }
     }
 
@@ -380,6 +380,6 @@
     machines
 }
 
-fn hang_up(ctx: &mut Ctx<'_>, mut call: Call) {
+fn hang_up(ctx: &mut Context<'_>, mut call: Call) {
     let _ = ctx.registry.deregister(&mut call.stream);
 }
--- a/src/net/platform/peers.rs
+++ b/src/net/platform/peers.rs
@@ -1,8 +1,8 @@
 //! Messages between schedulers: datagrams to and from the addresses that the configuration names, no others.
 
 use crate::log::note;
-use crate::net::core::deadlines::Due;
-use crate::net::{Audience, Ctx};
+use crate::net::core::deadlines::Deadline;
+use crate::net::{Context, PeerTarget};
 use calicolb_freshness::witness::{self, Message};
 use mio::net::UdpSocket;
 use std::io::ErrorKind;
@@ -42,7 +42,7 @@
 
     /// Takes what has come, as much as is one turn's share: a flood must not stop the loop. Gives what concerns the list,
     /// with the rank of its sender.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>) -> Vec<(u32, Message)> {
+    pub fn ready(&mut self, ctx: &mut Context<'_>) -> Vec<(u32, Message)> {
         let mut bytes = [0; LIMIT + 1];
         let mut of_the_list = Vec::new();
         for _ in 0..BATCH {
@@ -66,15 +66,15 @@
                 Err(_) => {}
             }
         }
-        ctx.deadlines.set(Due::Peers, ctx.now + 1);
+        ctx.deadlines.set(Deadline::ReceivePeers, ctx.now + 1);
         of_the_list
     }
 
     /// Sends a datagram to this audience.
-    pub fn address(&mut self, audience: Audience, body: &[u8]) {
+    pub fn address(&mut self, audience: PeerTarget, body: &[u8]) {
         match audience {
-            Audience::One(rank) => self.tell(Some(rank), body),
-            Audience::Some(count) => {
+            PeerTarget::Rank(rank) => self.tell(Some(rank), body),
+            PeerTarget::Random(count) => {
                 let others = (0..self.peers.len() as u32).filter(|&rank| rank != self.own);
                 for rank in self.rng.choose_multiple(others, count) {
                     self.tell(Some(rank), body);
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -10,14 +10,14 @@
 use self::entry::Line;
 use crate::config::list::Update;
 use crate::log::note;
-use crate::net::Ctx;
+use crate::net::Context;
 use crate::net::core::buffer::Buffer;
-use crate::net::core::deadlines::Due;
-use crate::net::core::roster::Source;
+use crate::net::core::deadlines::Deadline;
+use crate::net::core::worker_registry::WorkerSource;
 use crate::net::http::framing;
 use crate::net::http::next_hop::NextHops;
 use crate::net::platform::call::{Call, Heard, Word, fetched, watched};
-use crate::net::protocol::Spare;
+use crate::net::protocol::ReleaseIdle;
 use calicolb::api::{ListKind, Micros, WorkerId};
 use calicolb_freshness::witness::Inquiry;
 use calicolb_freshness::{Act, ListClock, Mode, State, TURN};
@@ -100,7 +100,7 @@
     /// `confirmed_ago`: how long before the start of this process discovery had confirmed it, if that is known.
     pub fn warm(
         &mut self,
-        ctx: &mut Ctx<'_>,
+        ctx: &mut Context<'_>,
         hops: &mut NextHops,
         known: Option<Update>,
         confirmed_ago: Option<Micros>,
@@ -111,12 +111,12 @@
         }
         let update = known.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
         self.take(ctx, hops, update, ListKind::Saved);
-        ctx.deadlines.set(Due::Ready, self.clock.started() + READY_PATIENCE);
+        ctx.deadlines.set(Deadline::Readiness, self.clock.started() + READY_PATIENCE);
         self.keep_time(ctx);
     }
 
     /// After it was told of a change a scheduler may go on as before for so long from now on.
-    pub fn take_up(&mut self, ctx: &mut Ctx<'_>, grace: Micros) {
+    pub fn take_up(&mut self, ctx: &mut Context<'_>, grace: Micros) {
         if self.clock.set_grace(grace) {
             self.keep_time(ctx);
         }
@@ -155,18 +155,18 @@
     }
 
     /// Asks for the whole list once.
-    pub fn fetch(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare) {
+    pub fn fetch(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle) {
         // One that is under way brings the same.
         if self.fetch.is_none() {
             self.fetch = self.call(ctx, spare, "/discovery/hosts");
             if self.fetch.is_some() {
-                ctx.deadlines.set(Due::Fetch, ctx.now + TURN);
+                ctx.deadlines.set(Deadline::DiscoveryFetch, ctx.now + TURN);
             }
         }
     }
 
     /// Begins the watch, or ends it.
-    pub fn watch(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, want: bool) {
+    pub fn watch(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle, want: bool) {
         if let Some(call) = self.watch.take() {
             if want && call.open {
                 self.leave_before(ctx);
@@ -190,22 +190,22 @@
     }
 
     /// Sees to it that the clock is looked at when it wants to be, and that the module knows until when the list holds.
-    fn keep_time(&mut self, ctx: &mut Ctx<'_>) {
+    fn keep_time(&mut self, ctx: &mut Context<'_>) {
         match self.clock.due() {
-            Some(due) => ctx.deadlines.set(Due::Watch, due),
-            None => ctx.deadlines.clear(Due::Watch),
+            Some(due) => ctx.deadlines.set(Deadline::DiscoveryWatch, due),
+            None => ctx.deadlines.clear(Deadline::DiscoveryWatch),
         }
         match self.inquiry.due(&self.clock) {
-            Some(due) => ctx.deadlines.set(Due::Witness, due),
-            None => ctx.deadlines.clear(Due::Witness),
+            Some(due) => ctx.deadlines.set(Deadline::PeerListCheck, due),
+            None => ctx.deadlines.clear(Deadline::PeerListCheck),
         }
         let until = self.clock.until();
         if until != self.until {
             self.until = until;
             ctx.desk.list_until(until);
             match until {
-                Some(until) if until > ctx.now => ctx.deadlines.set(Due::Stale, until),
-                _ => ctx.deadlines.clear(Due::Stale),
+                Some(until) if until > ctx.now => ctx.deadlines.set(Deadline::ListExpiry, until),
+                _ => ctx.deadlines.clear(Deadline::ListExpiry),
             }
         }
         let in_force = !self.stale(ctx.now);
@@ -228,14 +228,14 @@
         }
     }
 
-    fn leave_before(&mut self, ctx: &mut Ctx<'_>) {
+    fn leave_before(&mut self, ctx: &mut Context<'_>) {
         if let Some(call) = self.before.take() {
             hang_up(ctx, call);
         }
     }
 
     /// Discovery is at this address from now on; what to ask of it, and when, is the module's to say.
-    pub fn move_to(&mut self, ctx: &mut Ctx<'_>, discovery: Option<SocketAddr>) {
+    pub fn move_to(&mut self, ctx: &mut Context<'_>, discovery: Option<SocketAddr>) {
         if self.discovery != discovery {
             self.discovery = discovery;
             self.clock.moved(ctx.now);
@@ -244,7 +244,7 @@
         }
     }
 
-    fn call(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, target: &str) -> Option<Call> {
+    fn call(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle, target: &str) -> Option<Call> {
         let discovery = self.discovery?;
         self.counters.calls += 1;
         note!(seq = self.seq, %discovery, target, "discovery: a call");
@@ -280,20 +280,20 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops, token: usize) {
+    pub fn ready(&mut self, ctx: &mut Context<'_>, hops: &mut NextHops, token: usize) {
         if self.fetch.as_ref().is_some_and(|call| call.token == token) {
             let Some(mut call) = self.fetch.take() else { return };
             match fetched(&mut call) {
                 Ok(None) => self.fetch = Some(call),
                 Ok(Some(update)) => {
                     hang_up(ctx, call);
-                    ctx.deadlines.clear(Due::Fetch);
+                    ctx.deadlines.clear(Deadline::DiscoveryFetch);
                     // A watch may have brought what is newer: then this list is one of the past, and tells nothing.
                     if self.update(ctx, hops, update).is_err() {
-                        ctx.desk.members(Source::Listed, ListKind::Changes, Vec::new());
+                        ctx.desk.members(WorkerSource::Discovery, ListKind::Changes, Vec::new());
                     }
                 }
-                Err(why) => self.lose(ctx, call, Due::Fetch, why),
+                Err(why) => self.lose(ctx, call, Deadline::DiscoveryFetch, why),
             }
         } else if self.watch.as_ref().is_some_and(|call| call.token == token) {
             self.watch_ready(ctx, hops);
@@ -311,7 +311,7 @@
     }
 
     /// The watch has brought something, or has ended.
-    fn watch_ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops) {
+    fn watch_ready(&mut self, ctx: &mut Context<'_>, hops: &mut NextHops) {
         let Some(mut call) = self.watch.take() else { return };
         // What lay unread while this process stood still may be of any time since, and confirms nothing now. The watch
         // counts as silent later in this turn.
@@ -331,7 +331,7 @@
             }
         }
         if let Some(why) = taken.err().or(end) {
-            return self.lose(ctx, call, Due::Watch, why);
+            return self.lose(ctx, call, Deadline::DiscoveryWatch, why);
         }
         if call.open {
             self.leave_before(ctx);
@@ -341,8 +341,8 @@
     }
 
     /// Nothing has come for too long, or it is time for another call.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, due: Due) {
-        if due == Due::Fetch {
+    pub fn late(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle, due: Deadline) {
+        if due == Deadline::DiscoveryFetch {
             if let Some(call) = self.fetch.take() {
                 self.lose(ctx, call, due, "nothing came for too long");
             }
@@ -360,11 +360,11 @@
         self.keep_time(ctx);
     }
 
-    fn lose(&mut self, ctx: &mut Ctx<'_>, call: Call, due: Due, why: &str) {
+    fn lose(&mut self, ctx: &mut Context<'_>, call: Call, due: Deadline, why: &str) {
         self.counters.lost += 1;
         note!(seq = self.seq, "discovery: {why}");
         hang_up(ctx, call);
-        if due == Due::Fetch {
+        if due == Deadline::DiscoveryFetch {
             ctx.deadlines.clear(due);
         } else {
             self.clock.broke(ctx.now);
@@ -374,13 +374,13 @@
     }
 
     /// The module says when a service that all share is asked again. An agent is asked without it.
-    fn tell_lost(&self, ctx: &mut Ctx<'_>) {
+    fn tell_lost(&self, ctx: &mut Context<'_>) {
         if self.clock.mode() == Mode::Asked {
-            ctx.desk.members(Source::Listed, ListKind::Lost, Vec::new());
+            ctx.desk.members(WorkerSource::Discovery, ListKind::Lost, Vec::new());
         }
     }
 }
 
-fn hang_up(ctx: &mut Ctx<'_>, mut call: Call) {
+fn hang_up(ctx: &mut Context<'_>, mut call: Call) {
     let _ = ctx.registry.deregister(&mut call.stream);
 }
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -4,8 +4,8 @@
 use super::{HOPS_LIMIT, RouteSet};
 use crate::config::list::Update;
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::roster::Source;
+use crate::net::Context;
+use crate::net::core::worker_registry::WorkerSource;
 use crate::net::http::next_hop::NextHops;
 use calicolb::api::{ListKind, Member, Standing, WorkerId};
 use calicolb::wire::WireError;
@@ -19,7 +19,7 @@
     /// believed.
     pub(super) fn update(
         &mut self,
-        ctx: &mut Ctx<'_>,
+        ctx: &mut Context<'_>,
         hops: &mut NextHops,
         update: Update,
     ) -> Result<(), &'static str> {
@@ -33,7 +33,13 @@
         Ok(())
     }
 
-    pub(super) fn take(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops, update: Update, kind: ListKind) {
+    pub(super) fn take(
+        &mut self,
+        ctx: &mut Context<'_>,
+        hops: &mut NextHops,
+        update: Update,
+        kind: ListKind,
+    ) {
         let (before, lines) = (self.seq, update.hosts.len());
         self.seq = update.seq;
         self.digest = None;
@@ -66,12 +72,12 @@
         if self.discovery.is_some() {
             note!(seq = self.seq, before, ?kind, lines, draining, gone, "discovery: a version is taken in");
         }
-        ctx.desk.members(Source::Listed, kind, members);
+        ctx.desk.members(WorkerSource::Discovery, kind, members);
     }
 
     fn read_line(
         &mut self,
-        ctx: &mut Ctx<'_>,
+        ctx: &mut Context<'_>,
         hops: &mut NextHops,
         value: Value,
     ) -> Result<Member, WireError> {
@@ -79,7 +85,7 @@
         let dial: SocketAddr =
             line.dial.parse().map_err(|_| WireError(format!("'{}' is no address", line.dial)))?;
         let member = read_member(ctx.names, &line)?;
-        if ctx.desk.foreign(member.worker, Source::Listed) {
+        if ctx.desk.foreign(member.worker, WorkerSource::Discovery) {
             return Err(WireError(format!("'{}' has the number of a hop that is no host", line.host)));
         }
         match self.listed.get(&member.worker) {
--- a/src/net/platform/route_set/witnesses.rs
+++ b/src/net/platform/route_set/witnesses.rs
@@ -3,26 +3,26 @@
 use super::RouteSet;
 use super::digest::digest;
 use crate::log::note;
-use crate::net::{Audience, Ctx};
+use crate::net::{Context, PeerTarget};
 use calicolb_freshness::witness::{AUDIENCE, Inquiry, Message, Verdict};
 
 impl RouteSet {
     /// It is time to ask some other schedulers how fresh their lists are.
-    pub fn ask_witnesses(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn ask_witnesses(&mut self, ctx: &mut Context<'_>) {
         if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
-            ctx.tell(Audience::Some(AUDIENCE), question.encode());
+            ctx.tell(PeerTarget::Random(AUDIENCE), question.encode());
         }
         self.keep_time(ctx);
     }
 
     /// Another scheduler asks how fresh this one's list is, or answers.
-    pub fn witness(&mut self, ctx: &mut Ctx<'_>, from: u32, message: Message) {
+    pub fn witness(&mut self, ctx: &mut Context<'_>, from: u32, message: Message) {
         let own = *self.digest.get_or_insert_with(|| digest(self.listed.values()));
         match message {
             Message::Question { number } => {
                 if let Some(answer) = Inquiry::answer(number, &self.clock, own, ctx.now) {
-                    ctx.tell(Audience::One(from), answer.encode());
+                    ctx.tell(PeerTarget::Rank(from), answer.encode());
                 }
             }
             Message::Answer { number, digest, age_ms } => {
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -6,8 +6,8 @@
 
 use crate::config::list::Update;
 use crate::log::note;
-use crate::net::Ctx;
-use crate::net::core::buffer::{Buffer, Filled};
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::core::transfer::{AnyTransfer, Transfer};
 use calicolb::api::Micros;
 use calicolb::wire::Names;
@@ -163,7 +163,7 @@
     }
 
     /// Asks the predecessor, if there is one, to hand over; tells whether there is.
-    pub fn call(&mut self, ctx: &mut Ctx<'_>) -> bool {
+    pub fn call(&mut self, ctx: &mut Context<'_>) -> bool {
         let Some(path) = &self.path else { return false };
         // A socket that nobody listens at any more was left by a process that has gone.
         let Ok(stream) = UnixStream::connect(path) else { return false };
@@ -198,7 +198,7 @@
     }
 
     /// Somebody connects, a successor perhaps. One at a time: there is one place to hand over.
-    pub fn accept(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn accept(&mut self, ctx: &mut Context<'_>) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             self.successor = link(ctx, stream);
         }
@@ -215,7 +215,7 @@
     }
 
     /// Something can be read or written; gives what was said, and whether the link has ended.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> (Side, Vec<Word>, bool) {
+    pub fn ready(&mut self, ctx: &mut Context<'_>, token: usize) -> (Side, Vec<Word>, bool) {
         let side = if self.predecessor.as_ref().is_some_and(|link| link.token == token) {
             Side::Predecessor
         } else {
@@ -236,7 +236,7 @@
             }
             link.buffer.consume(end + 1);
         }
-        sound &= link.buffer.input().len() < LIMIT && filled != Filled::Ended;
+        sound &= link.buffer.input().len() < LIMIT && filled != FillOutcome::Closed;
         if !sound {
             self.cut(ctx, side);
         }
@@ -275,7 +275,7 @@
 
     /// Sends a request to the successor, with its client's connection; tells whether that could be done.
     pub fn transfer(&mut self, stream: &TcpStream, transfer: &Transfer) -> bool {
-        let transfer = AnyTransfer::Whole(transfer.clone());
+        let transfer = AnyTransfer::Current(transfer.clone());
         let Ok(mut line) = serde_json::to_vec(&Word::Transfer(Box::new(transfer))) else { return false };
         line.push(b'\n');
         if !self.can_transfer() {
@@ -311,7 +311,7 @@
         }
     }
 
-    fn cut(&mut self, ctx: &mut Ctx<'_>, side: Side) {
+    fn cut(&mut self, ctx: &mut Context<'_>, side: Side) {
         let link = match side {
             Side::Predecessor => self.predecessor.take(),
             Side::Successor => self.successor.take(),
@@ -322,7 +322,7 @@
     }
 }
 
-fn link(ctx: &mut Ctx<'_>, mut stream: UnixStream) -> Option<Link> {
+fn link(ctx: &mut Context<'_>, mut stream: UnixStream) -> Option<Link> {
     let token = ctx.next_token();
     match ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE) {
         Ok(()) => Some(Link { token, stream, buffer: Buffer::default() }),
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -1,10 +1,10 @@
 //! What the loop asks of a protocol. It goes through the protocols and asks whose a connection, a client or a next hop
 //! is, so that another protocol adds a folder and nothing here or there.
 
-use crate::net::Ctx;
-use crate::net::core::deadlines::Alarm;
-use crate::net::core::desk::{Answer, AttemptId, ClientId, Part};
+use crate::net::Context;
+use crate::net::core::deadlines::ConnectionTimer;
 use crate::net::core::envelope::Payload;
+use crate::net::core::request_table::{Answer, AttemptId, ClientId, PartialResult};
 use calicolb::api::{Class, Micros, WorkerId};
 use calicolb::renewal::Fault;
 use calicolb::wire::Names;
@@ -12,7 +12,7 @@
 
 /// What a protocol wants of the whole program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum ProtocolRequest {
     /// Send clients away, answer what was taken, and exit.
     End {
         /// However long the answers take; else as after SIGTERM.
@@ -22,7 +22,7 @@
 
 /// How many descriptors a protocol may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct DescriptorLimits {
     /// For connections that come in.
     pub clients: usize,
     /// For connections that go out to next hops.
@@ -30,63 +30,70 @@
 }
 
 /// Something that holds descriptors which others may need more.
-pub trait Spare {
+pub trait ReleaseIdle {
     /// Lets go of the descriptor that is needed least; tells whether there was one.
-    fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool;
+    fn shed(&mut self, ctx: &mut Context<'_>) -> bool;
 }
 
 /// One protocol: its connections, clients and next hops.
-pub trait Protocol: Spare {
+pub trait Protocol: ReleaseIdle {
     /// This is one of its connections or listeners.
     fn has(&self, token: usize) -> bool;
 
     /// Something can be read, written or accepted there.
-    fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize);
+    fn ready(&mut self, ctx: &mut Context<'_>, token: usize);
 
     /// A time that was set for it has come.
-    fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm);
+    fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer);
 
     /// This is one of its clients.
     fn serves(&self, client: ClientId) -> bool;
 
     /// Gives a client its final answer.
-    fn answer(&mut self, ctx: &mut Ctx<'_>, client: ClientId, answer: Answer);
+    fn answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer);
 
     /// Passes on to a client what its next hop told on the way to the end.
-    fn relay(&mut self, _ctx: &mut Ctx<'_>, _client: ClientId, _part: Part) {}
+    fn relay(&mut self, _ctx: &mut Context<'_>, _client: ClientId, _part: PartialResult) {}
 
     /// This is one of its next hops.
     fn drives(&self, hop: WorkerId) -> bool;
 
     /// Sends an attempt. What becomes of it is told to the desk.
-    fn send(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, payload: &Payload, wait: Micros);
+    fn send(
+        &mut self,
+        ctx: &mut Context<'_>,
+        attempt: AttemptId,
+        hop: WorkerId,
+        payload: &Payload,
+        wait: Micros,
+    );
 
     /// An attempt was given up, and may be with its next hop, which knows it by this name.
-    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str);
+    fn give_up(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str);
 
     /// All the time of an attempt has passed, which was over before: nothing need be kept for it.
-    fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId);
+    fn release(&mut self, ctx: &mut Context<'_>, attempt: AttemptId);
 
     /// Asks a next hop for its load.
-    fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId);
+    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId);
 
     /// Closes connections to a next hop that are at rest.
-    fn close_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId);
+    fn close_idle(&mut self, ctx: &mut Context<'_>, hop: WorkerId);
 
     /// All facts of a turn are in; the module is asked next.
-    fn gathered(&mut self, _ctx: &mut Ctx<'_>) {}
+    fn gathered(&mut self, _ctx: &mut Context<'_>) {}
 
     /// All that the module wanted in this turn is carried out.
-    fn settled(&mut self, _ctx: &mut Ctx<'_>) {}
+    fn settled(&mut self, _ctx: &mut Context<'_>) {}
 
     /// Begins to take connections.
-    fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()>;
+    fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()>;
 
     /// So many descriptors may be used from now on.
-    fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares);
+    fn limit(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits);
 
     /// Clients are parted with: those at rest now, the others after their answers.
-    fn farewell(&mut self, ctx: &mut Ctx<'_>);
+    fn farewell(&mut self, ctx: &mut Context<'_>);
 
     /// Clients are welcome to stay again.
     fn stay(&mut self);
