--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -77,7 +77,7 @@
     // ---- Facts -----------------------------------------------------------------------------------
 
     /// A request has come in whole. Gives its number.
-    pub fn arrive(&mut self, now: Micros, client: ClientId, job: Job<P>) -> Result<u32, IntakeError> {
+    pub fn add_request(&mut self, now: Micros, client: ClientId, job: Job<P>) -> Result<u32, IntakeError> {
         if self.names.contains_key(&job.name) || self.elsewhere.contains(&job.name) {
             return Err(IntakeError::DuplicateName);
         }
@@ -133,7 +133,7 @@
     }
 
     /// A client has gone; nothing is owed to it any more.
-    pub fn leave(&mut self, client: ClientId) {
+    pub fn client_left(&mut self, client: ClientId) {
         let Some(number) = self.clients.remove(&client) else { return };
         if let Some(entry) = self.entries.get_mut(&number) {
             entry.concluded = true;
@@ -143,50 +143,50 @@
     }
 
     /// A client is told more of its request from now on.
-    pub fn hear(&mut self, client: ClientId, hears: ClientUpdates) {
+    pub fn subscribe_updates(&mut self, client: ClientId, hears: ClientUpdates) {
         if let Some(entry) = self.clients.get(&client).and_then(|number| self.entries.get_mut(number)) {
             entry.hears = hears;
         }
     }
 
     /// A probe has come back, or not.
-    pub fn probed(&mut self, hop: WorkerId, ending: Ending, elapsed: Micros, report: Option<Report>) {
+    pub fn probe_finished(&mut self, hop: WorkerId, ending: Ending, elapsed: Micros, report: Option<Report>) {
         self.events.push_back(Event::Probed { worker: hop, ending, elapsed, report });
     }
 
     /// AttemptUpdate of the next hops, from one of those who name them.
-    pub fn members(&mut self, source: WorkerSource, kind: ListKind, members: Vec<Member>) {
+    pub fn update_workers(&mut self, source: WorkerSource, kind: ListKind, members: Vec<Member>) {
         let members = self.roster.merge(source, kind, members);
         self.events.push_back(Event::Members(kind, members));
     }
 
     /// How many next hops are known.
-    pub fn known(&self) -> usize {
+    pub fn worker_count(&self) -> usize {
         self.roster.known()
     }
 
     /// A next hop of this number was named by somebody else.
-    pub fn foreign(&self, hop: WorkerId, source: WorkerSource) -> bool {
+    pub fn belongs_to_other_source(&self, hop: WorkerId, source: WorkerSource) -> bool {
         self.roster.foreign(hop, source)
     }
 
     /// The route set is to be had elsewhere.
-    pub fn list_moved(&mut self) {
+    pub fn list_source_changed(&mut self) {
         self.events.push_back(Event::ListMoved);
     }
 
     /// Until when the route set may be acted on; `None` while nothing can have been missed of it.
-    pub fn list_until(&mut self, until: Option<Micros>) {
+    pub fn set_list_lease_end(&mut self, until: Option<Micros>) {
         self.events.push_back(Event::ListUntil(until));
     }
 
     /// A message from another scheduler.
-    pub fn peer(&mut self, from: u32, body: Vec<u8>) {
+    pub fn peer_message(&mut self, from: u32, body: Vec<u8>) {
         self.events.push_back(Event::Peer { from, body });
     }
 
     /// A timer of the module is due.
-    pub fn timer(&mut self, timer: u64) {
+    pub fn timer_fired(&mut self, timer: u64) {
         self.events.push_back(Event::Timer(TimerId(timer)));
     }
 
@@ -201,13 +201,13 @@
     ///
     /// # Errors
     /// The field of the module's that stands in the way.
-    pub fn could_take(&self, new: &Settings) -> Result<(), Fault> {
+    pub fn check_settings(&self, new: &Settings) -> Result<(), Fault> {
         self.dispatcher.could_take(new).map_err(|refused| Fault::new(key_of(refused.field), refused.why))
     }
 
     /// Takes up settings that [`RequestTable::could_take`] let pass. No action of the module's waits between two batches, so what
     /// it decided by the old ones has been carried out by them.
-    pub fn take_up(&mut self, now: Micros, settings: Settings, deadlines: &mut Deadlines) {
+    pub fn apply_settings(&mut self, now: Micros, settings: Settings, deadlines: &mut Deadlines) {
         let (limits, classes) = (&settings.limits, &settings.classes);
         (self.most_tries, self.copies) = (limits.tries, limits.copies);
         self.takes = network_delay::silence(limits.connect_timeout);
@@ -223,7 +223,7 @@
     // ---- The module ------------------------------------------------------------------------------
 
     /// Hands all that was gathered to the module, and gives what is to be done.
-    pub fn settle(&mut self, now: Micros, deadlines: &mut Deadlines) -> Vec<Command<P>> {
+    pub fn process_events(&mut self, now: Micros, deadlines: &mut Deadlines) -> Vec<Command<P>> {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.dispatcher.on_event(now, event, &mut actions);
@@ -240,17 +240,17 @@
     }
 
     /// Events wait for the module, or work of its to be carried out.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.events.is_empty() || !self.work.is_empty()
     }
 
     /// What was counted since the start.
-    pub fn figures(&self) -> &Counters {
+    pub fn counters(&self) -> &Counters {
         &self.figures
     }
 
     /// What was spent since the start of what all schedulers share, by the names that operators see.
-    pub fn spent(&self) -> [(&'static str, u64); 6] {
+    pub fn shared_usage(&self) -> [(&'static str, u64); 6] {
         self.dispatcher.spent.figures()
     }
 
@@ -260,12 +260,12 @@
     }
 
     /// Listed next hops that the module does not send to at present.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn excluded_workers(&self, now: Micros) -> usize {
         self.dispatcher.avoided(now)
     }
 
     /// Requests that are still owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.clients.len()
     }
 }
--- a/src/net/core/request_table/attempts.rs
+++ b/src/net/core/request_table/attempts.rs
@@ -5,7 +5,7 @@
 impl<P: Clone> RequestTable<P> {
     /// Whether an attempt whose connection has come up may still begin, and if not, what it ends with: its client may have
     /// left meanwhile or its time be over, or the module may no longer want it there.
-    pub fn begins(&mut self, now: Micros, id: AttemptId) -> Result<(), Ending> {
+    pub fn check_start(&mut self, now: Micros, id: AttemptId) -> Result<(), Ending> {
         let open = |entry: &&Entry<P>| !entry.concluded && now < self.answer_by(entry);
         let entry = self.entries.get(&id.request).filter(open);
         if entry.is_none() {
@@ -16,12 +16,12 @@
     }
 
     /// An attempt has ended before its first byte, with this.
-    pub fn unbegun(&mut self, now: Micros, id: AttemptId, ending: Ending) {
+    pub fn attempt_not_started(&mut self, now: Micros, id: AttemptId, ending: Ending) {
         self.end(now, id, ending, false, None);
     }
 
     /// The last byte of an attempt has been written.
-    pub fn written(&mut self, now: Micros, id: AttemptId) {
+    pub fn attempt_written(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempt(id) else { return };
         attempt.written_at = Some(now);
         if let Some(entry) = self.entries.get(&id.request) {
@@ -30,7 +30,7 @@
     }
 
     /// The next hop has taken the job.
-    pub fn taken(&mut self, id: AttemptId) {
+    pub fn attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempt(id) else { return };
         attempt.taken = true;
         if attempt.unwanted {
@@ -39,7 +39,7 @@
     }
 
     /// The next hop should have taken the job long since, and has not said so.
-    pub fn silent(&mut self, id: AttemptId) {
+    pub fn acceptance_overdue(&mut self, id: AttemptId) {
         if self.attempt(id).is_some() {
             let note = Note::Silent;
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
@@ -47,7 +47,7 @@
     }
 
     /// The job has started, or gone on.
-    pub fn note(&mut self, id: AttemptId, note: Note) {
+    pub fn attempt_note(&mut self, id: AttemptId, note: Note) {
         if self.attempt(id).is_some() {
             if note == Note::Started
                 && let Some(entry) = self.entries.get(&id.request)
@@ -62,7 +62,7 @@
 
     /// A next hop has told a part of what comes. Gives back a part of the result that the client cannot be told yet:
     /// whoever drives the next hop keeps it for the end.
-    pub fn part(&mut self, id: AttemptId, part: PartialResult) -> Option<PartialResult> {
+    pub fn partial_result(&mut self, id: AttemptId, part: PartialResult) -> Option<PartialResult> {
         self.attempt(id)?;
         let entry = self.entries.get_mut(&id.request)?;
         let (request, attempt) = (RequestId(id.request), id.number);
@@ -86,7 +86,7 @@
     }
 
     /// An attempt has ended with its result.
-    pub fn served(&mut self, now: Micros, id: AttemptId, result: Vec<u8>, report: Option<Report>) {
+    pub fn attempt_succeeded(&mut self, now: Micros, id: AttemptId, result: Vec<u8>, report: Option<Report>) {
         if self.attempt(id).is_some() {
             self.serve(now, id, result, report);
         }
@@ -94,7 +94,7 @@
 
     /// An attempt has ended without a result, as its connection shows. Once the job is taken, what becomes of
     /// the connection says nothing of it any more.
-    pub fn broke(&mut self, now: Micros, id: AttemptId) {
+    pub fn connection_broken(&mut self, now: Micros, id: AttemptId) {
         match self.attempt(id) {
             Some(attempt) if attempt.taken => {}
             Some(attempt) => {
@@ -108,7 +108,7 @@
     }
 
     /// An attempt that is unwanted should have been taken by now.
-    pub fn untaken(&mut self, id: AttemptId) {
+    pub fn cancel_unaccepted(&mut self, id: AttemptId) {
         if self.attempt(id).is_some_and(|attempt| attempt.unwanted && !attempt.taken) {
             self.tell_off(id);
         }
@@ -117,7 +117,7 @@
     /// A next hop has heard that an attempt is given up. Where it has not, whether it runs is not known, and the attempt
     /// ends with what the hop tells, or with its time. One that has ended here already is over there too, if the hop had
     /// taken it and so was told in words: what the end of a connection meant to a hop that was just taking it is not known.
-    pub fn called_off(&mut self, now: Micros, id: AttemptId) {
+    pub fn cancel_delivered(&mut self, now: Micros, id: AttemptId) {
         let entry = self.entries.get_mut(&id.request);
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
         match attempt.filter(|attempt| attempt.loose && attempt.taken) {
@@ -127,7 +127,7 @@
     }
 
     /// An attempt is given up, and its next hop cannot be told.
-    pub fn runs_on(&mut self, now: Micros, id: AttemptId) {
+    pub fn cancel_undeliverable(&mut self, now: Micros, id: AttemptId) {
         self.end(now, id, Ending::Cancelled, true, None);
     }
 
@@ -143,12 +143,12 @@
     }
 
     /// An attempt has ended without a result, as the next hop said on its connection.
-    pub fn answered(&mut self, now: Micros, id: AttemptId, ending: Ending, report: Option<Report>) {
+    pub fn attempt_failed(&mut self, now: Micros, id: AttemptId, ending: Ending, report: Option<Report>) {
         self.end(now, id, ending, false, report);
     }
 
     /// A call-back about the request of this name from this next hop; tells whether it met an open attempt.
-    pub fn news(
+    pub fn attempt_update(
         &mut self,
         now: Micros,
         name: &str,
@@ -176,9 +176,9 @@
         let id = AttemptId { request: number, number: nr as u32 };
         match news {
             AttemptUpdate::Note(Note::Progress(share)) if entry.hears != ClientUpdates::Nothing => {
-                self.part(id, PartialResult::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
+                self.partial_result(id, PartialResult::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
             }
-            AttemptUpdate::Note(note) => self.note(id, note),
+            AttemptUpdate::Note(note) => self.attempt_note(id, note),
             AttemptUpdate::Served(result) => self.serve(now, id, result, report),
             AttemptUpdate::Ended(ending) if !attempt.taken && repeats(ending) => return false,
             AttemptUpdate::Ended(ending) => {
@@ -192,7 +192,7 @@
     }
 
     /// The time of an attempt is up; tells whether it was still out.
-    pub fn time_up(&mut self, now: Micros, id: AttemptId) -> bool {
+    pub fn attempt_timed_out(&mut self, now: Micros, id: AttemptId) -> bool {
         let Some(attempt) = self.attempt(id) else { return false };
         let ending = if attempt.written_at.is_some() { Ending::TimedOut } else { Ending::Unreachable };
         self.give_up(now, id, ending);
--- a/src/net/core/request_table/end_of_process.rs
+++ b/src/net/core/request_table/end_of_process.rs
@@ -87,12 +87,12 @@
 impl<P: Clone> RequestTable<P> {
     /// The program ends, and nobody is answered after this time: what comes in from now on is taken only if it can be done
     /// by then.
-    pub fn stop(&mut self, last_answer: Micros) {
+    pub fn set_process_end(&mut self, last_answer: Micros) {
         self.ends = last_answer;
     }
 
     /// What is open already has to be done by then, too: no other process goes on with it.
-    pub fn limit_to_end(&mut self, deadlines: &mut Deadlines) {
+    pub fn limit_open_requests(&mut self, deadlines: &mut Deadlines) {
         self.limited = true;
         self.events.push_back(Event::Ends(self.ends));
         for (&number, entry) in self.entries.iter().filter(|(_, entry)| entry.expires > self.ends) {
@@ -133,7 +133,7 @@
     }
 
     /// The name of an open request.
-    pub fn name(&self, number: u32) -> Option<&str> {
+    pub fn request_name(&self, number: u32) -> Option<&str> {
         self.entries.get(&number).map(|entry| entry.name.as_str())
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// A request has been sent to another process, and is forgotten here.
-    pub fn moved(&mut self, number: u32) {
+    pub fn request_transferred(&mut self, number: u32) {
         let Some(entry) = self.entries.remove(&number) else { return };
         self.names.remove(&entry.name);
         self.clients.remove(&entry.client);
@@ -184,7 +184,7 @@
     }
 
     /// The process ends before this request has a result: it gets its final answer.
-    pub fn conclude_at_end(&mut self, number: u32) {
+    pub fn answer_at_process_end(&mut self, number: u32) {
         match self.entries.get(&number) {
             // The module has done with it.
             Some(entry) if entry.streaming => self.conclude(number, Answer::Failed),
--- a/src/net/core/request_table/tests.rs
+++ b/src/net/core/request_table/tests.rs
@@ -42,13 +42,13 @@
             weight: 1.0,
             ..Member::default()
         };
-        table.desk.members(WorkerSource::Discovery, ListKind::Saved, vec![member]);
+        table.desk.update_workers(WorkerSource::Discovery, ListKind::Saved, vec![member]);
         table.turn();
         table
     }
 
     fn turn(&mut self) -> Vec<Command<&'static str>> {
-        self.desk.settle(self.now, &mut self.deadlines)
+        self.desk.process_events(self.now, &mut self.deadlines)
     }
 
     /// Lets time pass, timers and all, until there is something to do.
@@ -57,9 +57,9 @@
             self.now += 1_000;
             while let Some(due) = self.deadlines.next_due(self.now) {
                 match due {
-                    Deadline::DispatcherTimer(timer, _) => self.desk.timer(timer),
+                    Deadline::DispatcherTimer(timer, _) => self.desk.timer_fired(timer),
                     Deadline::AttemptTimeout(request, attempt) => {
-                        self.desk.time_up(self.now, AttemptId { request, number: attempt });
+                        self.desk.attempt_timed_out(self.now, AttemptId { request, number: attempt });
                     }
                     other => panic!("the desk never sets {other:?}"),
                 }
@@ -90,12 +90,12 @@
     }
 
     fn arrive(&mut self, class: usize) -> AttemptId {
-        self.desk.arrive(self.now, 99, self.job(class, "a1")).expect("there is room");
+        self.desk.add_request(self.now, 99, self.job(class, "a1")).expect("there is room");
         sent(&self.turn())
     }
 
     fn news(&mut self, news: AttemptUpdate) -> bool {
-        self.desk.news(self.now, "a1", HOP, news, None)
+        self.desk.attempt_update(self.now, "a1", HOP, news, None)
     }
 }
 
@@ -115,13 +115,13 @@
     // Not written: the job, which must not run twice, may be refused as never run ...
     let mut table = Table::new();
     let attempt = table.arrive(1);
-    table.desk.broke(table.now, attempt);
+    table.desk.connection_broken(table.now, attempt);
     assert_eq!(table.later(), [answer(Answer::Busy { come_back: None })]);
     // ... written: it may have run, and no refusal may say otherwise.
     let mut table = Table::new();
     let attempt = table.arrive(1);
-    table.desk.written(table.now, attempt);
-    table.desk.broke(table.now, attempt);
+    table.desk.attempt_written(table.now, attempt);
+    table.desk.connection_broken(table.now, attempt);
     assert_eq!(table.turn(), [answer(Answer::Failed)]);
 }
 
@@ -129,14 +129,14 @@
 fn once_the_job_is_taken_its_connection_says_nothing_of_it() {
     let mut table = Table::new();
     let attempt = table.arrive(1);
-    table.desk.written(table.now, attempt);
-    table.desk.taken(attempt);
-    table.desk.broke(table.now, attempt);
+    table.desk.attempt_written(table.now, attempt);
+    table.desk.attempt_accepted(attempt);
+    table.desk.connection_broken(table.now, attempt);
     assert_eq!(table.turn(), []);
     assert!(table.news(AttemptUpdate::Served(b"r".to_vec())));
     assert_eq!(table.turn(), [answer(Answer::Served(b"r".to_vec()))]);
     assert!(!table.news(AttemptUpdate::Served(b"r".to_vec())), "a repeat meets nothing");
-    assert_eq!((table.turn(), table.desk.owed()), (vec![], 0));
+    assert_eq!((table.turn(), table.desk.unanswered_requests()), (vec![], 0));
 }
 
 #[test]
@@ -144,16 +144,22 @@
     let mut table = Table::new();
     let first = table.arrive(1);
     assert!(!table.news(AttemptUpdate::Ended(Ending::Full)), "its last byte is not written yet");
-    table.desk.written(table.now, first);
-    assert!(!table.desk.news(table.now, "a1", WorkerId(8), AttemptUpdate::Ended(Ending::Broken), None));
+    table.desk.attempt_written(table.now, first);
+    assert!(!table.desk.attempt_update(
+        table.now,
+        "a1",
+        WorkerId(8),
+        AttemptUpdate::Ended(Ending::Broken),
+        None
+    ));
     assert!(table.news(AttemptUpdate::Ended(Ending::Full)));
     let second = sent(&table.later());
-    table.desk.written(table.now, second);
+    table.desk.attempt_written(table.now, second);
     assert!(
         !table.news(AttemptUpdate::Ended(Ending::Full)),
         "the same again, before the hop took the new one"
     );
-    table.desk.taken(second);
+    table.desk.attempt_accepted(second);
     assert!(table.news(AttemptUpdate::Ended(Ending::Full)));
 }
 
@@ -161,7 +167,7 @@
 fn an_attempt_whose_time_is_up_is_given_up_and_answered_for() {
     let mut table = Table::new();
     let attempt = table.arrive(1);
-    table.desk.written(table.now, attempt);
+    table.desk.attempt_written(table.now, attempt);
     let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
     assert_eq!(table.later(), [given_up, answer(Answer::Failed)]);
 }
@@ -170,41 +176,41 @@
 fn where_copies_are_barred_an_attempt_ends_only_once_its_hop_has_heard_that_it_is_given_up() {
     let mut table = Table::with(false);
     let attempt = table.arrive(0);
-    table.desk.written(table.now, attempt);
-    table.desk.taken(attempt);
+    table.desk.attempt_written(table.now, attempt);
+    table.desk.attempt_accepted(attempt);
     let cancel = Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel, &mut table.deadlines);
     // The word is on its way, and may be lost: nothing has ended, and no other attempt may go out.
     let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
     assert_eq!(table.turn(), [given_up]);
-    assert!(!table.desk.has_news());
-    table.desk.called_off(table.now, attempt);
+    assert!(!table.desk.has_pending());
+    table.desk.cancel_delivered(table.now, attempt);
     assert_eq!(sent(&table.later()).number, 1);
     // Before its hop has said that it took the job nothing is ended: it may just have taken it.
     let second = AttemptId { request: attempt.request, number: 1 };
-    table.desk.written(table.now, second);
+    table.desk.attempt_written(table.now, second);
     let cancel = Action::Cancel { request: RequestId(second.request), attempt: 1 };
     table.desk.carry_out(table.now, cancel, &mut table.deadlines);
     assert_eq!(table.turn(), []);
-    table.desk.taken(second);
+    table.desk.attempt_accepted(second);
     assert!(matches!(table.turn()[..], [Command::Cancel { .. }]));
-    table.desk.untaken(second);
+    table.desk.cancel_unaccepted(second);
     assert_eq!(table.turn(), [], "it was told in words");
     // Where its result comes before the word has got there, that is the answer.
     assert!(table.news(AttemptUpdate::Served(b"r".to_vec())));
     assert!(table.turn().contains(&answer(Answer::Served(b"r".to_vec()))));
-    table.desk.called_off(table.now, second);
-    assert_eq!((table.turn(), table.desk.owed()), (vec![], 0));
+    table.desk.cancel_delivered(table.now, second);
+    assert_eq!((table.turn(), table.desk.unanswered_requests()), (vec![], 0));
 }
 
 #[test]
 fn who_has_left_is_owed_nothing() {
     let mut table = Table::new();
     let attempt = table.arrive(0);
-    table.desk.written(table.now, attempt);
-    table.desk.leave(99);
+    table.desk.attempt_written(table.now, attempt);
+    table.desk.client_left(99);
     assert!(table.news(AttemptUpdate::Served(b"r".to_vec())));
-    assert_eq!((table.turn(), table.desk.owed()), (vec![], 0));
+    assert_eq!((table.turn(), table.desk.unanswered_requests()), (vec![], 0));
     assert!(table.desk.entries.is_empty() && table.desk.names.is_empty());
 }
 
@@ -214,8 +220,8 @@
     // module must be told so, or the hop's only lane stays taken.
     let mut table = Table::new();
     for _ in 0..5 {
-        table.desk.arrive(table.now, 98, table.job(0, "b1")).expect("there is room");
-        table.desk.leave(98);
+        table.desk.add_request(table.now, 98, table.job(0, "b1")).expect("there is room");
+        table.desk.client_left(98);
         assert_eq!(table.turn(), []);
         assert_eq!(table.turn(), []);
     }
@@ -227,12 +233,12 @@
     // The end of its connection may be on its way when the module, told of the silence, calls it off once more.
     let mut table = Table::with(false);
     let attempt = table.arrive(0);
-    table.desk.written(table.now, attempt);
+    table.desk.attempt_written(table.now, attempt);
     let cancel = || Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel(), &mut table.deadlines);
     assert_eq!(table.turn(), [], "it may yet be taken");
     table.now += network_delay::silence(table.connect_timeout);
-    table.desk.untaken(attempt);
+    table.desk.cancel_unaccepted(attempt);
     let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
     assert_eq!(table.turn(), [given_up]);
     table.desk.carry_out(table.now, cancel(), &mut table.deadlines);
@@ -243,8 +249,8 @@
 fn where_copies_are_allowed_a_hop_that_was_told_in_words_is_free_for_the_request_once_it_has_heard() {
     let mut table = Table::new();
     let attempt = table.arrive(0);
-    table.desk.written(table.now, attempt);
-    table.desk.taken(attempt);
+    table.desk.attempt_written(table.now, attempt);
+    table.desk.attempt_accepted(attempt);
     let cancel = Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel, &mut table.deadlines);
     let running = |table: &mut Table| match table.desk.events.pop_front() {
@@ -255,9 +261,9 @@
     let over = |table: &mut Table| {
         matches!(table.desk.events.pop_front(), Some(Event::Note { note: Note::Over, .. }))
     };
-    table.desk.called_off(table.now, attempt);
+    table.desk.cancel_delivered(table.now, attempt);
     assert!(over(&mut table));
-    table.desk.called_off(table.now, attempt);
+    table.desk.cancel_delivered(table.now, attempt);
     assert!(table.desk.events.is_empty(), "it is told once");
 }
 
@@ -266,11 +272,11 @@
     for tells in [true, false] {
         let mut table = Table::new();
         let attempt = table.arrive(0);
-        table.desk.written(table.now, attempt);
+        table.desk.attempt_written(table.now, attempt);
         let cancel = Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
         table.desk.carry_out(table.now, cancel, &mut table.deadlines);
         assert!(matches!(table.desk.events.pop_front(), Some(Event::Outcome(Outcome { running: true, .. }))));
-        table.desk.called_off(table.now, attempt);
+        table.desk.cancel_delivered(table.now, attempt);
         assert!(
             table.desk.events.is_empty(),
             "its connection was ended, and it may have taken the job before"
@@ -288,9 +294,9 @@
     let outcome = |broke: bool| {
         let mut table = Table::new();
         let attempt = table.arrive(0);
-        table.desk.written(table.now, attempt);
+        table.desk.attempt_written(table.now, attempt);
         if broke {
-            table.desk.broke(table.now, attempt);
+            table.desk.connection_broken(table.now, attempt);
         } else {
             table.news(AttemptUpdate::Ended(Ending::Broken));
         }
--- a/src/net/core/request_table/upgrade.rs
+++ b/src/net/core/request_table/upgrade.rs
@@ -10,33 +10,33 @@
     }
 
     /// The process that had taken over has gone.
-    pub fn resume(&mut self) {
+    pub fn successor_gone(&mut self) {
         self.events.push_back(Event::Succeeded(false));
     }
 
     /// What the module of the process before this one had learned.
-    pub fn inherit(&mut self, knowledge: serde_json::Value) {
+    pub fn import_knowledge(&mut self, knowledge: serde_json::Value) {
         self.events.push_back(Event::Handed(knowledge));
     }
 
     /// A request of this name is open here.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn has_request(&self, name: &str) -> bool {
         self.names.contains_key(name)
     }
 
     /// The names of the requests that are open; from now on, who asks is told of each change.
-    pub fn share(&mut self) -> Vec<String> {
+    pub fn track_open_names(&mut self) -> Vec<String> {
         self.turnover.get_or_insert_default();
         self.names.keys().cloned().collect()
     }
 
     /// Names that were opened and closed since the last time.
-    pub fn turnover(&mut self) -> Vec<(String, bool)> {
+    pub fn take_name_changes(&mut self) -> Vec<(String, bool)> {
         self.turnover.as_mut().map(mem::take).unwrap_or_default()
     }
 
     /// A request of this name is open at the other process, or no longer.
-    pub fn elsewhere(&mut self, name: String, open: bool) {
+    pub fn set_open_elsewhere(&mut self, name: String, open: bool) {
         if !open {
             self.elsewhere.remove(&name);
         } else if self.elsewhere.len() < ELSEWHERE {
@@ -45,18 +45,18 @@
     }
 
     /// Requests are open at the other process.
-    pub fn any_elsewhere(&self) -> bool {
+    pub fn any_open_elsewhere(&self) -> bool {
         !self.elsewhere.is_empty()
     }
 
     /// There is no other process any more.
-    pub fn alone(&mut self) {
+    pub fn other_process_gone(&mut self) {
         self.elsewhere.clear();
         self.turnover = None;
     }
 
     /// So many requests may be open from now on.
-    pub fn limit(&mut self, most_open: usize) {
+    pub fn set_max_open(&mut self, most_open: usize) {
         self.most_open = most_open;
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -189,8 +189,8 @@
         if let Some(handover) = &handover {
             // Also from a predecessor that was silent for too long: its open requests are still its own.
             note!("{} requests are open at the predecessor", handover.open.len());
-            self.desk.share();
-            handover.open.iter().for_each(|name| self.desk.elsewhere(name.clone(), true));
+            self.desk.track_open_names();
+            handover.open.iter().for_each(|name| self.desk.set_open_elsewhere(name.clone(), true));
         }
         let Some(known) = self.waiting.take() else { return Ok(()) };
         self.open_peers(now)?;
@@ -203,7 +203,7 @@
             Some(handover) => {
                 let ahead = handover.clock.map_or(0, |clock| parts.upgrade.hear_clock(now, clock));
                 let knowledge = renewal::placed(handover.knowledge, &handover.names, ctx.names, now);
-                ctx.desk.inherit(renewal::on_clock(knowledge, ahead));
+                ctx.desk.import_knowledge(renewal::on_clock(knowledge, ahead));
                 (Some(handover.routes), handover.drained)
             }
             None => (known, false),
@@ -214,7 +214,7 @@
                 .iter()
                 .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.dial, 0));
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
-            ctx.desk.members(WorkerSource::OperatorFile, ListKind::Changes, members);
+            ctx.desk.update_workers(WorkerSource::OperatorFile, ListKind::Changes, members);
         }
         parts.routes.warm(&mut ctx, &mut parts.http.hops, known, confirmed_ago);
         parts.http.listen(&mut ctx)?;
@@ -261,7 +261,7 @@
         let (shares, most_open) = shares(sockets, own);
         let most_open = most_open.min(self.most_open);
         let (mut ctx, mut parts) = self.split(now);
-        ctx.desk.limit(most_open);
+        ctx.desk.set_max_open(most_open);
         // Alike for all protocols: which of them is in use is not known beforehand.
         let count = 1 + parts.others.len();
         let each = DescriptorLimits { clients: shares.clients / count, hops: shares.hops / count };
@@ -283,7 +283,7 @@
         while done < 2 {
             let now = self.clock.now();
             // The second look at whether all is done must not wait for the next deadline, which may be far off.
-            let at_once = self.desk.has_news() || done > 0;
+            let at_once = self.desk.has_pending() || done > 0;
             let timeout = if at_once { Some(Duration::ZERO) } else { self.deadlines.timeout(now) };
             match self.poll.poll(&mut events, timeout) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
@@ -298,7 +298,7 @@
             }
             let (mut ctx, mut parts) = self.split(now);
             parts.protocols().for_each(|protocol| protocol.gathered(&mut ctx));
-            for work in self.desk.settle(now, &mut self.deadlines) {
+            for work in self.desk.process_events(now, &mut self.deadlines) {
                 self.carry_out(now, work);
             }
             let (mut ctx, mut parts) = self.split(now);
@@ -307,7 +307,7 @@
                 self.grant(now, wish);
             }
             self.learn(now);
-            self.begun |= self.desk.known() > 0 && self.routes.serviceable(now);
+            self.begun |= self.desk.worker_count() > 0 && self.routes.serviceable(now);
             self.http.clients.open = self.begun && self.welcome();
             self.tell_other_process();
             self.tell_peers();
@@ -333,11 +333,11 @@
     fn done(&self, now: Micros) -> bool {
         // What the predecessor still has out needs its call-backs, and they come to whoever listens: here.
         self.drain.last()
-            && self.desk.owed() == 0
+            && self.desk.unanswered_requests() == 0
             && self.transfers.is_empty()
             && self.http.at_rest(now)
             && self.others.iter().all(|other| other.at_rest(now))
-            && (self.retired || !self.desk.any_elsewhere())
+            && (self.retired || !self.desk.any_open_elsewhere())
     }
 
     fn split(&mut self, now: Micros) -> (Context<'_>, Parts<'_>) {
@@ -402,18 +402,18 @@
     fn due(&mut self, now: Micros, due: Deadline) {
         let (mut ctx, mut parts) = self.split(now);
         match due {
-            Deadline::DispatcherTimer(timer, _) => ctx.desk.timer(timer),
+            Deadline::DispatcherTimer(timer, _) => ctx.desk.timer_fired(timer),
             Deadline::AttemptTimeout(request, attempt) => {
                 let attempt = AttemptId { request, number: attempt };
-                if !ctx.desk.time_up(now, attempt) {
+                if !ctx.desk.attempt_timed_out(now, attempt) {
                     parts.protocols().for_each(|protocol| protocol.release(&mut ctx, attempt));
                 }
             }
             Deadline::CancelUnaccepted(request, attempt) => {
-                ctx.desk.untaken(AttemptId { request, number: attempt })
+                ctx.desk.cancel_unaccepted(AttemptId { request, number: attempt })
             }
             Deadline::CancelDelivered(request, attempt) => {
-                ctx.desk.called_off(now, AttemptId { request, number: attempt })
+                ctx.desk.cancel_delivered(now, AttemptId { request, number: attempt })
             }
             Deadline::Connection(token, alarm) => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.has(token)) {
--- a/src/net/event_loop/orders.rs
+++ b/src/net/event_loop/orders.rs
@@ -20,17 +20,17 @@
             Some(Order::Info) => {
                 let list = self.routes.figures(now);
                 let present = Gauges {
-                    in_flight: self.desk.owed(),
-                    known: self.desk.known(),
-                    avoided: self.desk.avoided(now),
+                    in_flight: self.desk.unanswered_requests(),
+                    known: self.desk.worker_count(),
+                    avoided: self.desk.excluded_workers(now),
                 };
-                let shared = self.desk.spent().into_iter().chain(self.http.hops.figures());
+                let shared = self.desk.shared_usage().into_iter().chain(self.http.hops.figures());
                 let shared = shared.chain(self.desk.rejections()).chain(list);
                 let others = shared.chain(self.others.iter().flat_map(|other| other.figures()));
                 let others = others.chain([("settings.taken_up", self.renewals)]);
                 let others = others.map(|(name, value)| (name, value.to_string()));
                 let others = others.chain(self.control.iter().flat_map(|control| control.figures(now)));
-                self.desk.figures().write(self.names.classes(), present, others)
+                self.desk.counters().write(self.names.classes(), present, others)
             }
             // What this process no longer takes is the successor's to send away.
             Some(Order::Lameduck | Order::Rejoin) if self.retired => {
--- a/src/net/event_loop/renewal.rs
+++ b/src/net/event_loop/renewal.rs
@@ -85,11 +85,11 @@
             return Err(Fault::new(format!("request_classes.{class}"), why));
         }
         self.others.iter().try_for_each(|other| other.could_take(&names, &settings.classes))?;
-        self.desk.could_take(&settings)?;
+        self.desk.check_settings(&settings)?;
         // From here on nothing fails.
         let (limits, grace) = (settings.limits.clone(), settings.rules.drain_grace);
         let classes = settings.classes.clone();
-        self.desk.take_up(now, settings, &mut self.deadlines);
+        self.desk.apply_settings(now, settings, &mut self.deadlines);
         self.names = names;
         (self.conn_idle, self.most_open) = (conn_idle, most_open);
         if !self.drain.ending() {
@@ -102,7 +102,10 @@
         self.share_out(now);
         self.renewals += 1;
         let spent = begun.elapsed().as_micros();
-        note!("other settings are in force: {spent} us, {} requests are open", self.desk.owed());
+        note!(
+            "other settings are in force: {spent} us, {} requests are open",
+            self.desk.unanswered_requests()
+        );
         Ok(())
     }
 }
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -17,7 +17,7 @@
 impl EventLoop {
     /// The program ends once all that was taken is answered, however long that takes.
     pub(super) fn begin_patient_end(&mut self, now: Micros) {
-        note!("the program ends when {} requests are answered", self.desk.owed());
+        note!("the program ends when {} requests are answered", self.desk.unanswered_requests());
         self.patient = !self.drain.ending();
         if self.drain.begin(Why::Ending) {
             self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill * 3 / 5));
@@ -29,9 +29,9 @@
     pub(super) fn begin_drain(&mut self, now: Micros, why: Why) {
         if why == Why::Ending && self.ending.is_none() {
             self.patient = false;
-            note!("SIGTERM: {} requests are open", self.desk.owed());
+            note!("SIGTERM: {} requests are open", self.desk.unanswered_requests());
             self.ending = Some(Ending { since: now, limited: false });
-            self.desk.stop(now + self.grace.last_answer());
+            self.desk.set_process_end(now + self.grace.last_answer());
         }
         if why == Why::Ending && self.retired && !self.drain.ending() {
             // Clients were parted with when the successor took over.
@@ -39,7 +39,7 @@
         }
         self.upgrade.say(Side::Predecessor, &Word::Drain(true));
         if self.drain.begin(why) {
-            note!("clients are sent away: {} requests are open", self.desk.owed());
+            note!("clients are sent away: {} requests are open", self.desk.unanswered_requests());
             self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill * 3 / 5));
         }
         self.http.clients.open = self.begun && self.welcome();
@@ -53,14 +53,14 @@
         let successor = self.retired;
         if !ending.limited && (!successor || phase >= Phase::HandingOver) {
             ending.limited = true;
-            self.desk.limit_to_end(&mut self.deadlines);
+            self.desk.limit_open_requests(&mut self.deadlines);
         }
         for (number, client) in self.desk.open_requests() {
             let movable = successor && self.can_transfer(number, client);
             match self.desk.duty(number, phase, movable) {
                 Duty::Wait => {}
                 Duty::Move => self.transfer(now, number, client),
-                Duty::Answer(_) => self.desk.conclude_at_end(number),
+                Duty::Answer(_) => self.desk.answer_at_process_end(number),
             }
         }
         self.deadlines.set(Deadline::OpenRequestsCheck, now + LOOK);
--- a/src/net/event_loop/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -9,7 +9,7 @@
 impl EventLoop {
     /// A successor has come: it takes what comes from now on, and what was taken here is answered here.
     pub(super) fn retire(&mut self, now: Micros) {
-        note!("handing over to the next process: {} requests are open", self.desk.owed());
+        note!("handing over to the next process: {} requests are open", self.desk.unanswered_requests());
         self.successor_open = !self.drain.asked();
         self.retired = true;
         // The successor needs the address.
@@ -24,7 +24,7 @@
             confirmed_us_ago: parts.routes.confirmed_ago(now),
             knowledge: ctx.desk.hand_over(),
             names: Some(Listed::new(ctx.names)),
-            open: ctx.desk.share(),
+            open: ctx.desk.track_open_names(),
             drained: parts.drain.asked(),
         };
         parts.upgrade.say(Side::Successor, &Word::Handover(Box::new(handover)));
@@ -39,7 +39,7 @@
     pub(super) fn bereave(&mut self, now: Micros, side: Side) {
         note!("the {side:?} has gone");
         if !self.upgrade.any() {
-            self.desk.alone();
+            self.desk.other_process_gone();
         }
         self.share_out(now);
         match side {
@@ -52,7 +52,7 @@
                 self.retired = false;
                 let opened = self.open_peers(now);
                 let (mut ctx, parts) = self.split(now);
-                ctx.desk.resume();
+                ctx.desk.successor_gone();
                 if parts.drain.open() {
                     parts.http.stay();
                 }
@@ -70,7 +70,7 @@
     /// The successor takes requests now, this one too, and the connection of its client can be passed on.
     pub(super) fn can_transfer(&mut self, number: u32, client: ClientId) -> bool {
         let passable = self.http.clients.for_transfer(client).is_some();
-        let wanted = self.desk.name(number).is_some_and(|name| self.transfers.may_send(name));
+        let wanted = self.desk.request_name(number).is_some_and(|name| self.transfers.may_send(name));
         passable && wanted && self.upgrade.can_transfer()
     }
 
@@ -89,7 +89,7 @@
             attempts = transfer.history.attempts.len(),
             "a request moves to the next process"
         );
-        self.desk.moved(number);
+        self.desk.request_transferred(number);
         let (mut ctx, parts) = self.split(now);
         parts.http.clients.suspend(&mut ctx, client);
         self.transfers.sent(name, client, transfer);
@@ -145,8 +145,8 @@
         match (word, side) {
             (Word::Successor, Side::Successor) => self.retire(now),
             (Word::Handover(handover), Side::Predecessor) => self.begin(now, Some(*handover)),
-            (Word::Opened(name), _) => self.desk.elsewhere(name, true),
-            (Word::Closed(name), _) => self.desk.elsewhere(name, false),
+            (Word::Opened(name), _) => self.desk.set_open_elsewhere(name, true),
+            (Word::Closed(name), _) => self.desk.set_open_elsewhere(name, false),
             (Word::News(body), _) => {
                 let before = self.strays.len();
                 let (mut ctx, _) = self.split(now);
@@ -157,7 +157,7 @@
                     self.upgrade.say(side.other(), &Word::News(body));
                 }
             }
-            (Word::Load(body), Side::Predecessor) => self.desk.peer(self.rank, body),
+            (Word::Load(body), Side::Predecessor) => self.desk.peer_message(self.rank, body),
             (Word::Transfer(transfer), Side::Predecessor) => self.take_over(now, *transfer),
             (Word::Adopted(name), Side::Successor) => {
                 if let Some(pending) = self.transfers.adopted(&name) {
@@ -186,7 +186,7 @@
 
     /// Tells the other process, if there is one, what concerns it.
     pub(super) fn tell_other_process(&mut self) {
-        let turnover = self.desk.turnover().into_iter();
+        let turnover = self.desk.take_name_changes().into_iter();
         self.strays.iter().for_each(|body| self.transfers.call_back(body));
         let names = turnover.map(|(name, open)| if open { Word::Opened(name) } else { Word::Closed(name) });
         let words: Vec<Word> =
--- a/src/net/gearman/admin.rs
+++ b/src/net/gearman/admin.rs
@@ -65,7 +65,7 @@
                 };
                 self.mail(ctx, mail);
                 // What runs is called off as for a client that has left.
-                ctx.desk.leave(job);
+                ctx.desk.client_left(job);
                 "OK\n".to_owned()
             }
             Command::Shutdown { graceful } => {
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -124,10 +124,10 @@
         self.blocked.remove(&token);
         if let Some(Lost::Offered(attempt) | Lost::Assigned(attempt)) = self.fleet.close(token) {
             self.offers.remove(&attempt);
-            ctx.desk.broke(ctx.now, attempt);
+            ctx.desk.connection_broken(ctx.now, attempt);
         }
         for job in self.book.leave(token) {
-            ctx.desk.leave(job);
+            ctx.desk.client_left(job);
         }
     }
 
@@ -164,8 +164,8 @@
         match conn.buffer.flush(&mut conn.stream) {
             Ok(true) => {
                 if let Some((attempt, limit)) = conn.assigning.take() {
-                    ctx.desk.written(ctx.now, attempt);
-                    ctx.desk.note(attempt, Note::Started);
+                    ctx.desk.attempt_written(ctx.now, attempt);
+                    ctx.desk.attempt_note(attempt, Note::Started);
                     if limit > 0 {
                         let ends = ctx.now + Micros::from(limit) * SECOND;
                         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Idle), ends);
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -133,13 +133,13 @@
                 if let Some(attempt) = self.fleet.expire(token) {
                     note!(request = attempt.request, "a worker was woken and did not ask");
                     self.offers.remove(&attempt);
-                    ctx.desk.broke(ctx.now, attempt);
+                    ctx.desk.connection_broken(ctx.now, attempt);
                 }
             }
             ConnectionTimer::Idle => {
                 // The worker's own limit is over.
                 if let Some(attempt) = self.fleet.running(token) {
-                    ctx.desk.time_up(ctx.now, attempt);
+                    ctx.desk.attempt_timed_out(ctx.now, attempt);
                 }
             }
             ConnectionTimer::Timeout => {
@@ -192,7 +192,7 @@
         payload: &Payload,
         _wait: Micros,
     ) {
-        let Some(&nr) = self.hops.get(&hop) else { return ctx.desk.broke(ctx.now, attempt) };
+        let Some(&nr) = self.hops.get(&hop) else { return ctx.desk.connection_broken(ctx.now, attempt) };
         let fits = |function: &&Function| {
             let as_http = function.takes_http && function.grades[1].class.0 as u32 == payload.skill;
             function.skill == payload.skill || as_http
@@ -202,7 +202,7 @@
         let handle = self.handle(attempt);
         let offered = self.fleet.offer(nr, attempt, &functions, &handle);
         let (Offered::Wake(token) | Offered::Awaited(token) | Offered::Asked(token)) = offered else {
-            return ctx.desk.answered(ctx.now, attempt, Ending::Full, None);
+            return ctx.desk.attempt_failed(ctx.now, attempt, Ending::Full, None);
         };
         self.offers.insert(attempt, Rc::clone(payload));
         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + GRAB);
@@ -217,10 +217,10 @@
             if let Some(token) = conn {
                 ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             }
-            return ctx.desk.called_off(ctx.now, attempt);
+            return ctx.desk.cancel_delivered(ctx.now, attempt);
         }
         // It was handed out, and there are no words for it: the worker runs on, and what it tells later meets nothing.
-        ctx.desk.runs_on(ctx.now, attempt);
+        ctx.desk.cancel_undeliverable(ctx.now, attempt);
     }
 
     fn release(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
@@ -229,7 +229,7 @@
         // What a worker could say of its load is known here.
         let free = self.hops.get(&hop).map(|&nr| self.fleet.free(nr) as f64);
         let ending = if free.is_some() { Ending::Ok } else { Ending::Unreachable };
-        ctx.desk.probed(hop, ending, 0, Some(Report { free_slots: free, ..Report::default() }));
+        ctx.desk.probe_finished(hop, ending, 0, Some(Report { free_slots: free, ..Report::default() }));
     }
 
     fn close_idle(&mut self, _ctx: &mut Context<'_>, _hop: WorkerId) {}
@@ -266,7 +266,7 @@
             });
         }
         if !members.is_empty() {
-            ctx.desk.members(SOURCE, ListKind::Changes, members);
+            ctx.desk.update_workers(SOURCE, ListKind::Changes, members);
         }
     }
 
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -113,7 +113,7 @@
             // Only offered: it never ran, and goes elsewhere at once.
             ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             self.offers.remove(&attempt);
-            ctx.desk.answered(ctx.now, attempt, Ending::Full, None);
+            ctx.desk.attempt_failed(ctx.now, attempt, Ending::Full, None);
         }
     }
 
@@ -144,7 +144,7 @@
         if let Some(job) = self.book.same(&submission) {
             self.book.join(job, &submission);
             if !background {
-                ctx.desk.hear(job, ClientUpdates::All);
+                ctx.desk.subscribe_updates(job, ClientUpdates::All);
             }
             return;
         }
@@ -183,7 +183,7 @@
             hears: if background { ClientUpdates::Progress } else { ClientUpdates::All },
             payload: Rc::new(envelope),
         };
-        match ctx.desk.arrive(ctx.now, client, job) {
+        match ctx.desk.add_request(ctx.now, client, job) {
             Ok(request) => {
                 let handle = self.handle(AttemptId { request, number: 0 });
                 self.book.open(client, handle, submission);
@@ -224,9 +224,9 @@
             Kind::WorkComplete => {
                 let mut result = std::mem::take(&mut conn.parts);
                 result.extend_from_slice(rest);
-                return ctx.desk.served(ctx.now, attempt, result, None);
+                return ctx.desk.attempt_succeeded(ctx.now, attempt, result, None);
             }
-            Kind::WorkFail => return ctx.desk.answered(ctx.now, attempt, Ending::Error, None),
+            Kind::WorkFail => return ctx.desk.attempt_failed(ctx.now, attempt, Ending::Error, None),
             Kind::WorkData => PartialResult::Data(rest.to_vec()),
             Kind::WorkWarning => PartialResult::Warning(rest.to_vec()),
             Kind::WorkException => PartialResult::Exception(rest.to_vec()),
@@ -239,7 +239,8 @@
                 PartialResult::Progress(done, of)
             }
         };
-        let Some(PartialResult::Data(part) | PartialResult::Warning(part)) = ctx.desk.part(attempt, part)
+        let Some(PartialResult::Data(part) | PartialResult::Warning(part)) =
+            ctx.desk.partial_result(attempt, part)
         else {
             return;
         };
@@ -248,7 +249,7 @@
         } else {
             // It ran, and what it gave cannot be served whole: it must not be served in part either.
             note!(warn: request = attempt.request, "a result is too large for its client");
-            ctx.desk.answered(ctx.now, attempt, Ending::Error, None);
+            ctx.desk.attempt_failed(ctx.now, attempt, Ending::Error, None);
             self.fleet.give_up(attempt);
         }
     }
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -67,7 +67,7 @@
         self.now += 1_000;
         self.with(|ctx| gearman.gathered(ctx));
         let mut answers = Vec::new();
-        for work in self.desk.settle(self.now, &mut self.deadlines) {
+        for work in self.desk.process_events(self.now, &mut self.deadlines) {
             match work {
                 Command::Send { attempt, hop, payload, wait } => {
                     self.with(|ctx| gearman.send(ctx, attempt, hop, &payload, wait));
--- a/src/net/http/call_back.rs
+++ b/src/net/http/call_back.rs
@@ -24,7 +24,7 @@
 pub fn call_back(ctx: &mut Context<'_>, body: &[u8]) -> Result<(), Reject> {
     let call: CallBack = serde_json::from_slice(body).map_err(|_| Reject(400))?;
     // Next hops call whoever takes the connection: it may be for the other process on this socket.
-    if !ctx.desk.knows(&call.id) {
+    if !ctx.desk.has_request(&call.id) {
         ctx.strays.push(String::from_utf8_lossy(body).into_owned());
         return Ok(());
     }
@@ -43,7 +43,7 @@
         }
     };
     let report = call.load.and_then(|value| report_of(ctx.names, &value));
-    ctx.desk.news(ctx.now, &call.id, hop_id(&call.from), news, report);
+    ctx.desk.attempt_update(ctx.now, &call.id, hop_id(&call.from), news, report);
     Ok(())
 }
 
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -220,7 +220,7 @@
             {}
             if filled == FillOutcome::Closed {
                 // Who closes has gone away, also in the middle of an answer.
-                ctx.desk.leave(token);
+                ctx.desk.client_left(token);
                 return self.drop_connection(ctx, token);
             }
             let Some(connection) = self.connections.get_mut(&token) else { return };
@@ -299,7 +299,7 @@
             }
             _ => {
                 let job = job_of(ctx, request)?;
-                match ctx.desk.arrive(ctx.now, token, job) {
+                match ctx.desk.add_request(ctx.now, token, job) {
                     Ok(_) => {
                         if let Some(connection) = self.connections.get_mut(&token) {
                             connection.state = State::Waiting;
@@ -363,7 +363,7 @@
         transfer: Transfer,
     ) -> Result<(), Reject> {
         let job = transferred(ctx, &transfer)?;
-        if ctx.desk.knows(&job.name) {
+        if ctx.desk.has_request(&job.name) {
             return Err(Reject(409));
         }
         let token = ctx.next_token();
@@ -437,7 +437,7 @@
                 true
             }
             Err(_) => {
-                ctx.desk.leave(token);
+                ctx.desk.client_left(token);
                 self.drop_connection(ctx, token);
                 false
             }
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -93,7 +93,7 @@
         peer.write_all(REQUEST).expect("it is read");
         table.with(|ctx| clients.due(ctx, connection, ConnectionTimer::Timeout));
         assert_eq!(
-            (table.desk.owed(), clients.connections[&connection].state),
+            (table.desk.unanswered_requests(), clients.connections[&connection].state),
             (1, State::Waiting),
             "rested: {rested}"
         );
@@ -109,7 +109,7 @@
     peer.write_all(REQUEST).expect("the way there is open");
     table.with(|ctx| clients.ready(ctx, connection));
     assert_eq!(
-        (table.desk.owed(), clients.connections[&connection].state),
+        (table.desk.unanswered_requests(), clients.connections[&connection].state),
         (0, State::Ending),
         "it came after the end"
     );
@@ -129,7 +129,9 @@
     first.write_all(REQUEST).expect("it is read");
     assert!(table.with(|ctx| clients.shed(ctx)), "the second makes room");
     assert!(
-        !clients.has(idle) && table.desk.owed() == 1 && clients.connections[&busy].state == State::Waiting
+        !clients.has(idle)
+            && table.desk.unanswered_requests() == 1
+            && clients.connections[&busy].state == State::Waiting
     );
     assert_eq!(rest(second), "");
     assert!(!table.with(|ctx| clients.shed(ctx)), "a connection with a request in work never does");
@@ -143,7 +145,7 @@
         peer.write_all(REQUEST).expect("it is read");
         until(|| {
             table.with(|ctx| clients.ready(ctx, connection));
-            table.desk.owed() == 1
+            table.desk.unanswered_requests() == 1
         });
         table.with(|ctx| clients.farewell(ctx));
         table.with(|ctx| clients.answer(ctx, connection, Answer::Served(b"r".to_vec())));
@@ -189,6 +191,6 @@
         );
         clients.connections.is_empty()
     });
-    assert_eq!(table.desk.owed(), 0);
+    assert_eq!(table.desk.unanswered_requests(), 0);
     client.join().expect("it could send all");
 }
