--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -265,7 +265,7 @@
         // Alike for all protocols: which of them is in use is not known beforehand.
         let count = 1 + parts.others.len();
         let each = DescriptorLimits { clients: shares.clients / count, hops: shares.hops / count };
-        parts.protocols().for_each(|protocol| protocol.limit(&mut ctx, each));
+        parts.protocols().for_each(|protocol| protocol.set_descriptor_limits(&mut ctx, each));
     }
 
     /// Begins to serve, if that has not happened yet.
@@ -297,12 +297,12 @@
                 self.due(now, due);
             }
             let (mut ctx, mut parts) = self.split(now);
-            parts.protocols().for_each(|protocol| protocol.gathered(&mut ctx));
+            parts.protocols().for_each(|protocol| protocol.on_events_gathered(&mut ctx));
             for work in self.desk.process_events(now, &mut self.deadlines) {
                 self.carry_out(now, work);
             }
             let (mut ctx, mut parts) = self.split(now);
-            parts.protocols().for_each(|protocol| protocol.settled(&mut ctx));
+            parts.protocols().for_each(|protocol| protocol.on_commands_done(&mut ctx));
             for wish in std::mem::take(&mut self.wishes) {
                 self.grant(now, wish);
             }
@@ -335,8 +335,8 @@
         self.drain.last()
             && self.desk.unanswered_requests() == 0
             && self.transfers.is_empty()
-            && self.http.at_rest(now)
-            && self.others.iter().all(|other| other.at_rest(now))
+            && self.http.is_idle(now)
+            && self.others.iter().all(|other| other.is_idle(now))
             && (self.retired || !self.desk.any_open_elsewhere())
     }
 
@@ -391,8 +391,8 @@
                     }
                 }
                 _ => {
-                    if let Some(protocol) = parts.protocols().find(|protocol| protocol.has(token)) {
-                        protocol.ready(&mut ctx, token);
+                    if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_token(token)) {
+                        protocol.on_ready(&mut ctx, token);
                     }
                 }
             },
@@ -406,7 +406,7 @@
             Deadline::AttemptTimeout(request, attempt) => {
                 let attempt = AttemptId { request, number: attempt };
                 if !ctx.desk.attempt_timed_out(now, attempt) {
-                    parts.protocols().for_each(|protocol| protocol.release(&mut ctx, attempt));
+                    parts.protocols().for_each(|protocol| protocol.release_attempt(&mut ctx, attempt));
                 }
             }
             Deadline::CancelUnaccepted(request, attempt) => {
@@ -416,8 +416,8 @@
                 ctx.desk.cancel_delivered(now, AttemptId { request, number: attempt })
             }
             Deadline::Connection(token, alarm) => {
-                if let Some(protocol) = parts.protocols().find(|protocol| protocol.has(token)) {
-                    protocol.due(&mut ctx, token, alarm);
+                if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_token(token)) {
+                    protocol.on_deadline(&mut ctx, token, alarm);
                 }
             }
             Deadline::ReceivePeers => parts.hear_peers(&mut ctx),
@@ -436,7 +436,7 @@
             // Of another role.
             Deadline::ControlTick | Deadline::Heartbeat | Deadline::ControlLinkRetry(_) => {}
             Deadline::DrainClients => {
-                parts.protocols().for_each(|protocol| protocol.farewell(&mut ctx));
+                parts.protocols().for_each(|protocol| protocol.begin_drain(&mut ctx));
                 self.drain.part();
             }
             Deadline::ManagementCall(token) => {
@@ -463,21 +463,19 @@
         let (mut ctx, mut parts) = self.split(now);
         match work {
             Command::Answer { client, answer } => {
-                if let Some(protocol) = parts.protocols().find(|protocol| protocol.serves(client)) {
-                    protocol.answer(&mut ctx, client, answer);
+                if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_client(client)) {
+                    protocol.send_answer(&mut ctx, client, answer);
                 }
             }
             Command::Relay { client, part } => {
-                if let Some(protocol) = parts.protocols().find(|protocol| protocol.serves(client)) {
-                    protocol.relay(&mut ctx, client, part);
+                if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_client(client)) {
+                    protocol.send_partial_result(&mut ctx, client, part);
                 }
             }
             Command::Send { attempt, hop, payload, wait } => {
-                parts.driver(hop).send(&mut ctx, attempt, hop, &payload, wait);
-            }
-            Command::Cancel { attempt, hop, name } => {
-                parts.driver(hop).give_up(&mut ctx, attempt, hop, &name)
+                parts.driver(hop).send_attempt(&mut ctx, attempt, hop, &payload, wait);
             }
+            Command::Cancel { attempt, hop, name } => parts.driver(hop).cancel(&mut ctx, attempt, hop, &name),
             Command::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
             // To the own rank: the process that took over counts it with its own.
             Command::SendPeerMessage { to, body } if to == Some(rank) => {
@@ -559,7 +557,7 @@
 
     /// Whoever drives a next hop. One that has gone was HTTP's, or is nobody's, and HTTP says what that means.
     fn driver(&mut self, hop: WorkerId) -> &mut dyn Protocol {
-        match self.others.iter_mut().find(|other| other.drives(hop)) {
+        match self.others.iter_mut().find(|other| other.owns_worker(hop)) {
             Some(other) => &mut **other,
             None => self.http,
         }
--- a/src/net/event_loop/orders.rs
+++ b/src/net/event_loop/orders.rs
@@ -26,7 +26,7 @@
                 };
                 let shared = self.desk.shared_usage().into_iter().chain(self.http.hops.figures());
                 let shared = shared.chain(self.desk.rejections()).chain(list);
-                let others = shared.chain(self.others.iter().flat_map(|other| other.figures()));
+                let others = shared.chain(self.others.iter().flat_map(|other| other.metrics()));
                 let others = others.chain([("settings.taken_up", self.renewals)]);
                 let others = others.map(|(name, value)| (name, value.to_string()));
                 let others = others.chain(self.control.iter().flat_map(|control| control.figures(now)));
--- a/src/net/event_loop/renewal.rs
+++ b/src/net/event_loop/renewal.rs
@@ -84,7 +84,7 @@
             let why = "is a class that an operator file does not name: it needs a restart";
             return Err(Fault::new(format!("request_classes.{class}"), why));
         }
-        self.others.iter().try_for_each(|other| other.could_take(&names, &settings.classes))?;
+        self.others.iter().try_for_each(|other| other.check_settings(&names, &settings.classes))?;
         self.desk.check_settings(&settings)?;
         // From here on nothing fails.
         let (limits, grace) = (settings.limits.clone(), settings.rules.drain_grace);
@@ -98,7 +98,7 @@
         let (mut ctx, parts) = self.split(now);
         parts.routes.take_up(&mut ctx, grace);
         parts.http.hops.take_up(limits.connect_timeout, conn_idle);
-        parts.others.iter_mut().for_each(|other| other.take_up(&classes));
+        parts.others.iter_mut().for_each(|other| other.apply_settings(&classes));
         self.share_out(now);
         self.renewals += 1;
         let spent = begun.elapsed().as_micros();
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -73,8 +73,8 @@
             self.upgrade.say(Side::Predecessor, &Word::Drain(false));
             note!("clients are welcome");
             self.deadlines.clear(Deadline::DrainClients);
-            self.http.stay();
-            self.others.iter_mut().for_each(|other| other.stay());
+            self.http.resume();
+            self.others.iter_mut().for_each(|other| other.resume());
             self.http.clients.open = self.begun;
         }
         open
--- a/src/net/event_loop/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -16,7 +16,7 @@
         self.peers = None;
         let (mut ctx, parts) = self.split(now);
         parts.http.clients.stop_listening(&mut ctx);
-        parts.http.farewell(&mut ctx);
+        parts.http.begin_drain(&mut ctx);
         parts.upgrade.stop_listening();
         let handover = Handover {
             routes: parts.routes.list(),
@@ -54,7 +54,7 @@
                 let (mut ctx, parts) = self.split(now);
                 ctx.desk.successor_gone();
                 if parts.drain.open() {
-                    parts.http.stay();
+                    parts.http.resume();
                 }
                 let listening = opened.and_then(|()| parts.http.listen(&mut ctx));
                 parts.upgrade.listen(ctx.registry, MEETING);
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -67,7 +67,7 @@
     pub(super) fn accept(&mut self, ctx: &mut Context<'_>) {
         let again = Deadline::Connection(self.token, ConnectionTimer::Accept);
         for _ in 0..ACCEPTS {
-            if self.conns.len() >= self.most && !self.shed(ctx) {
+            if self.conns.len() >= self.most && !self.release_idle(ctx) {
                 // They wait in the listener's queue until a connection ends.
                 return ctx.deadlines.set(again, ctx.now + ACCEPT_AGAIN);
             }
@@ -78,7 +78,7 @@
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
                     note!(warn: "accepting Gearman: {error}");
-                    self.shed(ctx);
+                    self.release_idle(ctx);
                     return ctx.deadlines.set(again, ctx.now + ACCEPT_AGAIN);
                 }
             }
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -99,7 +99,7 @@
 
 impl ReleaseIdle for Gearman {
     /// Closes a connection that is at its end, else a client that waits for nothing and has said nothing for longest.
-    fn shed(&mut self, ctx: &mut Context<'_>) -> bool {
+    fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool {
         let order = |(&token, conn): (&ConnId, &Conn)| {
             let rests = conn.ending || !(self.fleet.knows(token) || self.book.awaits(token));
             rests.then_some((!conn.ending, conn.spoke, conn.since, token))
@@ -112,11 +112,11 @@
 }
 
 impl Protocol for Gearman {
-    fn has(&self, token: usize) -> bool {
+    fn owns_token(&self, token: usize) -> bool {
         token == self.token || self.conns.contains_key(&token)
     }
 
-    fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
+    fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if token == self.token {
             return self.accept(ctx);
         }
@@ -125,10 +125,10 @@
         }
     }
 
-    fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
         match alarm {
             ConnectionTimer::Accept => self.accept(ctx),
-            ConnectionTimer::ContinueRead => self.ready(ctx, token),
+            ConnectionTimer::ContinueRead => self.on_ready(ctx, token),
             ConnectionTimer::OfferTimeout => {
                 if let Some(attempt) = self.fleet.expire(token) {
                     note!(request = attempt.request, "a worker was woken and did not ask");
@@ -153,11 +153,11 @@
         }
     }
 
-    fn serves(&self, client: ClientId) -> bool {
+    fn owns_client(&self, client: ClientId) -> bool {
         self.book.has(client)
     }
 
-    fn answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
+    fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         let end = match answer {
             Answer::Served(result) => End::Served(result),
             Answer::Busy { come_back } => End::Refused(come_back),
@@ -167,7 +167,7 @@
         self.mail(ctx, mail);
     }
 
-    fn relay(&mut self, ctx: &mut Context<'_>, client: ClientId, part: PartialResult) {
+    fn send_partial_result(&mut self, ctx: &mut Context<'_>, client: ClientId, part: PartialResult) {
         use calicolb_gearman::book::Part as Told;
         let part = match part {
             PartialResult::Started => Told::Started,
@@ -180,11 +180,11 @@
         self.mail(ctx, mail);
     }
 
-    fn drives(&self, hop: WorkerId) -> bool {
+    fn owns_worker(&self, hop: WorkerId) -> bool {
         self.hops.contains_key(&hop)
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
         attempt: AttemptId,
@@ -211,7 +211,7 @@
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
         let conn = self.fleet.give_up(attempt);
         if self.offers.remove(&attempt).is_some() {
             if let Some(token) = conn {
@@ -223,7 +223,7 @@
         ctx.desk.cancel_undeliverable(ctx.now, attempt);
     }
 
-    fn release(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
+    fn release_attempt(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
 
     fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
         // What a worker could say of its load is known here.
@@ -235,7 +235,7 @@
     fn close_idle(&mut self, _ctx: &mut Context<'_>, _hop: WorkerId) {}
 
     /// Tells of workers that came, went, or can do other things now.
-    fn gathered(&mut self, ctx: &mut Context<'_>) {
+    fn on_events_gathered(&mut self, ctx: &mut Context<'_>) {
         let mut members = Vec::new();
         for change in self.fleet.changes() {
             let worker = calicolb::wire::hop_id(&format!("gearman worker {}", change.nr));
@@ -270,7 +270,7 @@
         }
     }
 
-    fn settled(&mut self, ctx: &mut Context<'_>) {
+    fn on_commands_done(&mut self, ctx: &mut Context<'_>) {
         for token in std::mem::take(&mut self.asking) {
             self.assign(ctx, token);
         }
@@ -290,24 +290,24 @@
         Ok(())
     }
 
-    fn limit(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         // Workers come in like clients.
         self.most = shares.clients + shares.hops;
-        while self.conns.len() > self.most && self.shed(ctx) {}
+        while self.conns.len() > self.most && self.release_idle(ctx) {}
     }
 
-    fn farewell(&mut self, ctx: &mut Context<'_>) {
+    fn begin_drain(&mut self, ctx: &mut Context<'_>) {
         self.parting = true;
         let rests = |token: &&ConnId| !(self.fleet.knows(**token) || self.book.awaits(**token));
         let resting: Vec<ConnId> = self.conns.keys().filter(rests).copied().collect();
         resting.into_iter().for_each(|token| self.drop_conn(ctx, token));
     }
 
-    fn stay(&mut self) {
+    fn resume(&mut self) {
         self.parting = false;
     }
 
-    fn could_take(&self, names: &Names, classes: &[Class]) -> Result<(), Fault> {
+    fn check_settings(&self, names: &Names, classes: &[Class]) -> Result<(), Fault> {
         for function in &self.config.functions {
             let effect = |grade: &Grade| classes.get(grade.class.0).map(|class| class.effect);
             for grade in &function.grades {
@@ -325,7 +325,7 @@
         Ok(())
     }
 
-    fn take_up(&mut self, classes: &[Class]) {
+    fn apply_settings(&mut self, classes: &[Class]) {
         for function in &mut self.config.functions {
             // A background job that was given no time of its own has its class's.
             let as_class = function.background == function.grades[1].patience;
@@ -338,11 +338,11 @@
         }
     }
 
-    fn at_rest(&self, _now: Micros) -> bool {
+    fn is_idle(&self, _now: Micros) -> bool {
         self.conns.values().all(|conn| !conn.buffer.has_output())
     }
 
-    fn figures(&self) -> Vec<(&'static str, u64)> {
+    fn metrics(&self) -> Vec<(&'static str, u64)> {
         let lanes = self.told.values().filter(|told| told.0).map(|told| u64::from(told.1)).sum();
         vec![
             ("gearman.connections", self.conns.len() as u64),
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -65,21 +65,21 @@
     /// A turn of the loop without its sockets; gives the answers.
     fn turn(&mut self, gearman: &mut Gearman) -> Vec<Answer> {
         self.now += 1_000;
-        self.with(|ctx| gearman.gathered(ctx));
+        self.with(|ctx| gearman.on_events_gathered(ctx));
         let mut answers = Vec::new();
         for work in self.desk.process_events(self.now, &mut self.deadlines) {
             match work {
                 Command::Send { attempt, hop, payload, wait } => {
-                    self.with(|ctx| gearman.send(ctx, attempt, hop, &payload, wait));
+                    self.with(|ctx| gearman.send_attempt(ctx, attempt, hop, &payload, wait));
                 }
                 Command::Answer { client, answer } => {
                     answers.push(answer.clone());
-                    self.with(|ctx| gearman.answer(ctx, client, answer));
+                    self.with(|ctx| gearman.send_answer(ctx, client, answer));
                 }
                 _ => {}
             }
         }
-        self.with(|ctx| gearman.settled(ctx));
+        self.with(|ctx| gearman.on_commands_done(ctx));
         answers
     }
 
@@ -93,7 +93,7 @@
             assert!(Instant::now() < until, "nobody connects");
             let token = gearman.token;
             gearman.most = 10;
-            self.with(|ctx| gearman.ready(ctx, token));
+            self.with(|ctx| gearman.on_ready(ctx, token));
         }
         (peer, gearman.conns.keys().copied().max().expect("there is one"))
     }
@@ -114,7 +114,7 @@
         let until = Instant::now() + Duration::from_secs(10);
         while gearman.conns.get(&token).is_some_and(|conn| !conn.spoke) {
             assert!(Instant::now() < until, "it is not heard");
-            self.with(|ctx| gearman.ready(ctx, token));
+            self.with(|ctx| gearman.on_ready(ctx, token));
         }
     }
 }
@@ -157,17 +157,17 @@
     let (table, mut gearman) = Table::new();
     let class = |deadline, effect| Class { deadline, effect, ..table.desk.settings().classes[0].clone() };
     let book = class(7 * SECOND, Effect::Unsafe);
-    assert_eq!(gearman.could_take(&table.names, std::slice::from_ref(&book)), Ok(()));
-    gearman.take_up(std::slice::from_ref(&book));
+    assert_eq!(gearman.check_settings(&table.names, std::slice::from_ref(&book)), Ok(()));
+    gearman.apply_settings(std::slice::from_ref(&book));
     assert!(gearman.config.functions[0].grades.iter().all(|grade| grade.patience == 7 * SECOND));
     assert_eq!(gearman.config.functions[0].background, SECOND, "it was given a time of its own");
     // Without its class a function cannot be; nor where its classes differ in what a repeat does.
     let other = Names::new(vec!["look".to_owned()], vec![], vec![], vec![]);
-    let fault = gearman.could_take(&other, std::slice::from_ref(&book)).expect_err("its class has gone");
+    let fault = gearman.check_settings(&other, std::slice::from_ref(&book)).expect_err("its class has gone");
     assert_eq!(fault.key, "request_classes.book");
     gearman.config.functions[0].grades[0].class = ClassIx(1);
     gearman.config.classes.push("look".to_owned());
     let both = Names::new(vec!["book".to_owned(), "look".to_owned()], vec![], vec![], vec![]);
-    let fault = gearman.could_take(&both, &[book, class(SECOND, Effect::Safe)]).expect_err("they differ");
+    let fault = gearman.check_settings(&both, &[book, class(SECOND, Effect::Safe)]).expect_err("they differ");
     assert_eq!(fault.key, "request_classes.look.effect");
 }
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -113,7 +113,7 @@
     /// So many connections may be open from now on.
     pub fn limit(&mut self, ctx: &mut Context<'_>, most: usize) {
         self.most = most;
-        while self.connections.len() > most && self.shed(ctx) {}
+        while self.connections.len() > most && self.release_idle(ctx) {}
     }
 
     /// Takes new connections.
@@ -122,7 +122,7 @@
             return;
         }
         for _ in 0..ACCEPTS {
-            if self.connections.len() >= self.most && !self.shed(ctx) {
+            if self.connections.len() >= self.most && !self.release_idle(ctx) {
                 // They wait in the listener's queue until a connection ends.
                 return ctx
                     .deadlines
@@ -136,7 +136,7 @@
                 Err(error) => {
                     // Out of descriptors or memory: a connection at rest makes room, else time may.
                     note!("accepting: {error}");
-                    self.shed(ctx);
+                    self.release_idle(ctx);
                     return ctx.deadlines.set(
                         Deadline::Connection(self.token, ConnectionTimer::Accept),
                         ctx.now + ACCEPT_AGAIN,
@@ -520,7 +520,7 @@
 impl ReleaseIdle for Clients {
     /// Closes the connection that has been at rest for longest, of clients first; if none is, the one that has been in
     /// the middle of sending a request, which is not taken before its last byte.
-    fn shed(&mut self, ctx: &mut Context<'_>) -> bool {
+    fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool {
         let now = ctx.now;
         let order = |connection: &Connection| match connection.state {
             State::Ending => Some((if connection.over(now) { 0 } else { 3 }, connection.since)),
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -127,14 +127,14 @@
     table.now += 1;
     let (second, idle) = table.connect(&mut clients);
     first.write_all(REQUEST).expect("it is read");
-    assert!(table.with(|ctx| clients.shed(ctx)), "the second makes room");
+    assert!(table.with(|ctx| clients.release_idle(ctx)), "the second makes room");
     assert!(
         !clients.has(idle)
             && table.desk.unanswered_requests() == 1
             && clients.connections[&busy].state == State::Waiting
     );
     assert_eq!(rest(second), "");
-    assert!(!table.with(|ctx| clients.shed(ctx)), "a connection with a request in work never does");
+    assert!(!table.with(|ctx| clients.release_idle(ctx)), "a connection with a request in work never does");
 }
 
 #[test]
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -22,21 +22,21 @@
 }
 
 impl ReleaseIdle for Http {
-    fn shed(&mut self, ctx: &mut Context<'_>) -> bool {
-        self.clients.shed(ctx)
+    fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool {
+        self.clients.release_idle(ctx)
     }
 }
 
 impl Protocol for Http {
-    fn has(&self, token: usize) -> bool {
+    fn owns_token(&self, token: usize) -> bool {
         self.clients.has(token) || self.hops.has(token)
     }
 
-    fn ready(&mut self, ctx: &mut Context<'_>, token: usize) {
+    fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if self.clients.has(token) { self.clients.ready(ctx, token) } else { self.hops.ready(ctx, token) }
     }
 
-    fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
         if self.clients.has(token) {
             self.clients.due(ctx, token, alarm);
         } else {
@@ -44,19 +44,19 @@
         }
     }
 
-    fn serves(&self, client: ClientId) -> bool {
+    fn owns_client(&self, client: ClientId) -> bool {
         self.clients.has(client)
     }
 
-    fn answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
+    fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         self.clients.answer(ctx, client, answer);
     }
 
-    fn drives(&self, hop: WorkerId) -> bool {
+    fn owns_worker(&self, hop: WorkerId) -> bool {
         self.hops.drives(hop)
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
         attempt: AttemptId,
@@ -67,11 +67,11 @@
         self.hops.send(ctx, &mut self.clients, attempt, hop, payload, wait);
     }
 
-    fn give_up(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
         self.hops.give_up(ctx, &mut self.clients, attempt, hop, name);
     }
 
-    fn release(&mut self, ctx: &mut Context<'_>, attempt: AttemptId) {
+    fn release_attempt(&mut self, ctx: &mut Context<'_>, attempt: AttemptId) {
         self.hops.release(ctx, attempt);
     }
 
@@ -83,7 +83,7 @@
         self.hops.close_idle(ctx, hop);
     }
 
-    fn settled(&mut self, ctx: &mut Context<'_>) {
+    fn on_commands_done(&mut self, ctx: &mut Context<'_>) {
         self.hops.begin(ctx);
     }
 
@@ -91,20 +91,20 @@
         self.clients.listen(ctx)
     }
 
-    fn limit(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         self.clients.limit(ctx, shares.clients);
         self.hops.limit(ctx, shares.hops);
     }
 
-    fn farewell(&mut self, ctx: &mut Context<'_>) {
+    fn begin_drain(&mut self, ctx: &mut Context<'_>) {
         self.clients.farewell(ctx);
     }
 
-    fn stay(&mut self) {
+    fn resume(&mut self) {
         self.clients.stay();
     }
 
-    fn at_rest(&self, now: Micros) -> bool {
+    fn is_idle(&self, now: Micros) -> bool {
         self.clients.at_rest(now)
     }
 }
--- a/src/net/http/next_hop.rs
+++ b/src/net/http/next_hop.rs
@@ -340,7 +340,7 @@
         let dial = self.hops.get(&hop)?.dial;
         let mut made = TcpStream::connect(dial);
         // Out of descriptors, say: work in hand comes before clients at rest. Nothing has been sent yet.
-        if made.is_err() && spare.shed(ctx) {
+        if made.is_err() && spare.release_idle(ctx) {
             made = TcpStream::connect(dial);
         }
         let mut stream = match made {
--- a/src/net/operators/door.rs
+++ b/src/net/operators/door.rs
@@ -80,7 +80,7 @@
                 Err(error) => {
                     // Out of descriptors, say: operators come before clients at rest.
                     note!("accepting an operator's call: {error}");
-                    spare.shed(ctx);
+                    spare.release_idle(ctx);
                     ctx.deadlines.set(Deadline::ManagementAccept, ctx.now + AGAIN);
                     return orders;
                 }
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -250,7 +250,7 @@
         note!(seq = self.seq, %discovery, target, "discovery: a call");
         let mut made = TcpStream::connect(discovery);
         // Out of descriptors, say: without the list nothing can be sent at all, so that clients at rest make room.
-        if made.is_err() && spare.shed(ctx) {
+        if made.is_err() && spare.release_idle(ctx) {
             made = TcpStream::connect(discovery);
         }
         let token = ctx.next_token();
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -32,34 +32,34 @@
 /// Something that holds descriptors which others may need more.
 pub trait ReleaseIdle {
     /// Lets go of the descriptor that is needed least; tells whether there was one.
-    fn shed(&mut self, ctx: &mut Context<'_>) -> bool;
+    fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool;
 }
 
 /// One protocol: its connections, clients and next hops.
 pub trait Protocol: ReleaseIdle {
     /// This is one of its connections or listeners.
-    fn has(&self, token: usize) -> bool;
+    fn owns_token(&self, token: usize) -> bool;
 
     /// Something can be read, written or accepted there.
-    fn ready(&mut self, ctx: &mut Context<'_>, token: usize);
+    fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize);
 
     /// A time that was set for it has come.
-    fn due(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer);
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer);
 
     /// This is one of its clients.
-    fn serves(&self, client: ClientId) -> bool;
+    fn owns_client(&self, client: ClientId) -> bool;
 
     /// Gives a client its final answer.
-    fn answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer);
+    fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer);
 
     /// Passes on to a client what its next hop told on the way to the end.
-    fn relay(&mut self, _ctx: &mut Context<'_>, _client: ClientId, _part: PartialResult) {}
+    fn send_partial_result(&mut self, _ctx: &mut Context<'_>, _client: ClientId, _part: PartialResult) {}
 
     /// This is one of its next hops.
-    fn drives(&self, hop: WorkerId) -> bool;
+    fn owns_worker(&self, hop: WorkerId) -> bool;
 
     /// Sends an attempt. What becomes of it is told to the desk.
-    fn send(
+    fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
         attempt: AttemptId,
@@ -69,10 +69,10 @@
     );
 
     /// An attempt was given up, and may be with its next hop, which knows it by this name.
-    fn give_up(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str);
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str);
 
     /// All the time of an attempt has passed, which was over before: nothing need be kept for it.
-    fn release(&mut self, ctx: &mut Context<'_>, attempt: AttemptId);
+    fn release_attempt(&mut self, ctx: &mut Context<'_>, attempt: AttemptId);
 
     /// Asks a next hop for its load.
     fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId);
@@ -81,39 +81,39 @@
     fn close_idle(&mut self, ctx: &mut Context<'_>, hop: WorkerId);
 
     /// All facts of a turn are in; the module is asked next.
-    fn gathered(&mut self, _ctx: &mut Context<'_>) {}
+    fn on_events_gathered(&mut self, _ctx: &mut Context<'_>) {}
 
     /// All that the module wanted in this turn is carried out.
-    fn settled(&mut self, _ctx: &mut Context<'_>) {}
+    fn on_commands_done(&mut self, _ctx: &mut Context<'_>) {}
 
     /// Begins to take connections.
     fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()>;
 
     /// So many descriptors may be used from now on.
-    fn limit(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits);
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits);
 
     /// Clients are parted with: those at rest now, the others after their answers.
-    fn farewell(&mut self, ctx: &mut Context<'_>);
+    fn begin_drain(&mut self, ctx: &mut Context<'_>);
 
     /// Clients are welcome to stay again.
-    fn stay(&mut self);
+    fn resume(&mut self);
 
     /// No client is in the middle of a request, or has still to take its last answer.
-    fn at_rest(&self, now: Micros) -> bool;
+    fn is_idle(&self, now: Micros) -> bool;
 
     /// Whether it could go by these classes, each at its old place.
     ///
     /// # Errors
     /// The key of the settings that stands in the way.
-    fn could_take(&self, _names: &Names, _classes: &[Class]) -> Result<(), Fault> {
+    fn check_settings(&self, _names: &Names, _classes: &[Class]) -> Result<(), Fault> {
         Ok(())
     }
 
     /// Other settings are in force: these are the classes, each at its old place.
-    fn take_up(&mut self, _classes: &[Class]) {}
+    fn apply_settings(&mut self, _classes: &[Class]) {}
 
     /// What operators are shown of it, by name.
-    fn figures(&self) -> Vec<(&'static str, u64)> {
+    fn metrics(&self) -> Vec<(&'static str, u64)> {
         Vec::new()
     }
 }
