--- a/crates/hollow/src/learners.rs
+++ b/crates/hollow/src/learners.rs
@@ -7,7 +7,7 @@
 use crate::encode::ControlLine;
 use crate::plan::{MILLI, SECOND};
 use calicolb::api::Settings;
-use calicolb::renewal;
+use calicolb::settings_update;
 use calicolb::wire::Names;
 use calicolb_agreed::{Change, Delta, Digest, InForce, Learner, Message, Taken, Version};
 use rand::rngs::StdRng;
@@ -211,7 +211,7 @@
         let Ok((new, names)) = agreed::settings(&in_force.document) else { return };
         let (rank, instances, zone) = (self.settings.rank, self.settings.instances, self.settings.zone);
         let new = Settings { rank, instances, zone, ..new };
-        if let Ok((settings, names)) = renewal::merge((&self.settings, &self.names), (&new, &names)) {
+        if let Ok((settings, names)) = settings_update::merge((&self.settings, &self.names), (&new, &names)) {
             (self.settings, self.names) = (settings.clone(), names);
             self.asks.push(Ask::TakeUp(Box::new(settings), in_force));
         }
--- a/examples/renewal.rs
+++ b/examples/renewal.rs
@@ -4,8 +4,8 @@
 //! take-ups in microseconds, for reading and checking the settings, placing their names, and the module.
 
 use calicolb::api::*;
-use calicolb::renewal::merge;
 use calicolb::rules::Dispatcher;
+use calicolb::settings_update::merge;
 use calicolb::wire::{Names, settings_of};
 use serde_json::{Value, json};
 use std::time::Instant;
--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -1,6 +1,6 @@
 //! Settings that are agreed for all schedulers, beside the few that are each scheduler's own.
 
-use super::Fault;
+use super::SettingsError;
 use super::document::{self, Direction, Document};
 use calicolb_agreed::{Check, Rules, Tighter};
 use serde_json::{Value, json};
@@ -31,9 +31,9 @@
 
 impl Check for Shared {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
-        let fault = |fault: Fault| calicolb_agreed::Fault { key: fault.key, why: fault.why };
+        let fault = |fault: SettingsError| calicolb_agreed::Fault { key: fault.key, why: fault.reason };
         if let Some(key) = OWN.iter().find(|key| version.contains_key(**key)) {
-            return Err(fault(Fault::new(*key, "is each scheduler's own, and is agreed for none")));
+            return Err(fault(SettingsError::new(*key, "is each scheduler's own, and is agreed for none")));
         }
         // It must be usable at some scheduler: at one of the first zone.
         let zone = version.get("azs").and_then(|zones| zones.get(0)).cloned().unwrap_or(Value::Null);
@@ -52,7 +52,7 @@
 impl Check for Here {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
         let checked = document::check(&whole(version, &self.own)).map(drop);
-        checked.map_err(|fault| calicolb_agreed::Fault { key: fault.key, why: fault.why })
+        checked.map_err(|fault| calicolb_agreed::Fault { key: fault.key, why: fault.reason })
     }
 }
 
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -14,7 +14,7 @@
 #![allow(dead_code, reason = "the control role asks for what SIGHUP does not")]
 
 use super::platform;
-use super::{Fault, Renewal};
+use super::{Renewal, SettingsError};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -172,16 +172,16 @@
 ///
 /// # Errors
 /// The key that has no place in settings.
-pub fn from_document(document: &Document) -> Result<Value, Fault> {
+pub fn from_document(document: &Document) -> Result<Value, SettingsError> {
     if document.len() > MOST_KEYS {
-        return Err(Fault::new("", format!("has {} keys: {MOST_KEYS} are the most", document.len())));
+        return Err(SettingsError::new("", format!("has {} keys: {MOST_KEYS} are the most", document.len())));
     }
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
     let mut by_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
     for (key, value) in document {
         if key.len() > LONGEST_KEY {
-            return Err(Fault::new(key.clone(), format!("is longer than {LONGEST_KEY} bytes")));
+            return Err(SettingsError::new(key.clone(), format!("is longer than {LONGEST_KEY} bytes")));
         }
         let list = NAMED.iter().find_map(|list| Some((*list, in_list(key, list)?)));
         let extra =
@@ -194,10 +194,10 @@
                 Some((name, field)) if !name.is_empty() && !field.is_empty() && field != "name" => {
                     (name, Some(field))
                 }
-                _ => return Err(Fault::new(key.clone(), "names no field of something with a name")),
+                _ => return Err(SettingsError::new(key.clone(), "names no field of something with a name")),
             };
             if name.is_empty() {
-                return Err(Fault::new(key.clone(), "has no name in it"));
+                return Err(SettingsError::new(key.clone(), "has no name in it"));
             }
             let fields = things.entry(name).or_default();
             if let Some(field) = field {
@@ -215,7 +215,10 @@
         let known = named.get(CLASSES);
         let classes: Vec<&str> = known.into_iter().flatten().map(|(name, _)| *name).collect();
         if let Some(name) = values.keys().find(|name| !classes.contains(name)) {
-            return Err(Fault::new(format!("{EXTRA}.{list}.{name}"), "is of a class that there is not"));
+            return Err(SettingsError::new(
+                format!("{EXTRA}.{list}.{name}"),
+                "is of a class that there is not",
+            ));
         }
         let none = BY_CLASS.iter().find(|(other, _)| *other == list).map_or(0, |(_, none)| *none);
         let told = classes.iter().rposition(|name| values.contains_key(name)).map_or(0, |last| last + 1);
@@ -239,18 +242,26 @@
 }
 
 /// That the document has no value for the group that this key is in.
-fn whole(document: &Document, key: &str, group: &str) -> Result<(), Fault> {
+fn whole(document: &Document, key: &str, group: &str) -> Result<(), SettingsError> {
     match document.contains_key(group) {
-        true => Err(Fault::new(key, format!("stands beside '{group}', which is one value"))),
+        true => Err(SettingsError::new(key, format!("stands beside '{group}', which is one value"))),
         false => Ok(()),
     }
 }
 
 /// Puts a value at the place that its key names.
-fn put(document: &Document, key: &str, value: &Value, root: &mut Map<String, Value>) -> Result<(), Fault> {
+fn put(
+    document: &Document,
+    key: &str,
+    value: &Value,
+    root: &mut Map<String, Value>,
+) -> Result<(), SettingsError> {
     let parts: Vec<&str> = key.split('.').collect();
     if parts.len() > MOST_PARTS || parts.iter().any(|part| part.is_empty()) {
-        return Err(Fault::new(key, format!("is no key: it has an empty part, or more than {MOST_PARTS}")));
+        return Err(SettingsError::new(
+            key,
+            format!("is no key: it has an empty part, or more than {MOST_PARTS}"),
+        ));
     }
     let dots = key.char_indices().filter(|(_, letter)| *letter == '.');
     for (dot, _) in dots {
@@ -260,7 +271,7 @@
     for part in &parts[..parts.len() - 1] {
         let group = place.entry(*part).or_insert_with(|| Value::Object(Map::new()));
         let Some(next) = group.as_object_mut() else {
-            return Err(Fault::new(key, "stands in what is no group of keys"));
+            return Err(SettingsError::new(key, "stands in what is no group of keys"));
         };
         place = next;
     }
@@ -274,7 +285,7 @@
 ///
 /// # Errors
 /// The key at fault, and what is wrong there.
-pub fn check(document: &Document) -> Result<Renewal, Fault> {
+pub fn check(document: &Document) -> Result<Renewal, SettingsError> {
     platform::renewal(&from_document(document)?)
 }
 
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -164,7 +164,7 @@
             Err(fault) => {
                 faulty.set(faulty.get() + 1);
                 let named = !fault.key.is_empty() || document.contains_key("");
-                prop_assert!(named && !fault.why.is_empty(), "{:?} of {:?}", fault, document);
+                prop_assert!(named && !fault.reason.is_empty(), "{:?} of {:?}", fault, document);
             }
         }
         Ok(())
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -11,7 +11,7 @@
 
 use self::list::Update;
 use calicolb::api::{ClassIx, KindIx, Member, Micros, Settings, ZoneIx};
-pub use calicolb::renewal::Fault;
+pub use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -57,7 +57,8 @@
         let passed = passed.map(|text| descriptor("RELAY_PASSED_SOCKET", &text)).transpose()?;
         let limits = root.section("limits")?;
         let settings = root.map.get("settings").ok_or("'settings' is missing")?;
-        let told_of = renewal(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.why))?;
+        let told_of =
+            renewal(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.reason))?;
         let Renewal { settings: module, names, conn_idle, most_open } = told_of;
         let known = match root.map.get("known") {
             None | Some(Value::Null) => None,
@@ -96,20 +97,20 @@
 }
 
 /// The settings, checked whole.
-pub(super) fn renewal(settings: &Value) -> Result<Renewal, Fault> {
+pub(super) fn renewal(settings: &Value) -> Result<Renewal, SettingsError> {
     let ceiling = |key: &str, default: u64| {
         let at = format!("ceilings.{key}");
         let section = match settings.get("ceilings") {
             Some(Value::Object(map)) => Section { at: "", map },
-            Some(_) => return Err(Fault::new("ceilings", "is not an object")),
+            Some(_) => return Err(SettingsError::new("ceilings", "is not an object")),
             None => return Ok(default),
         };
-        let told = section.whole(key).map_err(|_| Fault::new(at, "is not a number from 0 on"))?;
+        let told = section.whole(key).map_err(|_| SettingsError::new(at, "is not a number from 0 on"))?;
         Ok(told.unwrap_or(default))
     };
     let (mut module, names) = wire::settings_of(settings)?;
     if module.classes.is_empty() {
-        return Err(Fault::new("request_classes", "is missing or empty"));
+        return Err(SettingsError::new("request_classes", "is missing or empty"));
     }
     sound(&module, &names)?;
     // `retry_after` says what the simulator's clients are given. Here a refusal is an HTTP answer, which
@@ -122,17 +123,21 @@
 }
 
 /// That a span can be added to any time.
-fn within(key: &str, span: Micros) -> Result<(), Fault> {
+fn within(key: &str, span: Micros) -> Result<(), SettingsError> {
     if span > LONGEST {
-        return Err(Fault::new(key, format!("is {span}: {LONGEST} microseconds are the most")));
+        return Err(SettingsError::new(key, format!("is {span}: {LONGEST} microseconds are the most")));
     }
     Ok(())
 }
 
 /// That no figure is beyond what can be reckoned with, and each name is there once.
-fn sound(settings: &Settings, names: &Names) -> Result<(), Fault> {
+fn sound(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
     let least = |key: String, figure: f64| {
-        if figure >= 0.0 { Ok(()) } else { Err(Fault::new(key, format!("is {figure}: 0 is the least"))) }
+        if figure >= 0.0 {
+            Ok(())
+        } else {
+            Err(SettingsError::new(key, format!("is {figure}: 0 is the least")))
+        }
     };
     once("request_classes", names.classes())?;
     once("orgs", names.tenants())?;
@@ -168,14 +173,14 @@
     least("rules.fall_multiple".to_owned(), rules.fall_multiple)
 }
 
-fn once<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), Fault> {
+fn once<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), SettingsError> {
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() {
-            return Err(Fault::new(list, "has one without a name"));
+            return Err(SettingsError::new(list, "has one without a name"));
         }
         if !seen.insert(name) {
-            return Err(Fault::new(format!("{list}.{name}"), "is there twice"));
+            return Err(SettingsError::new(format!("{list}.{name}"), "is there twice"));
         }
     }
     Ok(())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,5 +2,5 @@
 
 pub use calicolb_decisions::{api, rules};
 
-pub mod renewal;
+pub mod settings_update;
 pub mod wire;
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -215,7 +215,7 @@
         body: &[u8],
     ) {
         let Some(conn) = self.conns.get_mut(&token) else { return };
-        conn.buffer.put(&framing::write_response(status, extra, body, conn.keep_alive));
+        conn.buffer.append_output(&framing::write_response(status, extra, body, conn.keep_alive));
         conn.phase = if conn.keep_alive { Phase::Open } else { Phase::Leaving };
         conn.owed = false;
         io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
@@ -232,8 +232,9 @@
         let _ = sockopt::set_tcp_user_timeout(&conn.stream, UNACKNOWLEDGED_MS);
         // Hundreds of them must not hold megabytes each in the system.
         let _ = sockopt::set_socket_send_buffer_size(&conn.stream, SYSTEM_BUFFER);
-        conn.buffer
-            .put(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
+        conn.buffer.append_output(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n",
+        );
         self.watching += 1;
         io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
         true
@@ -242,13 +243,13 @@
     /// Tells a watch a line. One that takes nothing is ended.
     pub fn tell(&mut self, io: &mut Io<'_>, token: usize, line: &[u8]) {
         let Some(conn) = self.conns.get_mut(&token) else { return };
-        if conn.buffer.waiting() + line.len() > WATCH_LIMIT {
+        if conn.buffer.pending_output() + line.len() > WATCH_LIMIT {
             note!("a learner took nothing of its watch, or has gone: the watch is ended");
             return self.close(io, token);
         }
-        conn.buffer.put(format!("{:x}\r\n", line.len()).as_bytes());
-        conn.buffer.put(line);
-        conn.buffer.put(b"\r\n");
+        conn.buffer.append_output(format!("{:x}\r\n", line.len()).as_bytes());
+        conn.buffer.append_output(line);
+        conn.buffer.append_output(b"\r\n");
         self.flush(io, token);
     }
 
@@ -258,7 +259,7 @@
         if !conn.buffer.has_output() {
             return true;
         }
-        let before = conn.buffer.waiting();
+        let before = conn.buffer.pending_output();
         match conn.buffer.flush(&mut conn.stream) {
             Ok(true) => {
                 io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
@@ -270,7 +271,7 @@
                 true
             }
             Ok(false) => {
-                if conn.buffer.waiting() < before
+                if conn.buffer.pending_output() < before
                     || !io.deadlines.has(Deadline::Connection(token, ConnectionTimer::OfferTimeout))
                 {
                     io.deadlines
@@ -280,7 +281,7 @@
             }
             Err(_) => {
                 // What waited was not taken, or its other side has gone.
-                if conn.phase == Phase::Watching && conn.buffer.waiting() > 0 {
+                if conn.phase == Phase::Watching && conn.buffer.pending_output() > 0 {
                     note!("a learner took nothing of its watch, or has gone: the watch is ended");
                 }
                 self.close(io, token);
--- a/src/net/control/link.rs
+++ b/src/net/control/link.rs
@@ -118,9 +118,9 @@
         }
         let _ = conn.stream.set_nodelay(true);
         loop {
-            let waiting = conn.buffer.waiting();
+            let waiting = conn.buffer.pending_output();
             if !conn.buffer.flush(&mut conn.stream).map_err(|_| ())? {
-                if conn.buffer.waiting() < waiting {
+                if conn.buffer.pending_output() < waiting {
                     io.deadlines
                         .set(Deadline::Connection(conn.token, ConnectionTimer::Timeout), io.now + ANSWER);
                 }
@@ -159,7 +159,7 @@
                 self.bytes -= message.len();
                 conn.out += 1;
                 let request = framing::write_request("POST", &self.target, &[("Host", "control")], &message);
-                conn.buffer.put(&request);
+                conn.buffer.append_output(&request);
             }
         }
     }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -129,7 +129,7 @@
         self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT);
         loop {
             let now = self.clock.now();
-            match self.poll.poll(&mut events, self.deadlines.timeout(now)) {
+            match self.poll.poll(&mut events, self.deadlines.poll_timeout(now)) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
             }
--- a/src/net/core/buffer.rs
+++ b/src/net/core/buffer.rs
@@ -89,7 +89,7 @@
     }
 
     /// Adds output.
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn append_output(&mut self, bytes: &[u8]) {
         self.data.extend_from_slice(bytes);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// How much waits to go out.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_output(&self) -> usize {
         self.data.len() - self.out
     }
 
@@ -161,7 +161,7 @@
         let mut buffer = Buffer::default();
         assert_eq!(buffer.fill(&mut Trickle(b"first second".to_vec(), 5), 100), FillOutcome::WouldBlock);
         buffer.consume(6);
-        buffer.put(b"an answer");
+        buffer.append_output(b"an answer");
         let mut sink = Trickle(Vec::new(), 4);
         assert!(!buffer.flush(&mut sink).expect("it would only block"));
         assert_eq!(buffer.fill(&mut Trickle(b"more".to_vec(), 9), 100), FillOutcome::LimitReached);
--- a/src/net/core/counters.rs
+++ b/src/net/core/counters.rs
@@ -30,17 +30,17 @@
     }
 
     /// There are so many classes now; what was counted stays.
-    pub fn grow(&mut self, classes: usize) {
+    pub fn resize(&mut self, classes: usize) {
         self.0.resize(classes.max(self.0.len()), ClassCounters::default());
     }
 
     /// The counts of a class.
-    pub fn of(&mut self, class: ClassIx) -> &mut ClassCounters {
+    pub fn class_mut(&mut self, class: ClassIx) -> &mut ClassCounters {
         &mut self.0[class.0]
     }
 
     /// The figures as lines, with those of protocols that have their own, and a last line `end`.
-    pub fn write<'a, T: Display>(
+    pub fn render<'a, T: Display>(
         &self,
         classes: impl Iterator<Item = &'a str>,
         present: Gauges,
@@ -78,11 +78,11 @@
     #[test]
     fn figures_are_lines_by_class_and_end_with_end() {
         let mut figures = Counters::new(2);
-        figures.of(ClassIx(1)).served += 812;
-        figures.of(ClassIx(1)).attempts += 900;
-        figures.of(ClassIx(0)).attempts += 1;
+        figures.class_mut(ClassIx(1)).served += 812;
+        figures.class_mut(ClassIx(1)).attempts += 900;
+        figures.class_mut(ClassIx(0)).attempts += 1;
         let present = Gauges { in_flight: 14, known: 3, avoided: 1 };
-        let text = figures.write(["look", "book"].into_iter(), present, [("own.lanes", 5)].into_iter());
+        let text = figures.render(["look", "book"].into_iter(), present, [("own.lanes", 5)].into_iter());
         let lines: Vec<&str> = text.lines().collect();
         for line in [
             "scheduler.requests.book.served=812",
--- a/src/net/core/deadlines.rs
+++ b/src/net/core/deadlines.rs
@@ -106,7 +106,7 @@
     }
 
     /// How long the poll may sleep.
-    pub fn timeout(&self, now: Micros) -> Option<Duration> {
+    pub fn poll_timeout(&self, now: Micros) -> Option<Duration> {
         let &(at, _) = self.sorted.first()?;
         Some(Duration::from_micros(at.saturating_sub(now)))
     }
@@ -124,11 +124,11 @@
         deadlines.set(Deadline::Connection(1, ConnectionTimer::Timeout), 10);
         deadlines.set(Deadline::DiscoveryFetch, 5);
         deadlines.clear(Deadline::DiscoveryFetch);
-        assert_eq!(deadlines.timeout(4), Some(Duration::from_micros(6)));
+        assert_eq!(deadlines.poll_timeout(4), Some(Duration::from_micros(6)));
         assert_eq!(deadlines.next_due(9), None);
         assert_eq!(deadlines.next_due(60), Some(Deadline::Connection(1, ConnectionTimer::Timeout)));
         assert_eq!(deadlines.next_due(60), Some(Deadline::Connection(2, ConnectionTimer::Accept)));
         assert_eq!(deadlines.next_due(60), None);
-        assert_eq!(deadlines.timeout(60), None);
+        assert_eq!(deadlines.poll_timeout(60), None);
     }
 }
--- a/src/net/core/network_delay.rs
+++ b/src/net/core/network_delay.rs
@@ -12,12 +12,12 @@
 
 /// What is written, or the end of a connection, has come to the other side by this time (microseconds): a connection that
 /// is established within the stated time has made the way there and back in it.
-pub fn arrives(connect_timeout: Micros) -> Micros {
+pub fn max_transit_time(connect_timeout: Micros) -> Micros {
     connect_timeout.max(LEAST)
 }
 
 /// Who has not answered by this time (microseconds) after the last byte was written has fallen silent: a first request
 /// waits for its connection's handshake, and the answer has a way back.
-pub fn silence(connect_timeout: Micros) -> Micros {
-    (2 * arrives(connect_timeout)).max(SAYS)
+pub fn acceptance_timeout(connect_timeout: Micros) -> Micros {
+    (2 * max_transit_time(connect_timeout)).max(SAYS)
 }
--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -8,8 +8,8 @@
 use crate::net::core::network_delay;
 use crate::net::core::worker_registry::{WorkerRegistry, WorkerSource};
 use calicolb::api::*;
-use calicolb::renewal::{Fault, key_of};
 use calicolb::rules::Dispatcher;
+use calicolb::settings_update::{SettingsError, settings_key};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::mem;
 
@@ -53,7 +53,7 @@
         RequestTable {
             most_tries: settings.limits.tries,
             copies: settings.limits.copies,
-            takes: network_delay::silence(settings.limits.connect_timeout),
+            takes: network_delay::acceptance_timeout(settings.limits.connect_timeout),
             slots: settings.classes.iter().map(|class| class.slots).collect(),
             figures: Counters::new(settings.classes.len()),
             dispatcher: Dispatcher::new(settings, seed, now),
@@ -82,7 +82,7 @@
             return Err(IntakeError::DuplicateName);
         }
         if self.entries.len() >= self.most_open {
-            self.figures.of(job.class).refused += 1;
+            self.figures.class_mut(job.class).refused += 1;
             return Err(IntakeError::TooManyOpen);
         }
         Ok(self.enter(now, client, job, None))
@@ -94,7 +94,7 @@
         }
         let number = self.next_request;
         self.next_request = number.wrapping_add(1);
-        let expires = now.saturating_add(job.patience);
+        let expires = now.saturating_add(job.client_timeout);
         let answer_by = expires.min(self.ends);
         self.names.insert(job.name.clone(), number);
         if let Some(turnover) = &mut self.turnover {
@@ -110,7 +110,7 @@
             expires,
             payload: job.payload,
             concluded: false,
-            hears: job.hears,
+            hears: job.updates,
             streaming: false,
             attempts: Vec::new(),
         };
@@ -201,8 +201,10 @@
     ///
     /// # Errors
     /// The field of the module's that stands in the way.
-    pub fn check_settings(&self, new: &Settings) -> Result<(), Fault> {
-        self.dispatcher.could_take(new).map_err(|refused| Fault::new(key_of(refused.field), refused.why))
+    pub fn check_settings(&self, new: &Settings) -> Result<(), SettingsError> {
+        self.dispatcher
+            .could_take(new)
+            .map_err(|refused| SettingsError::new(settings_key(refused.field), refused.why))
     }
 
     /// Takes up settings that [`RequestTable::could_take`] let pass. No action of the module's waits between two batches, so what
@@ -210,9 +212,9 @@
     pub fn apply_settings(&mut self, now: Micros, settings: Settings, deadlines: &mut Deadlines) {
         let (limits, classes) = (&settings.limits, &settings.classes);
         (self.most_tries, self.copies) = (limits.tries, limits.copies);
-        self.takes = network_delay::silence(limits.connect_timeout);
+        self.takes = network_delay::acceptance_timeout(limits.connect_timeout);
         self.slots = classes.iter().map(|class| class.slots).collect();
-        self.figures.grow(classes.len());
+        self.figures.resize(classes.len());
         let mut actions = Vec::new();
         self.dispatcher.on_event(now, Event::Settings(Box::new(settings)), &mut actions);
         for action in actions {
--- a/src/net/core/request_table/actions.rs
+++ b/src/net/core/request_table/actions.rs
@@ -8,7 +8,7 @@
             Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, deadlines),
             Action::Refuse { request, come_back, why } => {
                 note!(debug: request = request.0, ?why, "a request is refused");
-                self.conclude(request.0, Answer::Busy { come_back });
+                self.conclude(request.0, Answer::Busy { retry_after: come_back });
             }
             Action::Fail(request) => self.conclude(request.0, Answer::Failed),
             Action::Cancel { request, attempt } => {
@@ -75,7 +75,12 @@
         }
         deadlines.set(Deadline::AttemptTimeout(id.request, id.number), ends);
         note!(debug: request = id.request, attempt = id.number, hop = hop.0, "an attempt is sent");
-        self.work.push(Command::Send { attempt: id, hop, payload: entry.payload.clone(), wait: ends - now });
+        self.work.push(Command::SendAttempt {
+            attempt: id,
+            worker: hop,
+            payload: entry.payload.clone(),
+            timeout: ends - now,
+        });
     }
 
     pub(super) fn attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
@@ -95,7 +100,7 @@
         attempt.told_off = true;
         let hop = attempt.hop;
         let name = self.entries.get(&id.request).map(|entry| entry.name.clone()).unwrap_or_default();
-        self.work.push(Command::Cancel { attempt: id, hop, name });
+        self.work.push(Command::Cancel { attempt: id, worker: hop, name });
     }
 
     pub(super) fn serve(&mut self, now: Micros, id: AttemptId, result: Vec<u8>, report: Option<Report>) {
@@ -141,7 +146,7 @@
             return;
         }
         entry.concluded = true;
-        let tally = self.figures.of(entry.class);
+        let tally = self.figures.class_mut(entry.class);
         note!(debug: request = number, class = entry.class.0, answer = answer.word(), "a request is answered");
         match answer {
             Answer::Served(_) => tally.served += 1,
@@ -149,7 +154,7 @@
             Answer::Failed => tally.failed += 1,
         }
         self.clients.remove(&entry.client);
-        self.work.push(Command::Answer { client: entry.client, answer });
+        self.work.push(Command::SendAnswer { client: entry.client, answer });
         self.closing.push(number);
     }
 
--- a/src/net/core/request_table/attempts.rs
+++ b/src/net/core/request_table/attempts.rs
@@ -25,7 +25,7 @@
         let Some(attempt) = self.attempt(id) else { return };
         attempt.written_at = Some(now);
         if let Some(entry) = self.entries.get(&id.request) {
-            self.figures.of(entry.class).attempts += 1;
+            self.figures.class_mut(entry.class).attempts += 1;
         }
     }
 
@@ -54,7 +54,8 @@
                 && entry.hears != ClientUpdates::Nothing
                 && !entry.concluded
             {
-                self.work.push(Command::Relay { client: entry.client, part: PartialResult::Started });
+                self.work
+                    .push(Command::SendPartialResult { client: entry.client, part: PartialResult::Started });
             }
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
         }
@@ -81,7 +82,7 @@
             entry.streaming = true;
             self.events.push_back(Event::Streaming { request, attempt });
         }
-        self.work.push(Command::Relay { client: entry.client, part });
+        self.work.push(Command::SendPartialResult { client: entry.client, part });
         None
     }
 
--- a/src/net/core/request_table/end_of_process.rs
+++ b/src/net/core/request_table/end_of_process.rs
@@ -173,7 +173,7 @@
         deadlines: &mut Deadlines,
     ) {
         self.elsewhere.remove(&job.name);
-        job.patience = history.expires.saturating_sub(now);
+        job.client_timeout = history.expires.saturating_sub(now);
         let number = self.enter(now, client, job, Some(history));
         let Some(entry) = self.entries.get_mut(&number) else { return };
         entry.arrived = history.arrived;
--- a/src/net/core/request_table/request.rs
+++ b/src/net/core/request_table/request.rs
@@ -18,7 +18,7 @@
     pub class: ClassIx,
     pub tenant: Option<TenantIx>,
     pub hint: Option<f64>,
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Slots that it takes; `None`: as many as its class says.
     pub slots: Option<u32>,
     pub memory: f64,
@@ -27,7 +27,7 @@
     /// What a next hop must be able to do for it.
     pub skill: u32,
     /// What its client is told before the end.
-    pub hears: ClientUpdates,
+    pub updates: ClientUpdates,
     pub payload: P,
 }
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Served(Vec<u8>),
-    Busy { come_back: Option<Micros> },
+    Busy { retry_after: Option<Micros> },
     Failed,
 }
 
@@ -96,25 +96,25 @@
 /// What is to be done.
 #[derive(Debug, PartialEq)]
 pub enum Command<P> {
-    Relay {
+    SendPartialResult {
         client: ClientId,
         part: PartialResult,
     },
-    Answer {
+    SendAnswer {
         client: ClientId,
         answer: Answer,
     },
-    Send {
+    SendAttempt {
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         payload: P,
-        wait: Micros,
+        timeout: Micros,
     },
     /// An attempt was given up, and may be with its next hop. Who drives that tells when it has heard, with
     /// [`RequestTable::called_off`].
     Cancel {
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         name: String,
     },
     Probe(WorkerId),
--- a/src/net/core/request_table/tests.rs
+++ b/src/net/core/request_table/tests.rs
@@ -78,13 +78,13 @@
             class: ClassIx(class),
             tenant: None,
             hint: None,
-            patience: 9 * SECOND,
+            client_timeout: 9 * SECOND,
             slots: Some(1),
             memory: 0.0,
             key: None,
             retry: false,
             skill: 0,
-            hears: ClientUpdates::Nothing,
+            updates: ClientUpdates::Nothing,
             payload: "job",
         }
     }
@@ -101,13 +101,13 @@
 
 fn sent(work: &[Command<&'static str>]) -> AttemptId {
     match work {
-        [Command::Send { attempt, hop: HOP, payload: "job", .. }] => *attempt,
+        [Command::SendAttempt { attempt, worker: HOP, payload: "job", .. }] => *attempt,
         other => panic!("one attempt was due, not {other:?}"),
     }
 }
 
 fn answer(answer: Answer) -> Command<&'static str> {
-    Command::Answer { client: 99, answer }
+    Command::SendAnswer { client: 99, answer }
 }
 
 #[test]
@@ -116,7 +116,7 @@
     let mut table = Table::new();
     let attempt = table.arrive(1);
     table.desk.connection_broken(table.now, attempt);
-    assert_eq!(table.later(), [answer(Answer::Busy { come_back: None })]);
+    assert_eq!(table.later(), [answer(Answer::Busy { retry_after: None })]);
     // ... written: it may have run, and no refusal may say otherwise.
     let mut table = Table::new();
     let attempt = table.arrive(1);
@@ -168,7 +168,7 @@
     let mut table = Table::new();
     let attempt = table.arrive(1);
     table.desk.attempt_written(table.now, attempt);
-    let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
+    let given_up = Command::Cancel { attempt, worker: HOP, name: "a1".to_owned() };
     assert_eq!(table.later(), [given_up, answer(Answer::Failed)]);
 }
 
@@ -181,7 +181,7 @@
     let cancel = Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel, &mut table.deadlines);
     // The word is on its way, and may be lost: nothing has ended, and no other attempt may go out.
-    let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
+    let given_up = Command::Cancel { attempt, worker: HOP, name: "a1".to_owned() };
     assert_eq!(table.turn(), [given_up]);
     assert!(!table.desk.has_pending());
     table.desk.cancel_delivered(table.now, attempt);
@@ -237,9 +237,9 @@
     let cancel = || Action::Cancel { request: RequestId(attempt.request), attempt: attempt.number };
     table.desk.carry_out(table.now, cancel(), &mut table.deadlines);
     assert_eq!(table.turn(), [], "it may yet be taken");
-    table.now += network_delay::silence(table.connect_timeout);
+    table.now += network_delay::acceptance_timeout(table.connect_timeout);
     table.desk.cancel_unaccepted(attempt);
-    let given_up = Command::Cancel { attempt, hop: HOP, name: "a1".to_owned() };
+    let given_up = Command::Cancel { attempt, worker: HOP, name: "a1".to_owned() };
     assert_eq!(table.turn(), [given_up]);
     table.desk.carry_out(table.now, cancel(), &mut table.deadlines);
     assert_eq!(table.turn(), []);
--- a/src/net/core/transfer.rs
+++ b/src/net/core/transfer.rs
@@ -24,7 +24,8 @@
 pub struct LegacyTransfer {
     pub envelope: Envelope,
     pub keep_alive: bool,
-    pub hop: u32,
+    #[serde(rename = "hop")]
+    pub worker: u32,
     pub sent: Micros,
     pub expires: Micros,
 }
@@ -56,7 +57,7 @@
 
 impl From<LegacyTransfer> for Transfer {
     fn from(taken: LegacyTransfer) -> Self {
-        let LegacyTransfer { envelope, keep_alive, hop, sent, expires } = taken;
+        let LegacyTransfer { envelope, keep_alive, worker: hop, sent, expires } = taken;
         let attempt = AttemptRecord { worker: WorkerId(hop), sent, state: AttemptState::Out, ended_by: None };
         let history = RequestHistory { arrived: sent, expires, effect: None, attempts: vec![attempt] };
         Transfer { envelope, keep_alive, unread: Vec::new(), history, clock: 0 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -203,7 +203,7 @@
             Some(handover) => {
                 let ahead = handover.clock.map_or(0, |clock| parts.upgrade.hear_clock(now, clock));
                 let knowledge = renewal::placed(handover.knowledge, &handover.names, ctx.names, now);
-                ctx.desk.import_knowledge(renewal::on_clock(knowledge, ahead));
+                ctx.request_table.import_knowledge(renewal::on_clock(knowledge, ahead));
                 (Some(handover.routes), handover.drained)
             }
             None => (known, false),
@@ -214,7 +214,7 @@
                 .iter()
                 .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.dial, 0));
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
-            ctx.desk.update_workers(WorkerSource::OperatorFile, ListKind::Changes, members);
+            ctx.request_table.update_workers(WorkerSource::OperatorFile, ListKind::Changes, members);
         }
         parts.routes.warm(&mut ctx, &mut parts.http.hops, known, confirmed_ago);
         parts.http.listen(&mut ctx)?;
@@ -261,10 +261,10 @@
         let (shares, most_open) = shares(sockets, own);
         let most_open = most_open.min(self.most_open);
         let (mut ctx, mut parts) = self.split(now);
-        ctx.desk.set_max_open(most_open);
+        ctx.request_table.set_max_open(most_open);
         // Alike for all protocols: which of them is in use is not known beforehand.
         let count = 1 + parts.others.len();
-        let each = DescriptorLimits { clients: shares.clients / count, hops: shares.hops / count };
+        let each = DescriptorLimits { clients: shares.clients / count, workers: shares.workers / count };
         parts.protocols().for_each(|protocol| protocol.set_descriptor_limits(&mut ctx, each));
     }
 
@@ -284,7 +284,7 @@
             let now = self.clock.now();
             // The second look at whether all is done must not wait for the next deadline, which may be far off.
             let at_once = self.desk.has_pending() || done > 0;
-            let timeout = if at_once { Some(Duration::ZERO) } else { self.deadlines.timeout(now) };
+            let timeout = if at_once { Some(Duration::ZERO) } else { self.deadlines.poll_timeout(now) };
             match self.poll.poll(&mut events, timeout) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
@@ -345,11 +345,11 @@
             registry: &self.registry,
             names: &self.names,
             deadlines: &mut self.deadlines,
-            desk: &mut self.desk,
-            tokens: &mut self.tokens,
-            strays: &mut self.strays,
-            outbox: &mut self.outbox,
-            wishes: &mut self.wishes,
+            request_table: &mut self.desk,
+            last_token: &mut self.tokens,
+            unmatched_callbacks: &mut self.strays,
+            peer_outbox: &mut self.outbox,
+            protocol_requests: &mut self.wishes,
             now,
         };
         let parts = Parts {
@@ -402,18 +402,18 @@
     fn due(&mut self, now: Micros, due: Deadline) {
         let (mut ctx, mut parts) = self.split(now);
         match due {
-            Deadline::DispatcherTimer(timer, _) => ctx.desk.timer_fired(timer),
+            Deadline::DispatcherTimer(timer, _) => ctx.request_table.timer_fired(timer),
             Deadline::AttemptTimeout(request, attempt) => {
                 let attempt = AttemptId { request, number: attempt };
-                if !ctx.desk.attempt_timed_out(now, attempt) {
+                if !ctx.request_table.attempt_timed_out(now, attempt) {
                     parts.protocols().for_each(|protocol| protocol.release_attempt(&mut ctx, attempt));
                 }
             }
             Deadline::CancelUnaccepted(request, attempt) => {
-                ctx.desk.cancel_unaccepted(AttemptId { request, number: attempt })
+                ctx.request_table.cancel_unaccepted(AttemptId { request, number: attempt })
             }
             Deadline::CancelDelivered(request, attempt) => {
-                ctx.desk.cancel_delivered(now, AttemptId { request, number: attempt })
+                ctx.request_table.cancel_delivered(now, AttemptId { request, number: attempt })
             }
             Deadline::Connection(token, alarm) => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_token(token)) {
@@ -462,20 +462,22 @@
         let rank = self.rank;
         let (mut ctx, mut parts) = self.split(now);
         match work {
-            Command::Answer { client, answer } => {
+            Command::SendAnswer { client, answer } => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_client(client)) {
                     protocol.send_answer(&mut ctx, client, answer);
                 }
             }
-            Command::Relay { client, part } => {
+            Command::SendPartialResult { client, part } => {
                 if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_client(client)) {
                     protocol.send_partial_result(&mut ctx, client, part);
                 }
             }
-            Command::Send { attempt, hop, payload, wait } => {
+            Command::SendAttempt { attempt, worker: hop, payload, timeout: wait } => {
                 parts.driver(hop).send_attempt(&mut ctx, attempt, hop, &payload, wait);
             }
-            Command::Cancel { attempt, hop, name } => parts.driver(hop).cancel(&mut ctx, attempt, hop, &name),
+            Command::Cancel { attempt, worker: hop, name } => {
+                parts.driver(hop).cancel(&mut ctx, attempt, hop, &name)
+            }
             Command::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
             // To the own rank: the process that took over counts it with its own.
             Command::SendPeerMessage { to, body } if to == Some(rank) => {
@@ -506,8 +508,8 @@
     /// Does what a protocol wants of the whole program.
     fn grant(&mut self, now: Micros, wish: ProtocolRequest) {
         match wish {
-            ProtocolRequest::End { patient: false } => self.begin_drain(now, Why::Ending),
-            ProtocolRequest::End { patient: true } => self.begin_patient_end(now),
+            ProtocolRequest::Shutdown { graceful: false } => self.begin_drain(now, Why::Ending),
+            ProtocolRequest::Shutdown { graceful: true } => self.begin_patient_end(now),
         }
     }
 }
@@ -526,7 +528,7 @@
     let to_clients = usable - to_hops;
     // Requests in work hold a connection each, a third of all descriptors at most: the rest of the connections is for
     // call-backs, without which no work would end, and for clients at rest.
-    (DescriptorLimits { clients: to_clients, hops: to_hops }, (sockets / 3).min(to_clients * 9 / 10))
+    (DescriptorLimits { clients: to_clients, workers: to_hops }, (sockets / 3).min(to_clients * 9 / 10))
 }
 
 struct Parts<'a> {
--- a/src/net/event_loop/orders.rs
+++ b/src/net/event_loop/orders.rs
@@ -30,7 +30,7 @@
                 let others = others.chain([("settings.taken_up", self.renewals)]);
                 let others = others.map(|(name, value)| (name, value.to_string()));
                 let others = others.chain(self.control.iter().flat_map(|control| control.figures(now)));
-                self.desk.counters().write(self.names.classes(), present, others)
+                self.desk.counters().render(self.names.classes(), present, others)
             }
             // What this process no longer takes is the successor's to send away.
             Some(Order::Lameduck | Order::Rejoin) if self.retired => {
--- a/src/net/event_loop/renewal.rs
+++ b/src/net/event_loop/renewal.rs
@@ -1,12 +1,12 @@
 //! Settings that come into force while the program runs: all of them between two batches of the module, or none.
 
 use super::{Control, EventLoop};
-use crate::config::{Config, Fault, Renewal};
+use crate::config::{Config, Renewal, SettingsError};
 use crate::log::note;
 use crate::net::platform::upgrade::Listed;
 use calicolb::api::Micros;
-use calicolb::renewal::merge;
 use calicolb::rules::Dispatcher;
+use calicolb::settings_update::merge;
 use calicolb::wire::Names;
 use serde_json::Value;
 use std::time::Instant;
@@ -49,7 +49,7 @@
             );
         }
         if let Err(fault) = self.take_up(now, config.renewal()) {
-            note!("SIGHUP: 'settings.{}' {}; the old settings stay in force", fault.key, fault.why);
+            note!("SIGHUP: 'settings.{}' {}; the old settings stay in force", fault.key, fault.reason);
         }
     }
 
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// The first key that cannot change while the program runs: nothing has changed then.
-    pub fn take_up(&mut self, now: Micros, new: Renewal) -> Result<(), Fault> {
+    pub fn take_up(&mut self, now: Micros, new: Renewal) -> Result<(), SettingsError> {
         let begun = Instant::now();
         let old = (self.desk.settings(), &self.names);
         let (settings, names) = merge(old, (&new.settings, &new.names))?;
@@ -82,7 +82,7 @@
         let added = names.classes().nth(self.names.classes().count()).filter(|_| self.appliance);
         if let Some(class) = added {
             let why = "is a class that an operator file does not name: it needs a restart";
-            return Err(Fault::new(format!("request_classes.{class}"), why));
+            return Err(SettingsError::new(format!("request_classes.{class}"), why));
         }
         self.others.iter().try_for_each(|other| other.check_settings(&names, &settings.classes))?;
         self.desk.check_settings(&settings)?;
--- a/src/net/event_loop/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -22,9 +22,9 @@
             routes: parts.routes.list(),
             clock: Some(now),
             confirmed_us_ago: parts.routes.confirmed_ago(now),
-            knowledge: ctx.desk.hand_over(),
+            knowledge: ctx.request_table.hand_over(),
             names: Some(Listed::new(ctx.names)),
-            open: ctx.desk.track_open_names(),
+            open: ctx.request_table.track_open_names(),
             drained: parts.drain.asked(),
         };
         parts.upgrade.say(Side::Successor, &Word::Handover(Box::new(handover)));
@@ -52,7 +52,7 @@
                 self.retired = false;
                 let opened = self.open_peers(now);
                 let (mut ctx, parts) = self.split(now);
-                ctx.desk.successor_gone();
+                ctx.request_table.successor_gone();
                 if parts.drain.open() {
                     parts.http.resume();
                 }
--- a/src/net/gearman/admin.rs
+++ b/src/net/gearman/admin.rs
@@ -65,11 +65,11 @@
                 };
                 self.mail(ctx, mail);
                 // What runs is called off as for a client that has left.
-                ctx.desk.client_left(job);
+                ctx.request_table.client_left(job);
                 "OK\n".to_owned()
             }
             Command::Shutdown { graceful } => {
-                ctx.wishes.push(ProtocolRequest::End { patient: graceful });
+                ctx.protocol_requests.push(ProtocolRequest::Shutdown { graceful });
                 "OK\n".to_owned()
             }
         }
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -124,17 +124,17 @@
         self.blocked.remove(&token);
         if let Some(Lost::Offered(attempt) | Lost::Assigned(attempt)) = self.fleet.close(token) {
             self.offers.remove(&attempt);
-            ctx.desk.connection_broken(ctx.now, attempt);
+            ctx.request_table.connection_broken(ctx.now, attempt);
         }
         for job in self.book.leave(token) {
-            ctx.desk.client_left(job);
+            ctx.request_table.client_left(job);
         }
     }
 
     /// Writes a packet or text to a peer, as far as it takes it now.
     pub(super) fn put(&mut self, ctx: &mut Context<'_>, token: ConnId, bytes: &[u8]) {
         let Some(conn) = self.conns.get_mut(&token).filter(|conn| !conn.ending) else { return };
-        conn.buffer.put(bytes);
+        conn.buffer.append_output(bytes);
         self.flush(ctx, token);
     }
 
@@ -164,8 +164,8 @@
         match conn.buffer.flush(&mut conn.stream) {
             Ok(true) => {
                 if let Some((attempt, limit)) = conn.assigning.take() {
-                    ctx.desk.attempt_written(ctx.now, attempt);
-                    ctx.desk.attempt_note(attempt, Note::Started);
+                    ctx.request_table.attempt_written(ctx.now, attempt);
+                    ctx.request_table.attempt_note(attempt, Note::Started);
                     if limit > 0 {
                         let ends = ctx.now + Micros::from(limit) * SECOND;
                         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Idle), ends);
@@ -178,8 +178,8 @@
             }
             Ok(false) => {
                 ctx.deadlines.set(late, ctx.now + STALLED);
-                let waiting = conn.buffer.waiting();
-                let all = || self.conns.values().map(|conn| conn.buffer.waiting()).sum::<usize>();
+                let waiting = conn.buffer.pending_output();
+                let all = || self.conns.values().map(|conn| conn.buffer.pending_output()).sum::<usize>();
                 if waiting > OUTPUT || (waiting > FAIR && all() > ALL_OUTPUT) {
                     note!(warn: "a Gearman peer does not take what it is sent: {waiting} bytes wait");
                     self.drop_conn(ctx, token);
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -18,7 +18,7 @@
 use crate::net::core::worker_registry::WorkerSource;
 use crate::net::protocol::{DescriptorLimits, Protocol, ReleaseIdle};
 use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, Standing, WorkerId};
-use calicolb::renewal::Fault;
+use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::{Book, End};
@@ -133,13 +133,13 @@
                 if let Some(attempt) = self.fleet.expire(token) {
                     note!(request = attempt.request, "a worker was woken and did not ask");
                     self.offers.remove(&attempt);
-                    ctx.desk.connection_broken(ctx.now, attempt);
+                    ctx.request_table.connection_broken(ctx.now, attempt);
                 }
             }
             ConnectionTimer::Idle => {
                 // The worker's own limit is over.
                 if let Some(attempt) = self.fleet.running(token) {
-                    ctx.desk.attempt_timed_out(ctx.now, attempt);
+                    ctx.request_table.attempt_timed_out(ctx.now, attempt);
                 }
             }
             ConnectionTimer::Timeout => {
@@ -160,7 +160,7 @@
     fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         let end = match answer {
             Answer::Served(result) => End::Served(result),
-            Answer::Busy { come_back } => End::Refused(come_back),
+            Answer::Busy { retry_after: come_back } => End::Refused(come_back),
             Answer::Failed => End::Failed,
         };
         let mail = self.book.end(client, end);
@@ -192,7 +192,9 @@
         payload: &Payload,
         _wait: Micros,
     ) {
-        let Some(&nr) = self.hops.get(&hop) else { return ctx.desk.connection_broken(ctx.now, attempt) };
+        let Some(&nr) = self.hops.get(&hop) else {
+            return ctx.request_table.connection_broken(ctx.now, attempt);
+        };
         let fits = |function: &&Function| {
             let as_http = function.takes_http && function.grades[1].class.0 as u32 == payload.skill;
             function.skill == payload.skill || as_http
@@ -202,7 +204,7 @@
         let handle = self.handle(attempt);
         let offered = self.fleet.offer(nr, attempt, &functions, &handle);
         let (Offered::Wake(token) | Offered::Awaited(token) | Offered::Asked(token)) = offered else {
-            return ctx.desk.attempt_failed(ctx.now, attempt, Ending::Full, None);
+            return ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, None);
         };
         self.offers.insert(attempt, Rc::clone(payload));
         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + GRAB);
@@ -217,10 +219,10 @@
             if let Some(token) = conn {
                 ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             }
-            return ctx.desk.cancel_delivered(ctx.now, attempt);
+            return ctx.request_table.cancel_delivered(ctx.now, attempt);
         }
         // It was handed out, and there are no words for it: the worker runs on, and what it tells later meets nothing.
-        ctx.desk.cancel_undeliverable(ctx.now, attempt);
+        ctx.request_table.cancel_undeliverable(ctx.now, attempt);
     }
 
     fn release_attempt(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
@@ -229,7 +231,12 @@
         // What a worker could say of its load is known here.
         let free = self.hops.get(&hop).map(|&nr| self.fleet.free(nr) as f64);
         let ending = if free.is_some() { Ending::Ok } else { Ending::Unreachable };
-        ctx.desk.probe_finished(hop, ending, 0, Some(Report { free_slots: free, ..Report::default() }));
+        ctx.request_table.probe_finished(
+            hop,
+            ending,
+            0,
+            Some(Report { free_slots: free, ..Report::default() }),
+        );
     }
 
     fn close_idle(&mut self, _ctx: &mut Context<'_>, _hop: WorkerId) {}
@@ -266,7 +273,7 @@
             });
         }
         if !members.is_empty() {
-            ctx.desk.update_workers(SOURCE, ListKind::Changes, members);
+            ctx.request_table.update_workers(SOURCE, ListKind::Changes, members);
         }
     }
 
@@ -292,7 +299,7 @@
 
     fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         // Workers come in like clients.
-        self.most = shares.clients + shares.hops;
+        self.most = shares.clients + shares.workers;
         while self.conns.len() > self.most && self.release_idle(ctx) {}
     }
 
@@ -307,18 +314,18 @@
         self.parting = false;
     }
 
-    fn check_settings(&self, names: &Names, classes: &[Class]) -> Result<(), Fault> {
+    fn check_settings(&self, names: &Names, classes: &[Class]) -> Result<(), SettingsError> {
         for function in &self.config.functions {
             let effect = |grade: &Grade| classes.get(grade.class.0).map(|class| class.effect);
             for grade in &function.grades {
                 let Some(class) = self.config.classes.get(grade.class.0) else { continue };
                 if names.class(class).is_err() {
                     let why = format!("is the class of the function '{}', and cannot go", function.name);
-                    return Err(Fault::new(format!("request_classes.{class}"), why));
+                    return Err(SettingsError::new(format!("request_classes.{class}"), why));
                 }
                 if effect(grade) != effect(&function.grades[1]) {
                     let why = format!("differs from that of the other classes of '{}'", function.name);
-                    return Err(Fault::new(format!("request_classes.{class}.effect"), why));
+                    return Err(SettingsError::new(format!("request_classes.{class}.effect"), why));
                 }
             }
         }
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -113,7 +113,7 @@
             // Only offered: it never ran, and goes elsewhere at once.
             ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             self.offers.remove(&attempt);
-            ctx.desk.attempt_failed(ctx.now, attempt, Ending::Full, None);
+            ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, None);
         }
     }
 
@@ -144,7 +144,7 @@
         if let Some(job) = self.book.same(&submission) {
             self.book.join(job, &submission);
             if !background {
-                ctx.desk.subscribe_updates(job, ClientUpdates::All);
+                ctx.request_table.subscribe_updates(job, ClientUpdates::All);
             }
             return;
         }
@@ -174,16 +174,16 @@
             class: grade.class,
             tenant: None,
             hint: None,
-            patience: if background { function.background } else { grade.patience },
+            client_timeout: if background { function.background } else { grade.patience },
             slots: None,
             memory: 0.0,
             key: None,
             retry: false,
             skill: function.skill,
-            hears: if background { ClientUpdates::Progress } else { ClientUpdates::All },
+            updates: if background { ClientUpdates::Progress } else { ClientUpdates::All },
             payload: Rc::new(envelope),
         };
-        match ctx.desk.add_request(ctx.now, client, job) {
+        match ctx.request_table.add_request(ctx.now, client, job) {
             Ok(request) => {
                 let handle = self.handle(AttemptId { request, number: 0 });
                 self.book.open(client, handle, submission);
@@ -224,9 +224,9 @@
             Kind::WorkComplete => {
                 let mut result = std::mem::take(&mut conn.parts);
                 result.extend_from_slice(rest);
-                return ctx.desk.attempt_succeeded(ctx.now, attempt, result, None);
+                return ctx.request_table.attempt_succeeded(ctx.now, attempt, result, None);
             }
-            Kind::WorkFail => return ctx.desk.attempt_failed(ctx.now, attempt, Ending::Error, None),
+            Kind::WorkFail => return ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Error, None),
             Kind::WorkData => PartialResult::Data(rest.to_vec()),
             Kind::WorkWarning => PartialResult::Warning(rest.to_vec()),
             Kind::WorkException => PartialResult::Exception(rest.to_vec()),
@@ -240,7 +240,7 @@
             }
         };
         let Some(PartialResult::Data(part) | PartialResult::Warning(part)) =
-            ctx.desk.partial_result(attempt, part)
+            ctx.request_table.partial_result(attempt, part)
         else {
             return;
         };
@@ -249,7 +249,7 @@
         } else {
             // It ran, and what it gave cannot be served whole: it must not be served in part either.
             note!(warn: request = attempt.request, "a result is too large for its client");
-            ctx.desk.attempt_failed(ctx.now, attempt, Ending::Error, None);
+            ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Error, None);
             self.fleet.give_up(attempt);
         }
     }
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -53,11 +53,11 @@
             registry: self.poll.registry(),
             names: &self.names,
             deadlines: &mut self.deadlines,
-            desk: &mut self.desk,
-            tokens: &mut self.tokens,
-            strays: &mut Vec::new(),
-            outbox: &mut Vec::new(),
-            wishes: &mut Vec::new(),
+            request_table: &mut self.desk,
+            last_token: &mut self.tokens,
+            unmatched_callbacks: &mut Vec::new(),
+            peer_outbox: &mut Vec::new(),
+            protocol_requests: &mut Vec::new(),
             now: self.now,
         })
     }
@@ -69,10 +69,10 @@
         let mut answers = Vec::new();
         for work in self.desk.process_events(self.now, &mut self.deadlines) {
             match work {
-                Command::Send { attempt, hop, payload, wait } => {
+                Command::SendAttempt { attempt, worker: hop, payload, timeout: wait } => {
                     self.with(|ctx| gearman.send_attempt(ctx, attempt, hop, &payload, wait));
                 }
-                Command::Answer { client, answer } => {
+                Command::SendAnswer { client, answer } => {
                     answers.push(answer.clone());
                     self.with(|ctx| gearman.send_answer(ctx, client, answer));
                 }
--- a/src/net/gearman/workers.rs
+++ b/src/net/gearman/workers.rs
@@ -21,7 +21,7 @@
         let Some(payload) = self.offers.remove(&given.attempt) else {
             // It cannot be missing; were it, nothing was written of it.
             self.fleet.done(token);
-            return ctx.desk.connection_broken(ctx.now, given.attempt);
+            return ctx.request_table.connection_broken(ctx.now, given.attempt);
         };
         // The first attempt has its job's handle; a job of HTTP has none in the book.
         let job = self.book.find(&self.handle(AttemptId { number: 0, ..given.attempt }));
--- a/src/net/http/call_back.rs
+++ b/src/net/http/call_back.rs
@@ -24,8 +24,8 @@
 pub fn call_back(ctx: &mut Context<'_>, body: &[u8]) -> Result<(), Reject> {
     let call: CallBack = serde_json::from_slice(body).map_err(|_| Reject(400))?;
     // Next hops call whoever takes the connection: it may be for the other process on this socket.
-    if !ctx.desk.has_request(&call.id) {
-        ctx.strays.push(String::from_utf8_lossy(body).into_owned());
+    if !ctx.request_table.has_request(&call.id) {
+        ctx.unmatched_callbacks.push(String::from_utf8_lossy(body).into_owned());
         return Ok(());
     }
     let news = match (call.state.as_str(), call.result) {
@@ -43,7 +43,7 @@
         }
     };
     let report = call.load.and_then(|value| report_of(ctx.names, &value));
-    ctx.desk.attempt_update(ctx.now, &call.id, hop_id(&call.from), news, report);
+    ctx.request_table.attempt_update(ctx.now, &call.id, hop_id(&call.from), news, report);
     Ok(())
 }
 
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -220,7 +220,7 @@
             {}
             if filled == FillOutcome::Closed {
                 // Who closes has gone away, also in the middle of an answer.
-                ctx.desk.client_left(token);
+                ctx.request_table.client_left(token);
                 return self.drop_connection(ctx, token);
             }
             let Some(connection) = self.connections.get_mut(&token) else { return };
@@ -299,7 +299,7 @@
             }
             _ => {
                 let job = job_of(ctx, request)?;
-                match ctx.desk.add_request(ctx.now, token, job) {
+                match ctx.request_table.add_request(ctx.now, token, job) {
                     Ok(_) => {
                         if let Some(connection) = self.connections.get_mut(&token) {
                             connection.state = State::Waiting;
@@ -344,7 +344,7 @@
             note!("watching a client connection again: {error}");
         }
         match transferred(ctx, &transfer) {
-            Ok(job) => ctx.desk.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines),
+            Ok(job) => ctx.request_table.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines),
             Err(Reject(status)) => {
                 connection.state = State::Reading;
                 self.reply(ctx, token, status, &[], b"");
@@ -363,7 +363,7 @@
         transfer: Transfer,
     ) -> Result<(), Reject> {
         let job = transferred(ctx, &transfer)?;
-        if ctx.desk.has_request(&job.name) {
+        if ctx.request_table.has_request(&job.name) {
             return Err(Reject(409));
         }
         let token = ctx.next_token();
@@ -374,7 +374,7 @@
         connection.state = State::Waiting;
         connection.buffer = Buffer::with_input(&transfer.unread);
         ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
-        ctx.desk.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines);
+        ctx.request_table.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines);
         Ok(())
     }
 
@@ -384,11 +384,11 @@
         connection.state = State::Reading;
         match answer {
             Answer::Served(result) => self.reply(ctx, token, 200, &[], &result),
-            Answer::Busy { come_back: Some(span) } => {
+            Answer::Busy { retry_after: Some(span) } => {
                 let seconds = format!("{:.3}", span as f64 / SECOND as f64);
                 self.reply(ctx, token, 503, &[("Retry-After", &seconds)], b"");
             }
-            Answer::Busy { come_back: None } => self.reply(ctx, token, 503, &[], b""),
+            Answer::Busy { retry_after: None } => self.reply(ctx, token, 503, &[], b""),
             Answer::Failed => self.reply(ctx, token, 500, &[], b""),
         }
         // A client may have sent its next request already, and more of it than was read.
@@ -406,7 +406,7 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.last |= self.parting && !connection.back;
         connection.since = ctx.now;
-        connection.buffer.put(&framing::write_response(status, extra, body, !connection.last));
+        connection.buffer.append_output(&framing::write_response(status, extra, body, !connection.last));
         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + STALLED);
         self.flush(ctx, token);
     }
@@ -437,7 +437,7 @@
                 true
             }
             Err(_) => {
-                ctx.desk.client_left(token);
+                ctx.request_table.client_left(token);
                 self.drop_connection(ctx, token);
                 false
             }
@@ -612,13 +612,13 @@
         class,
         tenant,
         hint,
-        patience: (patience * SECOND as f64) as Micros,
+        client_timeout: (patience * SECOND as f64) as Micros,
         slots,
         memory,
         key,
         retry,
         skill,
-        hears: ClientUpdates::Nothing,
+        updates: ClientUpdates::Nothing,
         payload: Rc::new(envelope),
     })
 }
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -42,11 +42,11 @@
             registry: self.poll.registry(),
             names: &self.names,
             deadlines: &mut self.deadlines,
-            desk: &mut self.desk,
-            tokens: &mut self.tokens,
-            strays: &mut Vec::new(),
-            outbox: &mut Vec::new(),
-            wishes: &mut Vec::new(),
+            request_table: &mut self.desk,
+            last_token: &mut self.tokens,
+            unmatched_callbacks: &mut Vec::new(),
+            peer_outbox: &mut Vec::new(),
+            protocol_requests: &mut Vec::new(),
             now: self.now,
         })
     }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -93,7 +93,7 @@
 
     fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         self.clients.limit(ctx, shares.clients);
-        self.hops.limit(ctx, shares.hops);
+        self.hops.limit(ctx, shares.workers);
     }
 
     fn begin_drain(&mut self, ctx: &mut Context<'_>) {
--- a/src/net/http/next_hop.rs
+++ b/src/net/http/next_hop.rs
@@ -225,7 +225,7 @@
         headers.push(("Request-Timeout", &timeout));
         let bytes = framing::write_request("POST", &payload.target, &headers, &payload.body);
         if !self.put(ctx, spare, hop, Task::Attempt(attempt), &bytes) {
-            ctx.desk.connection_broken(ctx.now, attempt);
+            ctx.request_table.connection_broken(ctx.now, attempt);
         }
     }
 
@@ -244,7 +244,7 @@
                 self.drop_link(ctx, token);
                 ctx.deadlines.set(
                     Deadline::CancelDelivered(attempt.request, attempt.number),
-                    ctx.now + network_delay::arrives(self.connect_timeout),
+                    ctx.now + network_delay::max_transit_time(self.connect_timeout),
                 );
             }
             None => {
@@ -271,7 +271,7 @@
     pub fn probe(&mut self, ctx: &mut Context<'_>, spare: &mut dyn ReleaseIdle, hop: WorkerId) {
         let bytes = framing::write_request("GET", "/metrics/load", &[("Host", "origin.svc")], b"");
         if !self.put(ctx, spare, hop, Task::Probe(ctx.now), &bytes) {
-            ctx.desk.probe_finished(hop, Ending::Unreachable, 0, None);
+            ctx.request_table.probe_finished(hop, Ending::Unreachable, 0, None);
         }
     }
 
@@ -295,7 +295,7 @@
             },
         };
         let Some(link) = self.links.get_mut(&token) else { return false };
-        link.buffer.put(bytes);
+        link.buffer.append_output(bytes);
         if link.up && !matches!(task, Task::Attempt(_)) {
             ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + SIDE_CALL);
         }
@@ -409,11 +409,11 @@
     pub fn begin(&mut self, ctx: &mut Context<'_>) {
         for token in std::mem::take(&mut self.risen) {
             let Some(&Link { task: Task::Attempt(attempt), .. }) = self.links.get(&token) else { continue };
-            match ctx.desk.check_start(ctx.now, attempt) {
+            match ctx.request_table.check_start(ctx.now, attempt) {
                 Ok(()) => self.go_on(ctx, token),
                 Err(ending) => {
                     self.drop_link(ctx, token);
-                    ctx.desk.attempt_not_started(ctx.now, attempt, ending);
+                    ctx.request_table.attempt_not_started(ctx.now, attempt, ending);
                 }
             }
         }
@@ -423,7 +423,7 @@
     fn flush(&mut self, ctx: &mut Context<'_>, token: usize) -> bool {
         // A next hop says at once that it takes a job. One that has not after this time has fallen silent, or the way to
         // it has: the connection would show nothing of that.
-        let silence = network_delay::silence(self.connect_timeout);
+        let silence = network_delay::acceptance_timeout(self.connect_timeout);
         let Some(link) = self.links.get_mut(&token) else { return false };
         if !link.buffer.has_output() {
             return true;
@@ -431,7 +431,7 @@
         match link.buffer.flush(&mut link.stream) {
             Ok(true) => {
                 if let Task::Attempt(attempt) = link.task {
-                    ctx.desk.attempt_written(ctx.now, attempt);
+                    ctx.request_table.attempt_written(ctx.now, attempt);
                     ctx.deadlines
                         .set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + silence);
                 }
@@ -474,10 +474,10 @@
                         let report = serde_json::from_slice(&response.body).ok();
                         let report = report.and_then(|value| report_of(ctx.names, &value));
                         let ending = if response.status == 200 { Ending::Ok } else { Ending::Error };
-                        ctx.desk.probe_finished(hop, ending, ctx.now.saturating_sub(sent), report);
+                        ctx.request_table.probe_finished(hop, ending, ctx.now.saturating_sub(sent), report);
                     }
                     // Whatever it answers: it has heard, or knows nothing of the job.
-                    Task::GiveUp(attempt) => ctx.desk.cancel_delivered(ctx.now, attempt),
+                    Task::GiveUp(attempt) => ctx.request_table.cancel_delivered(ctx.now, attempt),
                     Task::Idle => {}
                 }
                 let known = self.hops.get_mut(&hop).filter(|hop| {
@@ -516,11 +516,11 @@
         match task {
             Task::Attempt(attempt) => {
                 self.out.remove(&attempt);
-                ctx.desk.connection_broken(ctx.now, attempt);
+                ctx.request_table.connection_broken(ctx.now, attempt);
             }
             Task::Probe(sent) => {
                 let ending = if up { Ending::Broken } else { Ending::Unreachable };
-                ctx.desk.probe_finished(hop, ending, ctx.now.saturating_sub(sent), None);
+                ctx.request_table.probe_finished(hop, ending, ctx.now.saturating_sub(sent), None);
             }
             Task::GiveUp(_) | Task::Idle => {}
         }
@@ -545,7 +545,7 @@
         match self.links.get(&token) {
             // It may be with the next hop, and news of it may yet come: what to do is the module's to say.
             Some(Link { up: true, task: Task::Attempt(attempt), .. }) => {
-                ctx.desk.acceptance_overdue(*attempt)
+                ctx.request_table.acceptance_overdue(*attempt)
             }
             _ => self.fail(ctx, token),
         }
@@ -582,15 +582,15 @@
     let report = load.and_then(|value| report_of(ctx.names, &value));
     let unstarted = response.headers.get("not-started") == Some("1");
     match response.status {
-        202 => ctx.desk.attempt_accepted(attempt),
-        503 | 504 if unstarted => ctx.desk.attempt_failed(ctx.now, attempt, Ending::Full, report),
+        202 => ctx.request_table.attempt_accepted(attempt),
+        503 | 504 if unstarted => ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, report),
         status => {
             if status != 500 {
                 note!("a next hop answered {status}");
             }
             // What a client did wrong must not be held against the next hop, nor tried on all the others.
             let ending = if (400..500).contains(&status) { Ending::Unusable } else { Ending::Error };
-            ctx.desk.attempt_failed(ctx.now, attempt, ending, report);
+            ctx.request_table.attempt_failed(ctx.now, attempt, ending, report);
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,14 +25,14 @@
     registry: &'a Registry,
     names: &'a Names,
     deadlines: &'a mut Deadlines,
-    desk: &'a mut RequestTable<Payload>,
-    tokens: &'a mut usize,
+    request_table: &'a mut RequestTable<Payload>,
+    last_token: &'a mut usize,
     /// Call-backs that fit nothing here: the other process of this scheduler, if there is one, is to be told.
-    strays: &'a mut Vec<String>,
+    unmatched_callbacks: &'a mut Vec<String>,
     /// What a protocol wants of the whole program.
-    wishes: &'a mut Vec<protocol::ProtocolRequest>,
+    protocol_requests: &'a mut Vec<protocol::ProtocolRequest>,
     /// Datagrams to other schedulers, sent at the end of the turn.
-    outbox: &'a mut Vec<(PeerTarget, Vec<u8>)>,
+    peer_outbox: &'a mut Vec<(PeerTarget, Vec<u8>)>,
     now: Micros,
 }
 
@@ -47,13 +47,13 @@
 
 impl Context<'_> {
     /// Sends a datagram to other schedulers, where there are any.
-    fn tell(&mut self, audience: PeerTarget, body: Vec<u8>) {
-        self.outbox.push((audience, body));
+    fn send_to_peers(&mut self, audience: PeerTarget, body: Vec<u8>) {
+        self.peer_outbox.push((audience, body));
     }
 
     /// A number for a new connection. None is given twice, so a late event of one that is gone meets nothing.
     fn next_token(&mut self) -> usize {
-        *self.tokens += 1;
-        *self.tokens
+        *self.last_token += 1;
+        *self.last_token
     }
 }
--- a/src/net/operators/door.rs
+++ b/src/net/operators/door.rs
@@ -142,7 +142,7 @@
     pub fn answer(&mut self, ctx: &mut Context<'_>, token: usize, text: &str) {
         let Some(call) = self.calls.get_mut(&token) else { return };
         call.answered = true;
-        call.buffer.put(text.as_bytes());
+        call.buffer.append_output(text.as_bytes());
         ctx.deadlines.set(Deadline::ManagementCall(token), ctx.now + LINGER);
         self.flush(ctx, token);
     }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -4,7 +4,7 @@
 
 use crate::config::agreed::{Here, whole};
 use crate::config::document::{self, Document};
-use crate::config::{Fault, LearnerConfig, Renewal};
+use crate::config::{LearnerConfig, Renewal, SettingsError};
 use crate::log::note;
 use crate::net::Context;
 use crate::net::control::form::{InForce as Told, Line};
@@ -141,7 +141,7 @@
         match made {
             Ok(stream) => {
                 let mut buffer = Buffer::default();
-                buffer.put(request);
+                buffer.append_output(request);
                 Some(Call { token, stream, buffer, open: false, text: Vec::new() })
             }
             Err(error) => {
@@ -240,7 +240,7 @@
     }
 
     /// What is to come into force, once.
-    pub fn news(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, Fault>)> {
+    pub fn news(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, SettingsError>)> {
         let wanted = self.learner.in_force(now);
         if Arc::ptr_eq(&wanted, &self.given) {
             return None;
@@ -251,7 +251,7 @@
     }
 
     /// What became of it.
-    pub fn taken(&mut self, ctx: &mut Context<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
+    pub fn taken(&mut self, ctx: &mut Context<'_>, news: Arc<InForce>, outcome: Result<(), SettingsError>) {
         match (outcome, news.tightened_to) {
             (Ok(()), None) => note!(seq = news.seq, "version {} is in force", news.seq),
             (Ok(()), Some(seq)) => {
@@ -262,7 +262,7 @@
             }
             (Err(fault), _) => {
                 let seq = news.tightened_to.unwrap_or(news.seq);
-                note!(warn: "version {seq} cannot be taken up: '{}' {}; version {} stays in force", fault.key, fault.why,
+                note!(warn: "version {seq} cannot be taken up: '{}' {}; version {} stays in force", fault.key, fault.reason,
                     self.taken.seq);
                 return;
             }
--- a/src/net/platform/peers.rs
+++ b/src/net/platform/peers.rs
@@ -57,7 +57,7 @@
                                 .extend(Message::decode(&bytes[..length]).map(|told| (rank as u32, told)));
                         }
                         Some(rank) if length <= LIMIT => {
-                            ctx.desk.peer_message(rank as u32, bytes[..length].to_vec())
+                            ctx.request_table.peer_message(rank as u32, bytes[..length].to_vec())
                         }
                         Some(_) => note!("a datagram from {from} is too long"),
                         None => note!("a datagram from {from}, which is no peer"),
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -202,7 +202,7 @@
         let until = self.clock.until();
         if until != self.until {
             self.until = until;
-            ctx.desk.set_list_lease_end(until);
+            ctx.request_table.set_list_lease_end(until);
             match until {
                 Some(until) if until > ctx.now => ctx.deadlines.set(Deadline::ListExpiry, until),
                 _ => ctx.deadlines.clear(Deadline::ListExpiry),
@@ -239,7 +239,7 @@
         if self.discovery != discovery {
             self.discovery = discovery;
             self.clock.moved(ctx.now);
-            ctx.desk.list_source_changed();
+            ctx.request_table.list_source_changed();
             self.keep_time(ctx);
         }
     }
@@ -263,7 +263,7 @@
         match made {
             Ok(stream) => {
                 let mut buffer = Buffer::default();
-                buffer.put(&framing::write_request("GET", target, &[("Host", "discovery")], b""));
+                buffer.append_output(&framing::write_request("GET", target, &[("Host", "discovery")], b""));
                 Some(Call { token, stream, buffer, open: false, text: Vec::new() })
             }
             Err(error) => {
@@ -290,7 +290,11 @@
                     ctx.deadlines.clear(Deadline::DiscoveryFetch);
                     // A watch may have brought what is newer: then this list is one of the past, and tells nothing.
                     if self.update(ctx, hops, update).is_err() {
-                        ctx.desk.update_workers(WorkerSource::Discovery, ListKind::Changes, Vec::new());
+                        ctx.request_table.update_workers(
+                            WorkerSource::Discovery,
+                            ListKind::Changes,
+                            Vec::new(),
+                        );
                     }
                 }
                 Err(why) => self.lose(ctx, call, Deadline::DiscoveryFetch, why),
@@ -376,7 +380,7 @@
     /// The module says when a service that all share is asked again. An agent is asked without it.
     fn tell_lost(&self, ctx: &mut Context<'_>) {
         if self.clock.mode() == Mode::Asked {
-            ctx.desk.update_workers(WorkerSource::Discovery, ListKind::Lost, Vec::new());
+            ctx.request_table.update_workers(WorkerSource::Discovery, ListKind::Lost, Vec::new());
         }
     }
 }
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -72,7 +72,7 @@
         if self.discovery.is_some() {
             note!(seq = self.seq, before, ?kind, lines, draining, gone, "discovery: a version is taken in");
         }
-        ctx.desk.update_workers(WorkerSource::Discovery, kind, members);
+        ctx.request_table.update_workers(WorkerSource::Discovery, kind, members);
     }
 
     fn read_line(
@@ -85,7 +85,7 @@
         let dial: SocketAddr =
             line.dial.parse().map_err(|_| WireError(format!("'{}' is no address", line.dial)))?;
         let member = read_member(ctx.names, &line)?;
-        if ctx.desk.belongs_to_other_source(member.worker, WorkerSource::Discovery) {
+        if ctx.request_table.belongs_to_other_source(member.worker, WorkerSource::Discovery) {
             return Err(WireError(format!("'{}' has the number of a hop that is no host", line.host)));
         }
         match self.listed.get(&member.worker) {
--- a/src/net/platform/route_set/witnesses.rs
+++ b/src/net/platform/route_set/witnesses.rs
@@ -11,7 +11,7 @@
     pub fn ask_witnesses(&mut self, ctx: &mut Context<'_>) {
         if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
-            ctx.tell(PeerTarget::Random(AUDIENCE), question.encode());
+            ctx.send_to_peers(PeerTarget::Random(AUDIENCE), question.encode());
         }
         self.keep_time(ctx);
     }
@@ -22,7 +22,7 @@
         match message {
             Message::Question { number } => {
                 if let Some(answer) = Inquiry::answer(number, &self.clock, own, ctx.now) {
-                    ctx.tell(PeerTarget::Rank(from), answer.encode());
+                    ctx.send_to_peers(PeerTarget::Rank(from), answer.encode());
                 }
             }
             Message::Answer { number, digest, age_ms } => {
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -250,10 +250,10 @@
             return note!("a word to the {side:?} cannot be written");
         };
         line.push(b'\n');
-        link.buffer.put(&line);
+        link.buffer.append_output(&line);
         // That a link has broken is told by the poll as well, and dealt with there.
         let _ = link.buffer.flush(&mut link.stream);
-        if link.buffer.waiting() > LIMIT {
+        if link.buffer.pending_output() > LIMIT {
             note!("the {side:?} does not listen");
             let _ = link.stream.shutdown(Shutdown::Both);
             link.buffer = Buffer::default();
@@ -290,7 +290,7 @@
         }
         match sendmsg(&link.stream, &[IoSlice::new(&line)], &mut along, SendFlags::NOSIGNAL) {
             Ok(sent) => {
-                link.buffer.put(&line[sent..]);
+                link.buffer.append_output(&line[sent..]);
                 let _ = link.buffer.flush(&mut link.stream);
                 true
             }
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -6,7 +6,7 @@
 use crate::net::core::envelope::Payload;
 use crate::net::core::request_table::{Answer, AttemptId, ClientId, PartialResult};
 use calicolb::api::{Class, Micros, WorkerId};
-use calicolb::renewal::Fault;
+use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
 use std::io;
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolRequest {
     /// Send clients away, answer what was taken, and exit.
-    End {
+    Shutdown {
         /// However long the answers take; else as after SIGTERM.
-        patient: bool,
+        graceful: bool,
     },
 }
 
@@ -26,7 +26,7 @@
     /// For connections that come in.
     pub clients: usize,
     /// For connections that go out to next hops.
-    pub hops: usize,
+    pub workers: usize,
 }
 
 /// Something that holds descriptors which others may need more.
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// The key of the settings that stands in the way.
-    fn check_settings(&self, _names: &Names, _classes: &[Class]) -> Result<(), Fault> {
+    fn check_settings(&self, _names: &Names, _classes: &[Class]) -> Result<(), SettingsError> {
         Ok(())
     }
 
--- a/src/renewal.rs
+++ b/src/settings_update.rs
@@ -11,24 +11,24 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Classes that may be retired at most before a restart is due.
-pub const MOST_RETIRED_CLASSES: usize = 64;
+pub const MAX_RETIRED_CLASSES: usize = 64;
 /// Tenants that may be retired at most before a restart is due.
-pub const MOST_RETIRED_TENANTS: usize = 1_024;
+pub const MAX_RETIRED_TENANTS: usize = 1_024;
 
 /// What is wrong with settings, and at which key of them.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{key}' {why}")]
-pub struct Fault {
+#[error("'{key}' {reason}")]
+pub struct SettingsError {
     /// The key, in dots, as in `request_classes.look.aim_us`.
     pub key: String,
     /// What is wrong there, as what follows the key in a sentence.
-    pub why: String,
+    pub reason: String,
 }
 
-impl Fault {
+impl SettingsError {
     /// This is wrong at that key.
-    pub fn new(key: impl Into<String>, why: impl Into<String>) -> Self {
-        Fault { key: key.into(), why: why.into() }
+    pub fn new(key: impl Into<String>, reason: impl Into<String>) -> Self {
+        SettingsError { key: key.into(), reason: reason.into() }
     }
 }
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// The first key that cannot change while the scheduler runs.
-pub fn merge(old: (&Settings, &Names), new: (&Settings, &Names)) -> Result<(Settings, Names), Fault> {
+pub fn merge(old: (&Settings, &Names), new: (&Settings, &Names)) -> Result<(Settings, Names), SettingsError> {
     let ((old, held), (new, told)) = (old, new);
     for (key, same) in [
         ("azs", held.zones == told.zones),
@@ -46,18 +46,18 @@
         ("extra.report_x1", held.x1 == told.x1),
     ] {
         if !same {
-            return Err(Fault::new(key, NEEDS_RESTART));
+            return Err(SettingsError::new(key, NEEDS_RESTART));
         }
     }
-    let classes = Places::new("request_classes", &held.classes, &told.classes, MOST_RETIRED_CLASSES)?;
-    let tenants = Places::new("orgs", &held.tenants, &told.tenants, MOST_RETIRED_TENANTS)?;
+    let classes = Places::new("request_classes", &held.classes, &told.classes, MAX_RETIRED_CLASSES)?;
+    let tenants = Places::new("orgs", &held.tenants, &told.tenants, MAX_RETIRED_TENANTS)?;
     let settings = Settings {
         classes: classes.fill(&old.classes, &new.classes),
         tenants: tenants.fill(&old.tenants, &new.tenants),
         ..new.clone()
     };
     if let Some(field) = old.fixed_change(&settings) {
-        return Err(Fault::new(key_of(field), NEEDS_RESTART));
+        return Err(SettingsError::new(settings_key(field), NEEDS_RESTART));
     }
     let names = Names {
         classes: classes.names,
@@ -72,7 +72,7 @@
 const NEEDS_RESTART: &str = "cannot change while the scheduler runs: it needs a restart";
 
 /// The key of the settings that a field of the module's stands for.
-pub fn key_of(field: &str) -> &str {
+pub fn settings_key(field: &str) -> &str {
     match field {
         "instances" => "n_instances",
         "zones" => "azs",
@@ -93,7 +93,7 @@
 }
 
 /// The key of a place in settings: things that have a name are called by it, values by class by the class's.
-pub(crate) fn key_at(path: &Path, settings: &Value) -> String {
+pub(crate) fn settings_key_at(path: &Path, settings: &Value) -> String {
     let mut key = String::new();
     for part in path.iter() {
         let word = match part {
@@ -121,11 +121,11 @@
 }
 
 impl Places {
-    fn new(list: &str, held: &[String], told: &[String], most_retired: usize) -> Result<Self, Fault> {
+    fn new(list: &str, held: &[String], told: &[String], most_retired: usize) -> Result<Self, SettingsError> {
         let mut place: HashMap<&str, usize> = HashMap::new();
         for (at, name) in told.iter().enumerate() {
             if place.insert(name, at).is_some() {
-                return Err(Fault::new(format!("{list}.{name}"), "is there twice"));
+                return Err(SettingsError::new(format!("{list}.{name}"), "is there twice"));
             }
         }
         let mut names = held.to_vec();
@@ -137,7 +137,7 @@
         let retired: BTreeSet<usize> = (0..from.len()).filter(|&at| from[at].is_none()).collect();
         if let Some(&last) = retired.last().filter(|_| retired.len() > most_retired) {
             let why = format!("would be the {}th that is retired: a restart is due", retired.len());
-            return Err(Fault::new(format!("{list}.{}", names[last]), why));
+            return Err(SettingsError::new(format!("{list}.{}", names[last]), why));
         }
         Ok(Places { names, from, retired })
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,7 +6,7 @@
 
 use self::names::{Extra, index};
 use crate::api::*;
-use crate::renewal::{Fault, key_at};
+use crate::settings_update::{SettingsError, settings_key_at};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use serde::Deserialize;
 use serde_json::Value;
@@ -538,10 +538,10 @@
 ///
 /// # Errors
 /// The key at fault, and what is wrong there.
-pub fn settings_of(value: &Value) -> Result<(Settings, Names), Fault> {
+pub fn settings_of(value: &Value) -> Result<(Settings, Names), SettingsError> {
     let read: Result<Info, _> = serde_path_to_error::deserialize(value);
     let info = read.map_err(|error| {
-        Fault::new(key_at(error.path(), value), format!("cannot be read: {}", error.inner()))
+        SettingsError::new(settings_key_at(error.path(), value), format!("cannot be read: {}", error.inner()))
     })?;
     let mut classes = Vec::new();
     for (at, class) in info.request_classes.iter().enumerate() {
@@ -550,13 +550,23 @@
             "zone" => Group::Zone,
             "cell" => Group::Cell,
             "all" | "" => Group::All,
-            other => return Err(Fault::new(at_fault("group"), format!("is of no group known: '{other}'"))),
+            other => {
+                return Err(SettingsError::new(
+                    at_fault("group"),
+                    format!("is of no group known: '{other}'"),
+                ));
+            }
         };
         let effect = match class.effect.as_str() {
             "read_like" => Effect::Safe,
             "idempotency_key" => Effect::Keyed { group, span: class.memory_span_us },
             "non_idempotent" => Effect::Unsafe,
-            other => return Err(Fault::new(at_fault("effect"), format!("is of no effect known: '{other}'"))),
+            other => {
+                return Err(SettingsError::new(
+                    at_fault("effect"),
+                    format!("is of no effect known: '{other}'"),
+                ));
+            }
         };
         let kind = info.extra.class_kind.get(at).and_then(|&kind| usize::try_from(kind).ok());
         let stretch = class.aim_stretch.or(info.extra.class_stretch.get(at).copied());
--- a/tests/renewal.rs
+++ b/tests/renewal.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use calicolb::api::*;
-use calicolb::renewal::{MOST_RETIRED_CLASSES, MOST_RETIRED_TENANTS, merge};
 use calicolb::rules::Dispatcher;
+use calicolb::settings_update::{MAX_RETIRED_CLASSES, MAX_RETIRED_TENANTS, merge};
 use calicolb::wire::Names;
 use common::ledger::{play, play_renewals, play_repeats, step, step_or_renewal};
 use common::{Bench, MS, SECOND, T0, answers, class, member, sends, settings, variants};
@@ -297,7 +297,7 @@
 #[test]
 fn those_that_were_retired_are_bounded_and_the_fault_names_the_one_too_many() {
     for (classes, most, list) in
-        [(true, MOST_RETIRED_CLASSES, "request_classes"), (false, MOST_RETIRED_TENANTS, "orgs")]
+        [(true, MAX_RETIRED_CLASSES, "request_classes"), (false, MAX_RETIRED_TENANTS, "orgs")]
     {
         let (mut settings, mut names) = named(&[("look", 1.0)], &[]);
         let mut refused = None;
@@ -316,7 +316,7 @@
         // The first class retires `look`, the first tenant nobody.
         let (nr, fault) = refused.unwrap_or_else(|| panic!("more than {most} of {list} are retired"));
         assert_eq!(nr, if classes { most } else { most + 1 });
-        assert!(fault.key.starts_with(&format!("{list}.")) && fault.why.contains("restart"), "{fault}");
+        assert!(fault.key.starts_with(&format!("{list}.")) && fault.reason.contains("restart"), "{fault}");
         assert_eq!(settings.classes.len() + settings.tenants.len(), most + 1 + usize::from(!classes));
     }
 }
