--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,7 +6,7 @@
 
 use self::names::{ReportExtra, index_of};
 use crate::api::*;
-use crate::renewal::{Fault, key_at};
+use crate::settings_update::{SettingsError, settings_key_at};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use serde::Deserialize;
 use serde_json::Value;
@@ -559,10 +559,10 @@
 ///
 /// # Errors
 /// The key of the first malformed setting and the reason.
-pub fn settings_from_json(value: &Value) -> Result<(Settings, Names), Fault> {
+pub fn settings_from_json(value: &Value) -> Result<(Settings, Names), SettingsError> {
     let read: Result<InstanceInfo, _> = serde_path_to_error::deserialize(value);
     let info = read.map_err(|error| {
-        Fault::new(key_at(error.path(), value), format!("cannot be read: {}", error.inner()))
+        SettingsError::new(settings_key_at(error.path(), value), format!("cannot be read: {}", error.inner()))
     })?;
     let mut classes = Vec::new();
     for (index, class) in info.request_classes.iter().enumerate() {
@@ -571,14 +571,20 @@
             "zone" => Group::Zone,
             "cell" => Group::Cell,
             "all" | "" => Group::All,
-            other => return Err(Fault::new(class_key("group"), format!("has the unknown group '{other}'"))),
+            other => {
+                return Err(SettingsError::new(class_key("group"),
+                    format!("has the unknown group '{other}'"),
+                ));
+            }
         };
         let effect = match class.effect.as_str() {
             "read_like" => Effect::Safe,
             "idempotency_key" => Effect::Keyed { group, span: class.memory_span_us },
             "non_idempotent" => Effect::Unsafe,
             other => {
-                return Err(Fault::new(class_key("effect"), format!("has the unknown effect '{other}'")));
+                return Err(SettingsError::new(class_key("effect"),
+                    format!("has the unknown effect '{other}'"),
+                ));
             }
         };
         let kind = info.extra.class_kind.get(index).and_then(|&kind| usize::try_from(kind).ok());
