--- a/src/net/core/bytes_as_text.rs
+++ b/src/net/core/base64_bytes.rs
@@ -1,12 +1,12 @@
-//! Bytes in messages of JSON: written as base64 text, which is a third of the length of a list of numbers and read many times
-//! as fast. Both forms are read, since older versions write the list.
+//! Serde adapter for byte strings in JSON messages. It writes base64 text, which has a third of the length of a list of
+//! numbers and is read many times as fast. It reads both forms, because older versions write the list.
 
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Either form.
+/// Bytes in either of the two forms that are read.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Bytes {
@@ -14,18 +14,18 @@
     List(Vec<u8>),
 }
 
-/// Writes bytes as text.
+/// Writes bytes as base64 text.
 ///
 /// # Errors
-/// Those of the serializer.
+/// Returns the serializer's error.
 pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     BASE64_STANDARD.encode(bytes).serialize(serializer)
 }
 
-/// Reads bytes in either form.
+/// Reads bytes from base64 text or from a list of numbers.
 ///
 /// # Errors
-/// It is neither.
+/// Fails if the value is neither a list of bytes nor valid base64 text.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
     match Bytes::deserialize(deserializer)? {
         Bytes::Text(text) => BASE64_STANDARD.decode(text).map_err(Error::custom),
--- a/src/net/core/buffer.rs
+++ b/src/net/core/buffer.rs
@@ -1,122 +1,126 @@
-//! The one buffer of a connection: what has come in and is not yet used, then what is still to go out.
+//! The buffer of a connection: unread input followed by output that is not yet written.
 
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Room made for one read.
-const READ: usize = 8 * 1024;
-/// A buffer that once held more than this gives the memory back when it is empty.
-const KEEP: usize = 32 * 1024;
+/// Bytes that one read may add.
+const READ_CHUNK: usize = 8 * 1024;
+/// An empty buffer with a larger capacity (bytes) shrinks, so that one large message does not hold memory for good.
+const MAX_IDLE_CAPACITY: usize = 32 * 1024;
 
-/// HTTP/1.1 goes one way at a time, so one buffer serves both: nothing is read while something waits to go
-/// out, which also bounds what a peer that does not read its answers can make us hold.
+/// Input and output of one connection. HTTP/1.1 is half-duplex, so one buffer serves both directions: nothing is read
+/// while output is pending, which also bounds the memory that a peer can take up by not reading its answers.
 #[derive(Default)]
 pub struct Buffer {
     data: Vec<u8>,
-    /// Input begins here.
-    start: usize,
-    /// Input ends here, and output that is not yet written begins at `out`.
-    mid: usize,
-    out: usize,
+    /// Offset of the first unread byte of input.
+    input_start: usize,
+    /// Offset of the end of the input.
+    input_end: usize,
+    /// Offset of the first byte of output that is not yet written.
+    output_start: usize,
 }
 
-/// How a read ended.
+/// Why [`Buffer::fill`] stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillOutcome {
-    /// Nothing more for now.
+    /// The source has no more data at present.
     WouldBlock,
-    /// The limit is reached; there may be more.
+    /// The size limit is reached, or output is pending; the source may have more data.
     LimitReached,
-    /// The other side has ended, or the connection broke.
+    /// The peer closed the connection, or the read failed.
     Closed,
 }
 
 impl Buffer {
-    /// What has come in and is not yet used.
+    /// Input that is not yet consumed.
     pub fn input(&self) -> &[u8] {
-        &self.data[self.start..self.mid]
+        &self.data[self.input_start..self.input_end]
     }
 
-    /// Marks input as used.
+    /// Discards the first `count` bytes of input.
     pub fn consume(&mut self, count: usize) {
-        self.start = (self.start + count).min(self.mid);
-        if self.start == self.mid && !self.has_output() {
+        self.input_start = (self.input_start + count).min(self.input_end);
+        if self.input_start == self.input_end && !self.has_output() {
             self.clear();
         }
     }
 
     fn clear(&mut self) {
         self.data.clear();
-        (self.start, self.mid, self.out) = (0, 0, 0);
-        if self.data.capacity() > KEEP {
-            self.data.shrink_to(READ);
+        (self.input_start, self.input_end, self.output_start) = (0, 0, 0);
+        if self.data.capacity() > MAX_IDLE_CAPACITY {
+            self.data.shrink_to(READ_CHUNK);
         }
     }
 
-    /// Reads until the source is dry, or until `limit` bytes are held.
+    /// Reads until the source would block or ends, or until at least `limit` bytes of input are held.
     pub fn fill(&mut self, source: &mut impl Read, limit: usize) -> FillOutcome {
         if self.has_output() {
             return FillOutcome::LimitReached;
         }
-        if self.start > 0 {
-            self.data.copy_within(self.start..self.mid, 0);
-            self.mid -= self.start;
-            self.start = 0;
+        if self.input_start > 0 {
+            self.data.copy_within(self.input_start..self.input_end, 0);
+            self.input_end -= self.input_start;
+            self.input_start = 0;
         }
         let filled = loop {
-            if self.mid >= limit {
+            if self.input_end >= limit {
                 break FillOutcome::LimitReached;
             }
-            self.data.resize(self.mid + READ, 0);
-            match source.read(&mut self.data[self.mid..]) {
+            self.data.resize(self.input_end + READ_CHUNK, 0);
+            match source.read(&mut self.data[self.input_end..]) {
                 Ok(0) => break FillOutcome::Closed,
-                Ok(count) => self.mid += count,
+                Ok(count) => self.input_end += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break FillOutcome::WouldBlock,
                 Err(_) => break FillOutcome::Closed,
             }
         };
-        self.data.truncate(self.mid);
-        self.out = self.mid;
-        if self.start == self.mid {
+        self.data.truncate(self.input_end);
+        self.output_start = self.input_end;
+        if self.input_start == self.input_end {
             self.clear();
         }
         filled
     }
 
-    /// A buffer in which these bytes have come in.
+    /// Creates a buffer that holds `bytes` as unread input.
     pub fn with_input(bytes: &[u8]) -> Self {
-        Buffer { data: bytes.to_vec(), start: 0, mid: bytes.len(), out: bytes.len() }
+        Buffer { data: bytes.to_vec(), input_start: 0, input_end: bytes.len(), output_start: bytes.len() }
     }
 
-    /// Adds output.
+    /// Appends bytes to the pending output.
     pub fn append_output(&mut self, bytes: &[u8]) {
         self.data.extend_from_slice(bytes);
     }
 
-    /// Something waits to go out.
+    /// Whether output is pending.
     pub fn has_output(&self) -> bool {
-        self.out < self.data.len()
+        self.output_start < self.data.len()
     }
 
-    /// How much waits to go out.
+    /// Number of bytes of pending output.
     pub fn pending_output(&self) -> usize {
-        self.data.len() - self.out
+        self.data.len() - self.output_start
     }
 
-    /// Writes what waits; `Ok(true)` once the last byte is written.
+    /// Writes pending output. Returns `Ok(true)` once the last byte is written, `Ok(false)` if the sink would block.
+    ///
+    /// # Errors
+    /// Returns the sink's error, other than `Interrupted` and `WouldBlock`.
     pub fn flush(&mut self, sink: &mut impl Write) -> io::Result<bool> {
         while self.has_output() {
-            match sink.write(&self.data[self.out..]) {
+            match sink.write(&self.data[self.output_start..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => self.out += count,
+                Ok(count) => self.output_start += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(error) => return Err(error),
             }
         }
-        self.data.truncate(self.mid);
-        self.out = self.mid;
-        if self.start == self.mid {
+        self.data.truncate(self.input_end);
+        self.output_start = self.input_end;
+        if self.input_start == self.input_end {
             self.clear();
         }
         Ok(true)
@@ -127,10 +131,11 @@
 mod tests {
     use super::*;
 
-    /// Takes or gives a few bytes at a time, then would block.
-    struct Trickle(Vec<u8>, usize);
+    /// Fake stream that holds field 0. A read returns at most field 1 bytes; writes are accepted up to a total of field 1
+    /// bytes. Beyond that it would block.
+    struct ChunkedStream(Vec<u8>, usize);
 
-    impl Read for Trickle {
+    impl Read for ChunkedStream {
         fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
             if self.0.is_empty() {
                 return Err(ErrorKind::WouldBlock.into());
@@ -142,7 +147,7 @@
         }
     }
 
-    impl Write for Trickle {
+    impl Write for ChunkedStream {
         fn write(&mut self, from: &[u8]) -> io::Result<usize> {
             if self.0.len() >= self.1 {
                 return Err(ErrorKind::WouldBlock.into());
@@ -157,29 +162,35 @@
     }
 
     #[test]
-    fn output_goes_out_in_parts_and_leaves_the_input_alone() {
+    fn output_is_written_in_parts_and_input_is_kept() {
         let mut buffer = Buffer::default();
-        assert_eq!(buffer.fill(&mut Trickle(b"first second".to_vec(), 5), 100), FillOutcome::WouldBlock);
+        assert_eq!(
+            buffer.fill(&mut ChunkedStream(b"first second".to_vec(), 5), 100),
+            FillOutcome::WouldBlock
+        );
         buffer.consume(6);
         buffer.append_output(b"an answer");
-        let mut sink = Trickle(Vec::new(), 4);
-        assert!(!buffer.flush(&mut sink).expect("it would only block"));
-        assert_eq!(buffer.fill(&mut Trickle(b"more".to_vec(), 9), 100), FillOutcome::LimitReached);
+        let mut sink = ChunkedStream(Vec::new(), 4);
+        assert!(!buffer.flush(&mut sink).expect("flush into a sink that takes 4 bytes"));
+        assert_eq!(buffer.fill(&mut ChunkedStream(b"more".to_vec(), 9), 100), FillOutcome::LimitReached);
         sink.1 = 100;
-        assert!(buffer.flush(&mut sink).expect("there is room"));
+        assert!(buffer.flush(&mut sink).expect("flush into a sink that takes 100 bytes"));
         assert_eq!(sink.0, b"an answer");
         assert_eq!(buffer.input(), b"second");
-        assert_eq!(buffer.fill(&mut Trickle(b" third".to_vec(), 9), 100), FillOutcome::WouldBlock);
+        assert_eq!(buffer.fill(&mut ChunkedStream(b" third".to_vec(), 9), 100), FillOutcome::WouldBlock);
         assert_eq!(buffer.input(), b"second third");
     }
 
     #[test]
-    fn a_flood_stops_at_the_limit_and_memory_is_given_back() {
+    fn fill_stops_at_the_limit_and_an_empty_buffer_frees_its_memory() {
         let mut buffer = Buffer::default();
-        assert_eq!(buffer.fill(&mut Trickle(vec![7; 1 << 20], 1 << 20), 100_000), FillOutcome::LimitReached);
+        assert_eq!(
+            buffer.fill(&mut ChunkedStream(vec![7; 1 << 20], 1 << 20), 100_000),
+            FillOutcome::LimitReached
+        );
         let held = buffer.input().len();
-        assert!((100_000..100_000 + READ).contains(&held));
+        assert!((100_000..100_000 + READ_CHUNK).contains(&held));
         buffer.consume(held);
-        assert!(buffer.data.capacity() <= KEEP);
+        assert!(buffer.data.capacity() <= MAX_IDLE_CAPACITY);
     }
 }
--- a/src/net/core/envelope.rs
+++ b/src/net/core/envelope.rs
@@ -37,7 +37,7 @@
     /// Headers, as HTTP has them.
     pub headers: Headers,
     /// The body or workload, without framing.
-    #[serde(with = "crate::net::core::bytes_as_text")]
+    #[serde(with = "crate::net::core::base64_bytes")]
     pub body: Vec<u8>,
 }
 
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -1,8 +1,8 @@
-//! What every protocol shares: the desk where requests meet the decisions, what a request is, who the next hops are,
-//! what is due when, and the one buffer of a connection. Nothing here knows a protocol or a socket.
+//! Code that every protocol shares: the request table, the request envelope, the worker registry, deadlines, counters
+//! and connection buffers. Nothing in this module depends on a protocol or on a socket type.
 
+mod base64_bytes;
 pub mod buffer;
-mod bytes_as_text;
 pub mod clock;
 pub mod counters;
 pub mod deadlines;
--- a/src/net/core/network_delay.rs
+++ b/src/net/core/network_delay.rs
@@ -1,23 +1,24 @@
-//! How long what is written may be on its way. The settings state one figure of the network: a connection that is not
-//! established within `connect_timeout_us` counts as unreachable. All that must have arrived by some time is reckoned by
-//! it, for what one deployment's network does in 20 ms takes another's 200.
+//! Upper bounds for delays in the network, derived from the setting `connect_timeout_us`: a connection that is not
+//! established within it counts as unreachable. Every wait for a message in transit is computed from that setting, because
+//! networks differ between deployments: one needs 20 ms where another needs 200 ms.
 
 use calicolb::api::Micros;
 
-/// No network is taken to be faster than this.
-const LEAST: Micros = 50_000;
-/// A worker that is well says within this time that it takes a job, or half a second at least: no pause in which it
-/// says nothing for that long is held against the network.
-const SAYS: Micros = 500_000;
+/// Lower bound of the transit time: no network is assumed to be faster than this (microseconds).
+const MIN_TRANSIT_TIME: Micros = 50_000;
+/// Lower bound of the time in which a healthy worker confirms that it accepted a job (microseconds). A worker may pause for
+/// up to this long without the silence being attributed to the network.
+const MIN_ACCEPTANCE_TIMEOUT: Micros = 500_000;
 
-/// What is written, or the end of a connection, has come to the other side by this time (microseconds): a connection that
-/// is established within the stated time has made the way there and back in it.
+/// Time (microseconds) after which written data, or the end of a connection, has reached the peer. A connection that is
+/// established within `connect_timeout` has completed a round trip in that time.
 pub fn max_transit_time(connect_timeout: Micros) -> Micros {
-    connect_timeout.max(LEAST)
+    connect_timeout.max(MIN_TRANSIT_TIME)
 }
 
-/// Who has not answered by this time (microseconds) after the last byte was written has fallen silent: a first request
-/// waits for its connection's handshake, and the answer has a way back.
+/// Time (microseconds) after the last byte of a request was written by which a healthy worker has confirmed that it
+/// accepted the job. It covers two transit times: a first request waits for its connection's handshake, and the
+/// confirmation has to travel back.
 pub fn acceptance_timeout(connect_timeout: Micros) -> Micros {
-    (2 * max_transit_time(connect_timeout)).max(SAYS)
+    (2 * max_transit_time(connect_timeout)).max(MIN_ACCEPTANCE_TIMEOUT)
 }
--- a/src/net/core/transfer.rs
+++ b/src/net/core/transfer.rs
@@ -12,7 +12,7 @@
     /// Another request may follow on its connection.
     pub keep_alive: bool,
     /// What came in on its connection behind it, and is not dealt with.
-    #[serde(with = "crate::net::core::bytes_as_text")]
+    #[serde(with = "crate::net::core::base64_bytes")]
     pub unread: Vec<u8>,
     pub history: RequestHistory,
     /// The sender's clock as it was sent. The times above are by that clock.
--- a/src/net/event_loop/orders.rs
+++ b/src/net/event_loop/orders.rs
@@ -21,8 +21,8 @@
                 let list = self.routes.figures(now);
                 let present = Gauges {
                     in_flight: self.desk.unanswered_requests(),
-                    known: self.desk.worker_count(),
-                    avoided: self.desk.excluded_workers(now),
+                    known_workers: self.desk.worker_count(),
+                    excluded_workers: self.desk.excluded_workers(now),
                 };
                 let shared = self.desk.shared_usage().into_iter().chain(self.http.hops.figures());
                 let shared = shared.chain(self.desk.rejections()).chain(list);
