--- a/src/net/core/deadlines.rs
+++ b/src/net/core/deadlines.rs
@@ -1,111 +1,114 @@
-//! All that is due at some time, in one sorted structure.
+//! Sorted set of all pending deadlines of the event loop.
 
 use calicolb::api::Micros;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What falls due.
+/// The action that a deadline triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Deadline {
-    /// A timer of the decision module: its number, and which setting of it.
+    /// A timer of the decision module expires: its number, and a sequence number that distinguishes repeated settings of
+    /// one timer.
     DispatcherTimer(u64, u64),
-    /// The time of an attempt is up: request and attempt.
+    /// The time limit of an attempt is reached: request number and attempt number.
     AttemptTimeout(u32, u32),
-    /// An attempt that is unwanted should have been taken by now: request and attempt.
+    /// A worker should have confirmed by now that it accepted the job of an attempt that is to be cancelled: request number
+    /// and attempt number.
     CancelUnaccepted(u32, u32),
-    /// By now the end of the connection of an attempt that was given up has come to its next hop: request and attempt.
+    /// The end of the connection of a cancelled attempt has reached the worker by now: request number and attempt number.
     CancelDelivered(u32, u32),
-    /// A time that a protocol set for one of its connections or listeners.
+    /// A timer that a protocol set for the connection or listener with this token.
     Connection(usize, ConnectionTimer),
-    /// Datagrams are left from the last turn.
+    /// Datagrams of other schedulers remain from the last iteration of the event loop.
     ReceivePeers,
-    /// The one-off call to discovery has waited too long.
+    /// The single call to discovery has had no answer for too long.
     DiscoveryFetch,
-    /// Nothing has come on the watch for too long.
+    /// Nothing has arrived on the discovery watch for too long.
     DiscoveryWatch,
-    /// The list grows too old to be acted on.
+    /// The worker list becomes too old to be used.
     ListExpiry,
-    /// Other schedulers are asked how fresh their lists are.
+    /// Other schedulers are to be asked how fresh their worker lists are.
     PeerListCheck,
-    /// The program counts as ready by now, whether the list is confirmed or not.
+    /// The process counts as ready from now on, even if the worker list is not confirmed.
     Readiness,
-    /// An operator's call has been open for too long.
+    /// A management call (its connection token) has been open for too long.
     ManagementCall(usize),
-    /// The operators' door is tried again after descriptors ran out.
+    /// Accepting management connections is retried after file descriptors ran out.
     ManagementAccept,
-    /// The process before this one has not handed over in time.
+    /// The predecessor process has not handed over in time.
     PredecessorHandover,
-    /// The address for datagrams was taken, and is tried again.
+    /// Binding the datagram socket for other schedulers is retried, because the address was in use.
     PeerSocketRetry,
-    /// After SIGTERM: what is owed to the requests that are open is looked at again.
+    /// After SIGTERM: the open requests are checked again for transfer or a final answer.
     OpenRequestsCheck,
-    /// The agreed configuration: something on its way from a control machine is owed, or another call is to be made.
+    /// The client of the control machines has to act: a message from a control machine is overdue, or the next call is
+    /// due.
     ControlClient,
-    /// What a control machine keeps time by.
+    /// Periodic timer of a control machine.
     ControlTick,
-    /// Learners are told that there is nothing new.
+    /// Learners are told that there is no change.
     Heartbeat,
-    /// The connection to the control machine of this number is tried again.
+    /// The connection to the control machine of this number is retried.
     ControlLinkRetry(u64),
-    /// In a drain: clients have been told elsewhere to go by now.
+    /// During a drain: clients have had enough time to move to other schedulers, and their connections are closed.
     DrainClients,
 }
 
-/// What a protocol set a time for.
+/// Purpose of a timer that a protocol sets for one of its connections or listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionTimer {
-    /// Something is owed on the connection, and has not come.
+    /// Expected data has not arrived on the connection in time.
     Timeout,
-    /// The connection has rested long enough.
+    /// The connection has been idle for its time limit.
     Idle,
-    /// There is more to read than was one turn's share.
+    /// Input remains beyond the share of one iteration of the event loop.
     ContinueRead,
-    /// What was offered on the connection has not been taken up.
+    /// An offer made on the connection has not been accepted in time.
     OfferTimeout,
-    /// Accepting goes on, after a turn's share of it, or after descriptors ran out.
+    /// Accepting connections continues, after the share of one iteration or after file descriptors ran out.
     Accept,
 }
 
-/// Deadlines by time. One that is set again moves; one that is cleared is gone, so the set stays as small as
-/// what it speaks of.
+/// Pending deadlines, sorted by time. Each [`Deadline`] is pending at most once: setting it again moves it, and clearing
+/// it removes it, so the size of the set is bounded by the number of objects that deadlines are set for.
 #[derive(Default)]
 pub struct Deadlines {
     sorted: BTreeSet<(Micros, Deadline)>,
-    at: HashMap<Deadline, Micros>,
+    times: HashMap<Deadline, Micros>,
 }
 
 impl Deadlines {
-    /// Sets or moves a deadline.
-    pub fn set(&mut self, due: Deadline, at: Micros) {
-        if let Some(before) = self.at.insert(due, at) {
-            self.sorted.remove(&(before, due));
+    /// Sets a deadline, or moves it if it is pending.
+    pub fn set(&mut self, deadline: Deadline, at: Micros) {
+        if let Some(before) = self.times.insert(deadline, at) {
+            self.sorted.remove(&(before, deadline));
         }
-        self.sorted.insert((at, due));
+        self.sorted.insert((at, deadline));
     }
 
-    /// Forgets a deadline.
-    pub fn clear(&mut self, due: Deadline) {
-        if let Some(before) = self.at.remove(&due) {
-            self.sorted.remove(&(before, due));
+    /// Removes a deadline, if it is pending.
+    pub fn clear(&mut self, deadline: Deadline) {
+        if let Some(before) = self.times.remove(&deadline) {
+            self.sorted.remove(&(before, deadline));
         }
     }
 
-    /// A deadline of this kind is set.
-    pub fn has(&self, due: Deadline) -> bool {
-        self.at.contains_key(&due)
+    /// Whether this deadline is pending.
+    pub fn has(&self, deadline: Deadline) -> bool {
+        self.times.contains_key(&deadline)
     }
 
-    /// Takes the earliest deadline that has come.
+    /// Removes and returns the earliest deadline whose time is `now` or before.
     pub fn next_due(&mut self, now: Micros) -> Option<Deadline> {
-        let &(at, due) = self.sorted.first()?;
+        let &(at, deadline) = self.sorted.first()?;
         if at > now {
             return None;
         }
-        self.clear(due);
-        Some(due)
+        self.clear(deadline);
+        Some(deadline)
     }
 
-    /// How long the poll may sleep.
+    /// Longest time that the poll may block: until the earliest deadline, or without limit (`None`) if none is pending.
     pub fn poll_timeout(&self, now: Micros) -> Option<Duration> {
         let &(at, _) = self.sorted.first()?;
         Some(Duration::from_micros(at.saturating_sub(now)))
@@ -117,7 +120,7 @@
     use super::*;
 
     #[test]
-    fn deadlines_come_in_order_move_and_go() {
+    fn deadlines_are_due_in_order_and_can_be_moved_and_cleared() {
         let mut deadlines = Deadlines::default();
         deadlines.set(Deadline::Connection(1, ConnectionTimer::Timeout), 50);
         deadlines.set(Deadline::Connection(2, ConnectionTimer::Accept), 20);
--- a/src/net/core/envelope.rs
+++ b/src/net/core/envelope.rs
@@ -1,19 +1,19 @@
-//! A request on its way through, whatever protocol it came by and whichever it goes out by.
+//! The protocol-independent form of a request, in which it is forwarded to a worker.
 
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Header lines in their order.
+/// Header lines in the order in which they were received.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The value of the first header of this name.
+    /// The value of the first header of this name, compared without case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// All of them.
+    /// All headers as (name, value), in their order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
@@ -25,21 +25,21 @@
     }
 }
 
-/// What a next hop gets of a request. Each protocol writes of it what it has words for.
+/// Data of a request that a worker receives. Each protocol sends the fields that it can express.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The name under which a next hop speaks of it: the client's, or one that was made for it.
+    /// Request name that the worker uses in its callbacks: the client's name for it, or a generated one.
     pub name: String,
-    /// What a next hop must be able to do for it: an index into [`Skills`](crate::config::Skills).
+    /// Skill that a worker needs to run the request: an index into [`Skills`](crate::config::Skills).
     pub skill: u32,
-    /// Path and query, as HTTP has it.
+    /// Path and query, as in an HTTP request line.
     pub target: String,
-    /// Headers, as HTTP has them.
+    /// HTTP headers.
     pub headers: Headers,
     /// The body or workload, without framing.
     #[serde(with = "crate::net::core::base64_bytes")]
     pub body: Vec<u8>,
 }
 
-/// An envelope as the desk keeps it: every attempt sends the same one.
+/// An envelope that all attempts of a request share.
 pub type Payload = Rc<Envelope>;
--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -41,7 +41,7 @@
     /// Requests whose records may go, once the module has answered the batch that says so.
     closing: Vec<u32>,
     figures: Counters,
-    roster: WorkerRegistry,
+    registry: WorkerRegistry,
     /// Names that are open at the other process of this scheduler.
     elsewhere: HashSet<String>,
     /// Names that were opened (`true`) and closed here, while there is somebody to be told.
@@ -57,7 +57,7 @@
             slots: settings.classes.iter().map(|class| class.slots).collect(),
             figures: Counters::new(settings.classes.len()),
             dispatcher: Dispatcher::new(settings, seed, now),
-            roster: WorkerRegistry::default(),
+            registry: WorkerRegistry::default(),
             most_open,
             entries: HashMap::new(),
             names: HashMap::new(),
@@ -156,18 +156,18 @@
 
     /// AttemptUpdate of the next hops, from one of those who name them.
     pub fn update_workers(&mut self, source: WorkerSource, kind: ListKind, members: Vec<Member>) {
-        let members = self.roster.merge(source, kind, members);
+        let members = self.registry.merge(source, kind, members);
         self.events.push_back(Event::Members(kind, members));
     }
 
     /// How many next hops are known.
     pub fn worker_count(&self) -> usize {
-        self.roster.known()
+        self.registry.len()
     }
 
     /// A next hop of this number was named by somebody else.
     pub fn belongs_to_other_source(&self, hop: WorkerId, source: WorkerSource) -> bool {
-        self.roster.foreign(hop, source)
+        self.registry.belongs_to_other_source(hop, source)
     }
 
     /// The route set is to be had elsewhere.
--- a/src/net/core/transfer/tests.rs
+++ b/src/net/core/transfer/tests.rs
@@ -1,4 +1,4 @@
-//! Both forms of a transfer, as they cross the link.
+//! Tests for both formats of a transfer on the upgrade link.
 
 use super::*;
 use crate::net::core::envelope::Headers;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_transfer_comes_over_as_it_was_but_for_the_clock() {
+fn a_transfer_is_read_back_with_its_times_on_the_receivers_clock() {
     let sent =
         AttemptRecord { worker: WorkerId(7), sent: 50 * SECOND, state: AttemptState::MayRun, ended_by: None };
     let history = RequestHistory {
@@ -23,11 +23,12 @@
     };
     let unread = b"POST".to_vec();
     let transfer = Transfer { envelope: envelope(), keep_alive: true, unread, history, clock: 55 * SECOND };
-    let line = serde_json::to_string(&AnyTransfer::Current(transfer.clone())).expect("it is written");
-    let read: AnyTransfer = serde_json::from_str(&line).expect("it is read");
+    let line =
+        serde_json::to_string(&AnyTransfer::Current(transfer.clone())).expect("serialize the transfer");
+    let read: AnyTransfer = serde_json::from_str(&line).expect("parse the transfer");
     // The sender's clock is 40 s ahead.
-    let (received, answers) = read.received(40 * SECOND.cast_signed());
-    assert!(answers && received.keep_alive);
+    let (received, wants_reply) = read.received(40 * SECOND.cast_signed());
+    assert!(wants_reply && received.keep_alive);
     assert_eq!((received.envelope.body, received.unread), (transfer.envelope.body, transfer.unread));
     let expected = RequestHistory {
         arrived: 9 * SECOND,
@@ -39,12 +40,12 @@
 }
 
 #[test]
-fn what_an_older_version_sends_is_one_attempt_that_is_out() {
+fn a_transfer_of_an_older_version_is_read_as_one_open_attempt() {
     let line = r#"{"envelope":{"name":"a1","skill":0,"target":"/look","headers":[["Request-Id","a1"]],"body":[104,105]},
         "keep_alive":true,"hop":7,"sent":50,"expires":60}"#;
-    let read: AnyTransfer = serde_json::from_str(line).expect("it is read");
-    let (received, answers) = read.received(0);
-    assert!(!answers, "it does not wait for an answer");
+    let read: AnyTransfer = serde_json::from_str(line).expect("parse the transfer of an older version");
+    let (received, wants_reply) = read.received(0);
+    assert!(!wants_reply, "a sender of an older version must not get a reply");
     assert_eq!(received.envelope.body, b"hi");
     let attempt = AttemptRecord { worker: WorkerId(7), sent: 50, state: AttemptState::Out, ended_by: None };
     assert_eq!(
--- a/src/net/core/worker_registry.rs
+++ b/src/net/core/worker_registry.rs
@@ -1,39 +1,40 @@
-//! Who the next hops are, from all sources: discovery's list, the operator file, and workers that came by themselves.
-//! The module knows one list only, in which a whole list from one source must not remove what another brought.
+//! Registry of the workers from all sources: discovery's list, the operator file, and workers that connect by themselves.
+//! The decision module knows a single list, so the registry makes sure that a full list from one source does not remove
+//! the workers of another source.
 
 use calicolb::api::{ListKind, Member, Standing, WorkerId};
 use std::collections::HashMap;
 
-/// Who names a next hop.
+/// The source that added a worker to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerSource {
-    /// Discovery, or the list that the configuration holds of it.
+    /// Discovery, or the copy of its list in the configuration.
     Discovery,
     /// The operator file.
     OperatorFile,
-    /// A protocol whose workers connect by themselves, by its name.
+    /// A protocol, given by its name, whose workers connect by themselves.
     SelfRegistered(&'static str),
 }
 
-/// See the head of this file.
+/// The known workers by number, each with the source that added it.
 #[derive(Default)]
 pub struct WorkerRegistry(HashMap<WorkerId, (WorkerSource, Member)>);
 
 impl WorkerRegistry {
-    /// How many next hops are known, those that end their work included.
-    pub fn known(&self) -> usize {
+    /// Number of known workers, including those that are draining.
+    pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// A hop of this number was named by somebody else.
-    pub fn foreign(&self, id: WorkerId, source: WorkerSource) -> bool {
-        self.0.get(&id).is_some_and(|(whose, _)| *whose != source)
+    /// Whether a source other than `source` added the worker of this number.
+    pub fn belongs_to_other_source(&self, id: WorkerId, source: WorkerSource) -> bool {
+        self.0.get(&id).is_some_and(|(owner, _)| *owner != source)
     }
 
-    /// Takes in news from one source; gives what the module is to be told. A number that another source has named
-    /// already stays with that one.
+    /// Applies a list or changes from one source. Returns the members to pass on to the decision module; after a full list
+    /// these include the workers of the other sources. A worker number that another source added stays with that source.
     pub fn merge(&mut self, source: WorkerSource, kind: ListKind, mut members: Vec<Member>) -> Vec<Member> {
-        members.retain(|member| !self.foreign(member.worker, source));
+        members.retain(|member| !self.belongs_to_other_source(member.worker, source));
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             self.0.retain(|_, (whose, _)| *whose != source);
         }
@@ -45,7 +46,7 @@
             }
         }
         if matches!(kind, ListKind::Full | ListKind::Saved) {
-            let others = self.0.values().filter(|(whose, _)| *whose != source);
+            let others = self.0.values().filter(|(owner, _)| *owner != source);
             members.extend(others.map(|(_, member)| member.clone()));
         }
         members
@@ -67,33 +68,33 @@
     }
 
     #[test]
-    fn a_whole_list_of_one_source_keeps_what_others_named() {
-        let mut roster = WorkerRegistry::default();
+    fn a_full_list_of_one_source_keeps_the_workers_of_other_sources() {
+        let mut registry = WorkerRegistry::default();
         let on = |id| member(id, Standing::On);
-        assert_eq!(ids(&roster.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![on(1)])), [1]);
+        assert_eq!(ids(&registry.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![on(1)])), [1]);
         assert_eq!(
-            ids(&roster.merge(WorkerSource::SelfRegistered("g"), ListKind::Changes, vec![on(2)])),
+            ids(&registry.merge(WorkerSource::SelfRegistered("g"), ListKind::Changes, vec![on(2)])),
             [2]
         );
         assert_eq!(
-            ids(&roster.merge(WorkerSource::Discovery, ListKind::Full, vec![on(3), on(4)])),
+            ids(&registry.merge(WorkerSource::Discovery, ListKind::Full, vec![on(3), on(4)])),
             [1, 2, 3, 4]
         );
-        assert_eq!(ids(&roster.merge(WorkerSource::Discovery, ListKind::Full, vec![on(4)])), [1, 2, 4]);
-        assert_eq!(roster.known(), 3);
+        assert_eq!(ids(&registry.merge(WorkerSource::Discovery, ListKind::Full, vec![on(4)])), [1, 2, 4]);
+        assert_eq!(registry.len(), 3);
     }
 
     #[test]
-    fn a_number_stays_with_who_named_it_first() {
-        let mut roster = WorkerRegistry::default();
-        roster.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![member(1, Standing::On)]);
-        assert!(roster.foreign(WorkerId(1), WorkerSource::Discovery));
+    fn a_worker_number_stays_with_the_source_that_added_it_first() {
+        let mut registry = WorkerRegistry::default();
+        registry.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![member(1, Standing::On)]);
+        assert!(registry.belongs_to_other_source(WorkerId(1), WorkerSource::Discovery));
         assert!(
-            roster
+            registry
                 .merge(WorkerSource::Discovery, ListKind::Changes, vec![member(1, Standing::Gone)])
                 .is_empty()
         );
-        roster.merge(WorkerSource::OperatorFile, ListKind::Changes, vec![member(1, Standing::Gone)]);
-        assert_eq!(roster.known(), 0);
+        registry.merge(WorkerSource::OperatorFile, ListKind::Changes, vec![member(1, Standing::Gone)]);
+        assert_eq!(registry.len(), 0);
     }
 }
