--- a/src/net/core/worker_registry.rs
+++ b/src/net/core/worker_registry.rs
@@ -36,7 +36,7 @@
     pub fn merge(&mut self, source: WorkerSource, kind: ListKind, mut members: Vec<Member>) -> Vec<Member> {
         members.retain(|member| !self.belongs_to_other_source(member.worker, source));
         if matches!(kind, ListKind::Full | ListKind::Saved) {
-            self.0.retain(|_, (whose, _)| *whose != source);
+            self.0.retain(|_, (owner, _)| *owner != source);
         }
         for member in &members {
             if member.standing == Standing::Gone {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,11 @@
-//! The network side: sockets, framing, and the desk where they meet the decisions.
+//! Networking: sockets, framing, and the request table that connects them to the decision module.
 //!
-//! `core` knows no protocol; `http` and `gearman` are protocols, each behind the same trait; `platform` is what the
-//! platform brings (discovery, other schedulers, upgrades); `operators` is their door; `turn` is the loop; `control` is the other role,
-//! with a loop of its own.
+//! - `core` holds what all protocols share and depends on none of them.
+//! - `http` and `gearman` are protocols, each behind the trait [`protocol::Protocol`].
+//! - `platform` holds what the platform provides: discovery, messages between schedulers, upgrades.
+//! - `operators` is the management interface.
+//! - `event_loop` is the loop of a scheduler.
+//! - `control` is the role of a control machine, which has a loop of its own.
 
 pub mod control;
 pub mod core;
@@ -20,38 +23,41 @@
 use calicolb::wire::Names;
 use mio::Registry;
 
-/// What every part of the network side works with in a turn of the loop.
+/// State of the scheduler that all networking code can use during an iteration of the event loop.
 pub struct Context<'a> {
     registry: &'a Registry,
     names: &'a Names,
     deadlines: &'a mut Deadlines,
     request_table: &'a mut RequestTable<Payload>,
+    /// The last token that was assigned to a connection.
     last_token: &'a mut usize,
-    /// Call-backs that fit nothing here: the other process of this scheduler, if there is one, is to be told.
+    /// Callbacks that match no request of this process. They are passed on to the other process of this scheduler during
+    /// an upgrade.
     unmatched_callbacks: &'a mut Vec<String>,
-    /// What a protocol wants of the whole program.
+    /// Requests of protocols that concern the whole process.
     protocol_requests: &'a mut Vec<protocol::ProtocolRequest>,
-    /// Datagrams to other schedulers, sent at the end of the turn.
+    /// Datagrams to other schedulers, sent at the end of the iteration.
     peer_outbox: &'a mut Vec<(PeerTarget, Vec<u8>)>,
     now: Micros,
 }
 
-/// Which other schedulers a datagram is for.
+/// The schedulers that a datagram is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerTarget {
-    /// The one of this rank.
+    /// The scheduler of this rank.
     Rank(u32),
-    /// So many, drawn by chance.
+    /// This number of randomly chosen schedulers.
     Random(usize),
 }
 
 impl Context<'_> {
-    /// Sends a datagram to other schedulers, where there are any.
-    fn send_to_peers(&mut self, audience: PeerTarget, body: Vec<u8>) {
-        self.peer_outbox.push((audience, body));
+    /// Queues a datagram for other schedulers. It is dropped if no other schedulers are configured.
+    fn send_to_peers(&mut self, target: PeerTarget, body: Vec<u8>) {
+        self.peer_outbox.push((target, body));
     }
 
-    /// A number for a new connection. None is given twice, so a late event of one that is gone meets nothing.
+    /// Assigns a token for a new connection. Tokens are never reused, so a late event of a closed connection matches no
+    /// other connection.
     fn next_token(&mut self) -> usize {
         *self.last_token += 1;
         *self.last_token
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -1,5 +1,5 @@
-//! What the loop asks of a protocol. It goes through the protocols and asks whose a connection, a client or a next hop
-//! is, so that another protocol adds a folder and nothing here or there.
+//! The interface between the event loop and a protocol. The event loop asks each protocol in turn whether it owns a
+//! connection, a client or a worker, so that another protocol only adds a module and needs no change here.
 
 use crate::net::Context;
 use crate::net::core::deadlines::ConnectionTimer;
@@ -10,109 +10,114 @@
 use calicolb::wire::Names;
 use std::io;
 
-/// What a protocol wants of the whole program.
+/// A request of a protocol that concerns the whole process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolRequest {
-    /// Send clients away, answer what was taken, and exit.
+    /// Drain clients, answer the accepted requests, and exit.
     Shutdown {
-        /// However long the answers take; else as after SIGTERM.
+        /// Wait without limit for the answers; otherwise the time limits of SIGTERM apply.
         graceful: bool,
     },
 }
 
-/// How many descriptors a protocol may use.
+/// Numbers of file descriptors that a protocol may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorLimits {
-    /// For connections that come in.
+    /// For incoming connections.
     pub clients: usize,
-    /// For connections that go out to next hops.
+    /// For outgoing connections to workers.
     pub workers: usize,
 }
 
-/// Something that holds descriptors which others may need more.
+/// Holder of file descriptors that can release one when they run short.
 pub trait ReleaseIdle {
-    /// Lets go of the descriptor that is needed least; tells whether there was one.
+    /// Closes the connection that is needed least, if there is one that may be closed. Returns whether one was closed.
     fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool;
 }
 
-/// One protocol: its connections, clients and next hops.
+/// A protocol with its connections, clients and workers.
 pub trait Protocol: ReleaseIdle {
-    /// This is one of its connections or listeners.
+    /// Whether the token belongs to a connection or listener of this protocol.
     fn owns_token(&self, token: usize) -> bool;
 
-    /// Something can be read, written or accepted there.
+    /// Handles readiness of a connection or listener: it can be read, written or accepted.
     fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize);
 
-    /// A time that was set for it has come.
-    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer);
+    /// Handles a timer that this protocol set for a connection or listener and that has expired.
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, timer: ConnectionTimer);
 
-    /// This is one of its clients.
+    /// Whether the client belongs to this protocol.
     fn owns_client(&self, client: ClientId) -> bool;
 
-    /// Gives a client its final answer.
+    /// Sends a client its final answer.
     fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer);
 
-    /// Passes on to a client what its next hop told on the way to the end.
+    /// Sends a client a partial result or progress that its worker reported before the end of the attempt. Protocols that
+    /// cannot express it ignore it.
     fn send_partial_result(&mut self, _ctx: &mut Context<'_>, _client: ClientId, _part: PartialResult) {}
 
-    /// This is one of its next hops.
-    fn owns_worker(&self, hop: WorkerId) -> bool;
+    /// Whether the worker is reached through this protocol.
+    fn owns_worker(&self, worker: WorkerId) -> bool;
 
-    /// Sends an attempt. What becomes of it is told to the desk.
+    /// Sends an attempt, which ends `timeout` microseconds later at the latest. The outcome is reported to the request
+    /// table.
     fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         payload: &Payload,
-        wait: Micros,
+        timeout: Micros,
     );
 
-    /// An attempt was given up, and may be with its next hop, which knows it by this name.
-    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str);
+    /// Cancels an attempt that its worker may have received. `name`: the request name that the worker knows.
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, worker: WorkerId, name: &str);
 
-    /// All the time of an attempt has passed, which was over before: nothing need be kept for it.
+    /// Releases the state kept for an attempt that had ended before and whose time limit is now reached.
     fn release_attempt(&mut self, ctx: &mut Context<'_>, attempt: AttemptId);
 
-    /// Asks a next hop for its load.
-    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId);
+    /// Asks a worker for its load.
+    fn probe(&mut self, ctx: &mut Context<'_>, worker: WorkerId);
 
-    /// Closes connections to a next hop that are at rest.
-    fn close_idle(&mut self, ctx: &mut Context<'_>, hop: WorkerId);
+    /// Closes the idle connections to a worker.
+    fn close_idle(&mut self, ctx: &mut Context<'_>, worker: WorkerId);
 
-    /// All facts of a turn are in; the module is asked next.
+    /// Called once per iteration after all events are gathered and before the decision module processes them.
     fn on_events_gathered(&mut self, _ctx: &mut Context<'_>) {}
 
-    /// All that the module wanted in this turn is carried out.
+    /// Called once per iteration after all commands of the decision module are carried out.
     fn on_commands_done(&mut self, _ctx: &mut Context<'_>) {}
 
-    /// Begins to take connections.
+    /// Starts to accept connections.
+    ///
+    /// # Errors
+    /// Fails if a listening socket cannot be registered.
     fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()>;
 
-    /// So many descriptors may be used from now on.
-    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits);
+    /// Sets the numbers of file descriptors that may be used from now on.
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, limits: DescriptorLimits);
 
-    /// Clients are parted with: those at rest now, the others after their answers.
+    /// Begins to close the clients' connections: idle ones now, the others after their answers.
     fn begin_drain(&mut self, ctx: &mut Context<'_>);
 
-    /// Clients are welcome to stay again.
+    /// Ends the drain: clients' connections are kept open again.
     fn resume(&mut self);
 
-    /// No client is in the middle of a request, or has still to take its last answer.
+    /// Whether no client is sending a request, waits for an answer, or has still to receive its last answer.
     fn is_idle(&self, now: Micros) -> bool;
 
-    /// Whether it could go by these classes, each at its old place.
+    /// Checks whether these settings can be applied. Each class has the index that it had before.
     ///
     /// # Errors
-    /// The key of the settings that stands in the way.
+    /// Returns the settings key that prevents it.
     fn check_settings(&self, _names: &Names, _classes: &[Class]) -> Result<(), SettingsError> {
         Ok(())
     }
 
-    /// Other settings are in force: these are the classes, each at its old place.
+    /// Applies the classes of settings that have come into force. Each class has the index that it had before.
     fn apply_settings(&mut self, _classes: &[Class]) {}
 
-    /// What operators are shown of it, by name.
+    /// Metrics of this protocol for operators, by name.
     fn metrics(&self) -> Vec<(&'static str, u64)> {
         Vec::new()
     }
--- a/tests/renewal.rs
+++ b/tests/renewal.rs
@@ -337,7 +337,7 @@
     assert_eq!(merge((&old, &names), (&old, &others)).expect_err("other zones").key, "azs");
     let (twice, both) = named(&[("look", 1.0), ("look", 2.0)], &[]);
     assert_eq!(
-        merge((&old, &names), (&twice, &both)).expect_err("it is there twice").key,
+        merge((&old, &names), (&twice, &both)).expect_err("merge accepts a name that is listed twice").key,
         "request_classes.look"
     );
 }
