--- a/crates/rig/src/calibrate/process.rs
+++ b/crates/rig/src/calibrate/process.rs
@@ -59,7 +59,7 @@
             let line = text.lines().find_map(|line| line.split_once(mark));
             line.and_then(|(_, rest)| rest.trim().parse().ok())
         };
-        self.peers = after("hears schedulers on ");
+        self.peers = after("listens for schedulers on ");
         self.clients = after("serves on ");
         match self.child.try_wait() {
             Ok(None) => Ok(self.clients.is_some()),
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,5 +1,5 @@
-//! The loop. Each turn gathers what is ready and what is due, hands it to the module in one go, and carries
-//! out what came back.
+//! The event loop of a scheduler. Each iteration gathers the ready connections and the due deadlines, passes the resulting
+//! events to the decision module in one batch, and carries out the commands that it returns.
 
 use crate::config::list::Update;
 use crate::config::{Config, Fixed, PeerConfig};
@@ -36,254 +36,276 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const LISTENER: usize = 0;
+/// Token of the listening socket for clients.
+const CLIENT_LISTENER: usize = 0;
+/// Token of the signal pipe.
 const SIGNALS: Token = Token(1);
+/// Token of the datagram socket for other schedulers.
 const PEERS: Token = Token(2);
-const DOOR: Token = Token(3);
-const MEETING: Token = Token(4);
-/// Numbers above this one are for connections.
-const FIRST: usize = 15;
-/// The address for datagrams is tried again after this time, where another process may still have it.
-const PEERS_AGAIN: Micros = 100_000;
-/// Descriptors for the log, the poll, the listener, the signals, discovery and the like.
-const OWN_SOCKETS: usize = 24;
+/// Token of the listening socket for operators.
+const MANAGEMENT: Token = Token(3);
+/// Token of the listening socket for a successor process.
+const UPGRADE_LISTENER: Token = Token(4);
+/// Connections have tokens above this one.
+const LAST_RESERVED_TOKEN: usize = 15;
+/// Interval (microseconds) at which binding the datagram socket is retried while another process may still use its address.
+const PEER_SOCKET_RETRY_DELAY: Micros = 100_000;
+/// File descriptors reserved for the log, the poll, the listening sockets, the signals, discovery and the like.
+const RESERVED_DESCRIPTORS: usize = 24;
 
-/// The program at work.
+/// A running scheduler.
 pub struct EventLoop {
     poll: Poll,
     registry: Registry,
     clock: Clock,
     names: Names,
     deadlines: Deadlines,
-    desk: RequestTable<Payload>,
-    tokens: usize,
+    request_table: RequestTable<Payload>,
+    last_token: usize,
     signals: Signals,
     http: Http,
-    /// The other protocols.
-    others: Vec<Box<dyn Protocol>>,
-    wishes: Vec<ProtocolRequest>,
-    routes: RouteSet,
-    /// Next hops that the operator file names.
-    fixed: Vec<Fixed>,
+    /// The protocols other than HTTP.
+    other_protocols: Vec<Box<dyn Protocol>>,
+    protocol_requests: Vec<ProtocolRequest>,
+    discovery: RouteSet,
+    /// Workers that the operator file names.
+    static_workers: Vec<Fixed>,
     peers: Option<Peers>,
-    /// The agreed configuration, if there is any.
+    /// Client of the control machines, if the configuration names any.
     control: Option<Control>,
-    door: Option<Door>,
+    management: Option<Door>,
     drain: Drain,
-    upgrade: UpgradeLink,
-    /// What the other process is to be told at the end of the turn.
-    strays: Vec<String>,
-    /// Datagrams for other schedulers, sent at the end of the turn.
-    outbox: Vec<(PeerTarget, Vec<u8>)>,
-    /// The list of next hops to begin with, while the predecessor is asked for a better one.
-    waiting: Option<Option<Update>>,
-    /// A successor has taken over; and it takes clients.
-    retired: bool,
-    successor_open: bool,
+    upgrade_link: UpgradeLink,
+    /// Callbacks that matched no request here; they are passed to the other process at the end of the iteration.
+    unmatched_callbacks: Vec<String>,
+    /// Datagrams for other schedulers, sent at the end of the iteration.
+    peer_outbox: Vec<(PeerTarget, Vec<u8>)>,
+    /// The initial worker list of the configuration, while the predecessor is asked for a newer one; `None` once serving
+    /// has started.
+    initial_list: Option<Option<Update>>,
+    /// A successor process has taken over.
+    handed_over: bool,
+    /// The successor accepts clients.
+    successor_accepts_clients: bool,
+    /// Name of this scheduler.
     name: String,
-    at: SocketAddr,
+    /// Address of the listening socket for clients.
+    listen_address: SocketAddr,
+    /// Rank of this scheduler among all schedulers.
     rank: u32,
-    /// The clients' socket was passed: another process may have it too.
-    passed: bool,
+    /// The listening socket for clients was inherited: another process may use it too.
+    socket_inherited: bool,
     peer_config: Option<PeerConfig>,
-    sockets: usize,
-    most_open: usize,
-    /// When a next hop closes an idle connection.
-    conn_idle: Micros,
-    /// How often other settings came into force.
-    renewals: u64,
-    /// Clients were served already: a list of next hops was known that could be acted on, or none was to be had soon.
-    begun: bool,
-    /// From SIGTERM to the earliest SIGKILL.
+    /// File descriptors that the process may use.
+    max_descriptors: usize,
+    /// Configured maximum number of open requests.
+    max_open: usize,
+    /// Time (microseconds) after which a worker closes an idle connection.
+    worker_idle_timeout: Micros,
+    /// Number of settings updates that came into force.
+    settings_updates: u64,
+    /// Clients have been accepted: a usable worker list was known, or none was to be expected soon. Stays set.
+    ready_to_serve: bool,
+    /// Time limits from SIGTERM to the earliest SIGKILL.
     grace: Grace,
-    /// SIGTERM has come.
-    ending: Option<Ending>,
-    /// Requests on their way to the successor.
-    transfers: Transfers,
-    /// The program ends however long the answers take.
-    patient: bool,
-    /// It runs under an operator file.
-    appliance: bool,
+    /// Set once SIGTERM has been received.
+    termination: Option<Termination>,
+    /// Requests that were sent to the successor and that it has not confirmed.
+    transfers: PendingTransfers,
+    /// The process ends after all answers, without a time limit.
+    graceful: bool,
+    /// The configuration came from an operator file.
+    uses_operator_file: bool,
 }
 
 impl EventLoop {
-    /// Opens the sockets and takes in the list of next hops that the configuration brings.
+    /// Opens the sockets, and starts to serve with the worker list of the configuration unless a predecessor process is
+    /// going to hand over.
+    ///
+    /// # Errors
+    /// Fails if a socket cannot be opened or registered.
     pub fn new(config: Config) -> io::Result<Self> {
-        // First of all: a signal that comes before it is waited for ends the program.
+        // The handlers are installed first, because a signal without a handler ends the process.
         let mut signals = Signals::new([SIGTERM, SIGHUP])?;
         let poll = Poll::new()?;
         let registry = poll.registry().try_clone()?;
         let clock = Clock::new();
-        let (listener, passed) = inherit::listener(config.passed, config.listen)?;
-        let at = listener.local_addr()?;
+        let (listener, socket_inherited) = inherit::listener(config.passed, config.listen)?;
+        let listen_address = listener.local_addr()?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
-        let door = match config.mgmt {
+        let management = match config.mgmt {
             Some(mgmt) => {
                 let mut listener = TcpListener::bind(mgmt)?;
-                registry.register(&mut listener, DOOR, Interest::READABLE)?;
-                note!("{} hears operators on {}", config.name, listener.local_addr()?);
+                registry.register(&mut listener, MANAGEMENT, Interest::READABLE)?;
+                note!("{} listens for operators on {}", config.name, listener.local_addr()?);
                 Some(Door::new(listener))
             }
             None => None,
         };
-        let (asked, drain) = (config.settings.list_on_request, config.settings.rules.drain_grace);
-        let routes = RouteSet::new(config.discovery, asked, drain, clock.now());
+        let (on_request, drain_grace) = (config.settings.list_on_request, config.settings.rules.drain_grace);
+        let discovery = RouteSet::new(config.discovery, on_request, drain_grace, clock.now());
         let hops = NextHops::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
-        let mut turn = EventLoop {
-            grace: grace(&config.settings.classes),
-            ending: None,
-            transfers: Transfers::default(),
+        let mut event_loop = EventLoop {
+            grace: grace_period(&config.settings.classes),
+            termination: None,
+            transfers: PendingTransfers::default(),
             rank: config.settings.rank,
-            desk: RequestTable::new(config.settings, config.seed, clock.now(), 0),
+            request_table: RequestTable::new(config.settings, config.seed, clock.now(), 0),
             poll,
             registry,
             clock,
             names: config.names,
             deadlines: Deadlines::default(),
-            tokens: FIRST,
+            last_token: LAST_RESERVED_TOKEN,
             signals,
-            http: Http { clients: Clients::new(listener, LISTENER), hops },
-            others: Vec::new(),
-            wishes: Vec::new(),
-            routes,
-            fixed: config.fixed,
+            http: Http { clients: Clients::new(listener, CLIENT_LISTENER), hops },
+            other_protocols: Vec::new(),
+            protocol_requests: Vec::new(),
+            discovery,
+            static_workers: config.fixed,
             peers: None,
             control: config.control.map(|control| Control::new(control, &config.name, config.seed)),
-            door,
+            management,
             drain: Drain::default(),
-            upgrade: UpgradeLink::new(config.meeting.filter(|_| passed)),
-            strays: Vec::new(),
-            outbox: Vec::new(),
-            waiting: Some(config.known),
-            retired: false,
-            successor_open: false,
+            upgrade_link: UpgradeLink::new(config.meeting.filter(|_| socket_inherited)),
+            unmatched_callbacks: Vec::new(),
+            peer_outbox: Vec::new(),
+            initial_list: Some(config.known),
+            handed_over: false,
+            successor_accepts_clients: false,
             name: config.name,
-            at,
-            passed,
+            listen_address,
+            socket_inherited,
             peer_config: config.peers,
-            sockets: config.sockets,
-            most_open: config.most_open,
-            conn_idle: config.conn_idle,
-            renewals: 0,
-            begun: false,
-            patient: false,
-            appliance: config.discovery.is_none(),
+            max_descriptors: config.sockets,
+            max_open: config.most_open,
+            worker_idle_timeout: config.conn_idle,
+            settings_updates: 0,
+            ready_to_serve: false,
+            graceful: false,
+            uses_operator_file: config.discovery.is_none(),
         };
-        let now = turn.clock.now();
+        let now = event_loop.clock.now();
         if let Some(gearman) = config.gearman {
-            let (mut ctx, parts) = turn.split(now);
-            parts.others.push(Box::new(Gearman::new(&mut ctx, gearman)?));
+            let (mut ctx, components) = event_loop.split(now);
+            components.other_protocols.push(Box::new(Gearman::new(&mut ctx, gearman)?));
         }
-        let (mut ctx, parts) = turn.split(now);
-        if parts.upgrade.call(&mut ctx) {
+        let (mut ctx, components) = event_loop.split(now);
+        if components.upgrade_link.call(&mut ctx) {
             ctx.deadlines.set(Deadline::PredecessorHandover, now + PATIENCE);
-            turn.share_out(now);
+            event_loop.distribute_descriptors(now);
         } else {
-            turn.start(now, None)?;
+            event_loop.start_serving(now, None)?;
         }
-        Ok(turn)
+        Ok(event_loop)
     }
 
-    /// Begins to serve, with what the predecessor handed over, or else with the list of the configuration.
-    fn start(&mut self, now: Micros, handover: Option<Handover>) -> io::Result<()> {
+    /// Starts to serve, with the state that the predecessor handed over, or else with the worker list of the configuration.
+    /// Does nothing if serving has started before.
+    fn start_serving(&mut self, now: Micros, handover: Option<Handover>) -> io::Result<()> {
         if let Some(handover) = &handover {
-            // Also from a predecessor that was silent for too long: its open requests are still its own.
+            // Also after the timeout for the handover: the predecessor still answers its open requests.
             note!("{} requests are open at the predecessor", handover.open.len());
-            self.desk.track_open_names();
-            handover.open.iter().for_each(|name| self.desk.set_open_elsewhere(name.clone(), true));
+            self.request_table.track_open_names();
+            handover.open.iter().for_each(|name| self.request_table.set_open_elsewhere(name.clone(), true));
         }
-        let Some(known) = self.waiting.take() else { return Ok(()) };
-        self.open_peers(now)?;
-        self.share_out(now);
-        let appliance = self.appliance;
-        let (mut ctx, parts) = self.split(now);
+        let Some(initial_list) = self.initial_list.take() else { return Ok(()) };
+        self.open_peer_socket(now)?;
+        self.distribute_descriptors(now);
+        let uses_operator_file = self.uses_operator_file;
+        let (mut ctx, components) = self.split(now);
         ctx.deadlines.clear(Deadline::PredecessorHandover);
         let confirmed_ago = handover.as_ref().and_then(|handover| handover.confirmed_us_ago);
-        let (known, drained) = match handover {
+        let (initial_list, draining) = match handover {
             Some(handover) => {
-                let ahead = handover.clock.map_or(0, |clock| parts.upgrade.hear_clock(now, clock));
-                let knowledge = renewal::placed(handover.knowledge, &handover.names, ctx.names, now);
-                ctx.request_table.import_knowledge(renewal::on_clock(knowledge, ahead));
+                let ahead = handover.clock.map_or(0, |clock| components.upgrade_link.hear_clock(now, clock));
+                let knowledge =
+                    settings_update::remap_knowledge(handover.knowledge, &handover.names, ctx.names, now);
+                ctx.request_table.import_knowledge(settings_update::adjust_clock(knowledge, ahead));
                 (Some(handover.routes), handover.drained)
             }
-            None => (known, false),
+            None => (initial_list, false),
         };
-        if !parts.fixed.is_empty() {
-            parts
-                .fixed
-                .iter()
-                .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.dial, 0));
-            let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
+        if !components.static_workers.is_empty() {
+            components.static_workers.iter().for_each(|worker| {
+                components.http.hops.learn(&mut ctx, worker.member.worker, worker.dial, 0)
+            });
+            let members = components.static_workers.iter().map(|worker| worker.member.clone()).collect();
             ctx.request_table.update_workers(WorkerSource::OperatorFile, ListKind::Changes, members);
         }
-        parts.routes.warm(&mut ctx, &mut parts.http.hops, known, confirmed_ago);
-        parts.http.listen(&mut ctx)?;
-        parts.others.iter_mut().try_for_each(|other| other.listen(&mut ctx))?;
-        parts.upgrade.listen(ctx.registry, MEETING);
-        match parts.control {
+        components.discovery.warm(&mut ctx, &mut components.http.hops, initial_list, confirmed_ago);
+        components.http.listen(&mut ctx)?;
+        components.other_protocols.iter_mut().try_for_each(|other| other.listen(&mut ctx))?;
+        components.upgrade_link.listen(ctx.registry, UPGRADE_LISTENER);
+        match components.control {
             Some(control) => control.start(&mut ctx),
-            // An operator file names no control machines.
-            None if appliance => {}
+            // An operator file cannot name control machines.
+            None if uses_operator_file => {}
             None => note!(
-                "agreed configuration is off: no 'control' machines are named; settings change by SIGHUP"
+                "agreed configuration is off: the configuration names no 'control' machines; settings change by SIGHUP"
             ),
         }
-        note!("{} serves on {}", self.name, self.at);
-        if drained {
+        note!("{} serves on {}", self.name, self.listen_address);
+        if draining {
             self.begin_drain(now, Why::Asked);
         }
         Ok(())
     }
 
-    /// Opens the address for datagrams.
-    fn open_peers(&mut self, now: Micros) -> io::Result<()> {
+    /// Binds the datagram socket for other schedulers, if any are configured.
+    fn open_peer_socket(&mut self, now: Micros) -> io::Result<()> {
         let Some(config) = &self.peer_config else { return Ok(()) };
         match UdpSocket::bind(config.listen) {
             Ok(mut socket) => {
                 self.registry.register(&mut socket, PEERS, Interest::READABLE)?;
-                note!("{} hears schedulers on {}", self.name, socket.local_addr()?);
+                note!("{} listens for schedulers on {}", self.name, socket.local_addr()?);
                 let seed = self.clock.now() ^ u64::from(self.rank);
                 self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
             }
-            // A silent predecessor still has it. Command does not hang on datagrams: they are let in when it has gone.
-            Err(error) if self.passed && error.kind() == io::ErrorKind::AddrInUse => {
-                self.deadlines.set(Deadline::PeerSocketRetry, now + PEERS_AGAIN);
+            // A predecessor that has not handed over still uses the address. Requests are served without datagrams; the
+            // socket is bound when the predecessor has ended.
+            Err(error) if self.socket_inherited && error.kind() == io::ErrorKind::AddrInUse => {
+                self.deadlines.set(Deadline::PeerSocketRetry, now + PEER_SOCKET_RETRY_DELAY);
             }
             Err(error) => return Err(error),
         }
         Ok(())
     }
 
-    /// Deals the descriptors out. While two processes share the limit, each keeps to half of it.
-    fn share_out(&mut self, now: Micros) {
-        let sockets = self.sockets / if self.upgrade.any() { 2 } else { 1 };
-        let own = OWN_SOCKETS + if self.door.is_some() { CALLS } else { 0 };
-        let (shares, most_open) = shares(sockets, own);
-        let most_open = most_open.min(self.most_open);
-        let (mut ctx, mut parts) = self.split(now);
-        ctx.request_table.set_max_open(most_open);
-        // Alike for all protocols: which of them is in use is not known beforehand.
-        let count = 1 + parts.others.len();
-        let each = DescriptorLimits { clients: shares.clients / count, workers: shares.workers / count };
-        parts.protocols().for_each(|protocol| protocol.set_descriptor_limits(&mut ctx, each));
+    /// Distributes the file descriptors among the protocols. While two processes share the limit, each uses half of it.
+    fn distribute_descriptors(&mut self, now: Micros) {
+        let descriptors = self.max_descriptors / if self.upgrade_link.any() { 2 } else { 1 };
+        let reserved = RESERVED_DESCRIPTORS + if self.management.is_some() { CALLS } else { 0 };
+        let (limits, max_open) = descriptor_limits(descriptors, reserved);
+        let max_open = max_open.min(self.max_open);
+        let (mut ctx, mut components) = self.split(now);
+        ctx.request_table.set_max_open(max_open);
+        // All protocols get equal shares, because it is not known in advance which of them will be used.
+        let count = 1 + components.other_protocols.len();
+        let each = DescriptorLimits { clients: limits.clients / count, workers: limits.workers / count };
+        components.protocols().for_each(|protocol| protocol.set_descriptor_limits(&mut ctx, each));
     }
 
-    /// Begins to serve, if that has not happened yet.
-    fn begin(&mut self, now: Micros, handover: Option<Handover>) {
-        if let Err(error) = self.start(now, handover) {
-            note!("beginning to serve: {error}");
+    /// Starts to serve unless serving has started before, and logs an error instead of returning it.
+    fn try_start_serving(&mut self, now: Micros, handover: Option<Handover>) {
+        if let Err(error) = self.start_serving(now, handover) {
+            note!("cannot start to serve: {error}");
         }
     }
 
-    /// Runs until SIGTERM has come and all that was taken is answered.
+    /// Runs until SIGTERM has been received and all accepted requests are answered.
+    ///
+    /// # Errors
+    /// Fails if polling fails.
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(1024);
-        // Done twice in a row: what came in while it was found out for the first time is taken in as well.
-        let mut done = 0;
-        while done < 2 {
+        // The loop ends when it was finished in two iterations in a row, so that events that arrived during the first check
+        // are processed too.
+        let mut finished_iterations = 0;
+        while finished_iterations < 2 {
             let now = self.clock.now();
-            // The second look at whether all is done must not wait for the next deadline, which may be far off.
-            let at_once = self.desk.has_pending() || done > 0;
+            // The second check must not wait for the next deadline, which may be far away.
+            let at_once = self.request_table.has_pending() || finished_iterations > 0;
             let timeout = if at_once { Some(Duration::ZERO) } else { self.deadlines.poll_timeout(now) };
             match self.poll.poll(&mut events, timeout) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
@@ -291,107 +313,112 @@
             }
             let now = self.clock.now();
             for event in &events {
-                self.ready(now, event.token());
+                self.handle_ready(now, event.token());
             }
-            while let Some(due) = self.deadlines.next_due(now) {
-                self.due(now, due);
+            while let Some(deadline) = self.deadlines.next_due(now) {
+                self.handle_deadline(now, deadline);
             }
-            let (mut ctx, mut parts) = self.split(now);
-            parts.protocols().for_each(|protocol| protocol.on_events_gathered(&mut ctx));
-            for work in self.desk.process_events(now, &mut self.deadlines) {
-                self.carry_out(now, work);
+            let (mut ctx, mut components) = self.split(now);
+            components.protocols().for_each(|protocol| protocol.on_events_gathered(&mut ctx));
+            for command in self.request_table.process_events(now, &mut self.deadlines) {
+                self.execute_command(now, command);
             }
-            let (mut ctx, mut parts) = self.split(now);
-            parts.protocols().for_each(|protocol| protocol.on_commands_done(&mut ctx));
-            for wish in std::mem::take(&mut self.wishes) {
-                self.grant(now, wish);
+            let (mut ctx, mut components) = self.split(now);
+            components.protocols().for_each(|protocol| protocol.on_commands_done(&mut ctx));
+            for request in std::mem::take(&mut self.protocol_requests) {
+                self.handle_protocol_request(now, request);
             }
-            self.learn(now);
-            self.begun |= self.desk.worker_count() > 0 && self.routes.serviceable(now);
-            self.http.clients.open = self.begun && self.welcome();
-            self.tell_other_process();
-            self.tell_peers();
-            done = if self.done(now) { done + 1 } else { 0 };
+            self.apply_agreed_settings(now);
+            self.ready_to_serve |= self.request_table.worker_count() > 0 && self.discovery.serviceable(now);
+            self.http.clients.open = self.ready_to_serve && self.accepts_clients();
+            self.notify_other_process();
+            self.send_peer_datagrams();
+            finished_iterations = if self.is_finished(now) { finished_iterations + 1 } else { 0 };
         }
         Ok(())
     }
 
-    /// Sends the datagrams of this turn to other schedulers.
-    fn tell_peers(&mut self) {
-        for (audience, body) in std::mem::take(&mut self.outbox) {
+    /// Sends the datagrams that this iteration queued for other schedulers.
+    fn send_peer_datagrams(&mut self) {
+        for (target, body) in std::mem::take(&mut self.peer_outbox) {
             if let Some(peers) = &mut self.peers {
-                peers.address(audience, &body);
+                peers.address(target, &body);
             }
         }
     }
 
-    /// Clients are welcome, here or at the process that took over: the two are one scheduler.
-    fn welcome(&self) -> bool {
-        if self.retired { self.successor_open } else { self.drain.open() }
+    /// Whether this scheduler accepts clients, here or at the successor process: both processes are one scheduler.
+    fn accepts_clients(&self) -> bool {
+        if self.handed_over { self.successor_accepts_clients } else { self.drain.open() }
     }
 
-    fn done(&self, now: Micros) -> bool {
-        // What the predecessor still has out needs its call-backs, and they come to whoever listens: here.
+    /// Whether the process may exit: all accepted requests are answered.
+    fn is_finished(&self, now: Micros) -> bool {
+        // The last condition keeps this process running for the open attempts of the predecessor: their callbacks arrive at
+        // the process that listens, which is this one.
         self.drain.last()
-            && self.desk.unanswered_requests() == 0
+            && self.request_table.unanswered_requests() == 0
             && self.transfers.is_empty()
             && self.http.is_idle(now)
-            && self.others.iter().all(|other| other.is_idle(now))
-            && (self.retired || !self.desk.any_open_elsewhere())
+            && self.other_protocols.iter().all(|other| other.is_idle(now))
+            && (self.handed_over || !self.request_table.any_open_elsewhere())
     }
 
-    fn split(&mut self, now: Micros) -> (Context<'_>, Parts<'_>) {
+    /// Splits the event loop into the context that all components use, and the components.
+    fn split(&mut self, now: Micros) -> (Context<'_>, Components<'_>) {
         let ctx = Context {
             registry: &self.registry,
             names: &self.names,
             deadlines: &mut self.deadlines,
-            request_table: &mut self.desk,
-            last_token: &mut self.tokens,
-            unmatched_callbacks: &mut self.strays,
-            peer_outbox: &mut self.outbox,
-            protocol_requests: &mut self.wishes,
+            request_table: &mut self.request_table,
+            last_token: &mut self.last_token,
+            unmatched_callbacks: &mut self.unmatched_callbacks,
+            peer_outbox: &mut self.peer_outbox,
+            protocol_requests: &mut self.protocol_requests,
             now,
         };
-        let parts = Parts {
+        let components = Components {
             http: &mut self.http,
-            others: &mut self.others,
-            fixed: &self.fixed,
-            routes: &mut self.routes,
+            other_protocols: &mut self.other_protocols,
+            static_workers: &self.static_workers,
+            discovery: &mut self.discovery,
             peers: &mut self.peers,
             control: &mut self.control,
-            door: &mut self.door,
+            management: &mut self.management,
             drain: &mut self.drain,
-            upgrade: &mut self.upgrade,
+            upgrade_link: &mut self.upgrade_link,
         };
-        (ctx, parts)
+        (ctx, components)
     }
 
-    fn ready(&mut self, now: Micros, token: Token) {
+    /// Handles readiness of the socket with this token.
+    fn handle_ready(&mut self, now: Micros, token: Token) {
         if token == SIGNALS {
-            return self.signalled(now);
+            return self.handle_signals(now);
         }
-        let (mut ctx, mut parts) = self.split(now);
+        let (mut ctx, mut components) = self.split(now);
         match token {
-            PEERS => parts.hear_peers(&mut ctx),
-            DOOR => self.door_opens(now),
-            MEETING => parts.upgrade.accept(&mut ctx),
-            Token(token) if parts.upgrade.has(token) => self.link_ready(now, token),
-            Token(token) if parts.routes.has(token) => {
-                parts.routes.ready(&mut ctx, &mut parts.http.hops, token);
+            PEERS => components.receive_peers(&mut ctx),
+            MANAGEMENT => self.accept_management(now),
+            UPGRADE_LISTENER => components.upgrade_link.accept(&mut ctx),
+            Token(token) if components.upgrade_link.has(token) => self.handle_link_ready(now, token),
+            Token(token) if components.discovery.has(token) => {
+                components.discovery.ready(&mut ctx, &mut components.http.hops, token);
             }
-            Token(token) if parts.control.as_ref().is_some_and(|control| control.has(token)) => {
-                if let Some(control) = parts.control {
+            Token(token) if components.control.as_ref().is_some_and(|control| control.has(token)) => {
+                if let Some(control) = components.control {
                     control.ready(&mut ctx, token);
                 }
             }
-            Token(token) => match parts.door {
-                Some(door) if door.has(token) => {
-                    if let Some(order) = door.ready(&mut ctx, token) {
-                        self.order(now, token, order);
+            Token(token) => match components.management {
+                Some(management) if management.has(token) => {
+                    if let Some(command) = management.ready(&mut ctx, token) {
+                        self.execute_management_command(now, token, command);
                     }
                 }
                 _ => {
-                    if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_token(token)) {
+                    if let Some(protocol) = components.protocols().find(|protocol| protocol.owns_token(token))
+                    {
                         protocol.on_ready(&mut ctx, token);
                     }
                 }
@@ -399,14 +426,15 @@
         }
     }
 
-    fn due(&mut self, now: Micros, due: Deadline) {
-        let (mut ctx, mut parts) = self.split(now);
-        match due {
+    /// Handles a deadline whose time has come.
+    fn handle_deadline(&mut self, now: Micros, deadline: Deadline) {
+        let (mut ctx, mut components) = self.split(now);
+        match deadline {
             Deadline::DispatcherTimer(timer, _) => ctx.request_table.timer_fired(timer),
             Deadline::AttemptTimeout(request, attempt) => {
                 let attempt = AttemptId { request, number: attempt };
                 if !ctx.request_table.attempt_timed_out(now, attempt) {
-                    parts.protocols().for_each(|protocol| protocol.release_attempt(&mut ctx, attempt));
+                    components.protocols().for_each(|protocol| protocol.release_attempt(&mut ctx, attempt));
                 }
             }
             Deadline::CancelUnaccepted(request, attempt) => {
@@ -415,87 +443,91 @@
             Deadline::CancelDelivered(request, attempt) => {
                 ctx.request_table.cancel_delivered(now, AttemptId { request, number: attempt })
             }
-            Deadline::Connection(token, alarm) => {
-                if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_token(token)) {
-                    protocol.on_deadline(&mut ctx, token, alarm);
+            Deadline::Connection(token, timer) => {
+                if let Some(protocol) = components.protocols().find(|protocol| protocol.owns_token(token)) {
+                    protocol.on_deadline(&mut ctx, token, timer);
                 }
             }
-            Deadline::ReceivePeers => parts.hear_peers(&mut ctx),
-            Deadline::PeerListCheck => parts.routes.ask_witnesses(&mut ctx),
+            Deadline::ReceivePeers => components.receive_peers(&mut ctx),
+            Deadline::PeerListCheck => components.discovery.ask_witnesses(&mut ctx),
             Deadline::DiscoveryFetch | Deadline::DiscoveryWatch => {
-                parts.routes.late(&mut ctx, parts.http, due)
+                components.discovery.late(&mut ctx, components.http, deadline)
             }
             Deadline::ControlClient => {
-                if let Some(control) = parts.control {
+                if let Some(control) = components.control {
                     control.late(&mut ctx);
                 }
             }
-            Deadline::ListExpiry => parts.routes.expire(now),
-            // A look at the end of the turn is all that it takes.
+            Deadline::ListExpiry => components.discovery.expire(now),
+            // Readiness is evaluated at the end of the iteration.
             Deadline::Readiness => {}
-            // Of another role.
+            // Deadlines of control machines, which have an event loop of their own.
             Deadline::ControlTick | Deadline::Heartbeat | Deadline::ControlLinkRetry(_) => {}
             Deadline::DrainClients => {
-                parts.protocols().for_each(|protocol| protocol.begin_drain(&mut ctx));
+                components.protocols().for_each(|protocol| protocol.begin_drain(&mut ctx));
                 self.drain.part();
             }
             Deadline::ManagementCall(token) => {
-                if let Some(door) = parts.door {
-                    door.late(&mut ctx, token);
+                if let Some(management) = components.management {
+                    management.late(&mut ctx, token);
                 }
             }
-            Deadline::ManagementAccept => self.door_opens(now),
+            Deadline::ManagementAccept => self.accept_management(now),
             Deadline::PredecessorHandover => {
-                note!("the predecessor says nothing");
-                self.begin(now, None);
+                note!("the predecessor has not handed over in time");
+                self.try_start_serving(now, None);
             }
-            Deadline::OpenRequestsCheck => self.settle_open_requests(now),
+            Deadline::OpenRequestsCheck => self.process_open_requests(now),
             Deadline::PeerSocketRetry => {
-                if let Err(error) = self.open_peers(now) {
-                    note!("hearing schedulers: {error}");
+                if let Err(error) = self.open_peer_socket(now) {
+                    note!("cannot open the socket for other schedulers: {error}");
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, work: Command<Payload>) {
+    /// Carries out a command of the request table.
+    fn execute_command(&mut self, now: Micros, command: Command<Payload>) {
         let rank = self.rank;
-        let (mut ctx, mut parts) = self.split(now);
-        match work {
+        let (mut ctx, mut components) = self.split(now);
+        match command {
             Command::SendAnswer { client, answer } => {
-                if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_client(client)) {
+                if let Some(protocol) = components.protocols().find(|protocol| protocol.owns_client(client)) {
                     protocol.send_answer(&mut ctx, client, answer);
                 }
             }
             Command::SendPartialResult { client, part } => {
-                if let Some(protocol) = parts.protocols().find(|protocol| protocol.owns_client(client)) {
+                if let Some(protocol) = components.protocols().find(|protocol| protocol.owns_client(client)) {
                     protocol.send_partial_result(&mut ctx, client, part);
                 }
             }
-            Command::SendAttempt { attempt, worker: hop, payload, timeout: wait } => {
-                parts.driver(hop).send_attempt(&mut ctx, attempt, hop, &payload, wait);
+            Command::SendAttempt { attempt, worker, payload, timeout } => {
+                components
+                    .protocol_for_worker(worker)
+                    .send_attempt(&mut ctx, attempt, worker, &payload, timeout);
             }
-            Command::Cancel { attempt, worker: hop, name } => {
-                parts.driver(hop).cancel(&mut ctx, attempt, hop, &name)
+            Command::Cancel { attempt, worker, name } => {
+                components.protocol_for_worker(worker).cancel(&mut ctx, attempt, worker, &name)
             }
-            Command::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
-            // To the own rank: the process that took over counts it with its own.
+            Command::Probe(worker) => components.protocol_for_worker(worker).probe(&mut ctx, worker),
+            // A message to the own rank goes to the successor process, which adds the reported load to its own.
             Command::SendPeerMessage { to, body } if to == Some(rank) => {
-                self.upgrade.say(Side::Successor, &Word::Load(body));
+                self.upgrade_link.say(Side::Successor, &Word::Load(body));
             }
             Command::SendPeerMessage { to, body } => {
-                if let Some(peers) = parts.peers {
+                if let Some(peers) = components.peers {
                     peers.tell(to, &body);
                 }
             }
-            Command::FetchList => parts.routes.fetch(&mut ctx, parts.http),
-            Command::SetWatch(want) => parts.routes.watch(&mut ctx, parts.http, want),
-            Command::CloseIdle(hop) => parts.driver(hop).close_idle(&mut ctx, hop),
+            Command::FetchList => components.discovery.fetch(&mut ctx, components.http),
+            Command::SetWatch(open) => components.discovery.watch(&mut ctx, components.http, open),
+            Command::CloseIdle(worker) => components.protocol_for_worker(worker).close_idle(&mut ctx, worker),
         }
     }
 
-    fn signalled(&mut self, now: Micros) {
-        // Both may have come since the last turn, each several times; once is enough for either.
+    /// Handles the signals that have been received.
+    fn handle_signals(&mut self, now: Micros) {
+        // Each signal may have been received several times since the last iteration; it is handled once.
         let signals: BTreeSet<i32> = self.signals.pending().collect();
         if signals.contains(&SIGHUP) {
             self.reload(now);
@@ -505,74 +537,79 @@
         }
     }
 
-    /// Does what a protocol wants of the whole program.
-    fn grant(&mut self, now: Micros, wish: ProtocolRequest) {
-        match wish {
+    /// Carries out a request of a protocol that concerns the whole process.
+    fn handle_protocol_request(&mut self, now: Micros, request: ProtocolRequest) {
+        match request {
             ProtocolRequest::Shutdown { graceful: false } => self.begin_drain(now, Why::Ending),
-            ProtocolRequest::Shutdown { graceful: true } => self.begin_patient_end(now),
+            ProtocolRequest::Shutdown { graceful: true } => self.begin_graceful_shutdown(now),
         }
     }
 }
 
-/// From SIGTERM to the earliest SIGKILL, where clients of these classes may be waiting.
-fn grace(classes: &[Class]) -> Grace {
+/// Time limits from SIGTERM to the earliest SIGKILL, for clients that may wait as long as the deadlines of these classes.
+fn grace_period(classes: &[Class]) -> Grace {
     Grace::new(classes.iter().map(|class| class.deadline).max().unwrap_or(0))
 }
 
-/// How many descriptors of these may go to clients and to next hops, beside the program's own, and how many
-/// requests may be open.
-fn shares(sockets: usize, own: usize) -> (DescriptorLimits, usize) {
-    // A third is kept for next hops: however many clients come, work can be placed.
-    let usable = sockets.saturating_sub(own).max(8);
-    let to_hops = usable / 3;
-    let to_clients = usable - to_hops;
-    // Requests in work hold a connection each, a third of all descriptors at most: the rest of the connections is for
-    // call-backs, without which no work would end, and for clients at rest.
-    (DescriptorLimits { clients: to_clients, workers: to_hops }, (sockets / 3).min(to_clients * 9 / 10))
+/// Divides `descriptors` file descriptors, of which `reserved` are for the process itself, among clients and workers, and
+/// returns the maximum number of open requests as well.
+fn descriptor_limits(descriptors: usize, reserved: usize) -> (DescriptorLimits, usize) {
+    // A third is kept for workers, so that jobs can be sent however many clients connect.
+    let usable = descriptors.saturating_sub(reserved).max(8);
+    let workers = usable / 3;
+    let clients = usable - workers;
+    // Each open request holds one client connection. Open requests are limited to a third of all descriptors: the other
+    // client connections are for callbacks, without which no job would end, and for idle clients.
+    (DescriptorLimits { clients, workers }, (descriptors / 3).min(clients * 9 / 10))
 }
 
-struct Parts<'a> {
+/// The components of the event loop, borrowed apart from the [`Context`].
+struct Components<'a> {
     http: &'a mut Http,
-    others: &'a mut Vec<Box<dyn Protocol>>,
-    fixed: &'a [Fixed],
-    routes: &'a mut RouteSet,
+    other_protocols: &'a mut Vec<Box<dyn Protocol>>,
+    static_workers: &'a [Fixed],
+    discovery: &'a mut RouteSet,
     peers: &'a mut Option<Peers>,
     control: &'a mut Option<Control>,
-    door: &'a mut Option<Door>,
+    management: &'a mut Option<Door>,
     drain: &'a mut Drain,
-    upgrade: &'a mut UpgradeLink,
+    upgrade_link: &'a mut UpgradeLink,
 }
 
-impl Parts<'_> {
-    /// Takes the datagrams that have come: those about the list are for the route set, the others for the module.
-    fn hear_peers(&mut self, ctx: &mut Context<'_>) {
+impl Components<'_> {
+    /// Receives datagrams of other schedulers. Those about the worker list go to the discovery client; the others have gone
+    /// to the decision module already.
+    fn receive_peers(&mut self, ctx: &mut Context<'_>) {
         let Some(peers) = self.peers else { return };
         for (from, message) in peers.ready(ctx) {
-            self.routes.witness(ctx, from, message);
+            self.discovery.witness(ctx, from, message);
         }
     }
 
+    /// All protocols, HTTP first.
     fn protocols(&mut self) -> impl Iterator<Item = &mut dyn Protocol> {
         let http: &mut dyn Protocol = self.http;
-        std::iter::once(http).chain(self.others.iter_mut().map(|other| &mut **other as &mut dyn Protocol))
+        std::iter::once(http)
+            .chain(self.other_protocols.iter_mut().map(|other| &mut **other as &mut dyn Protocol))
     }
 
-    /// Whoever drives a next hop. One that has gone was HTTP's, or is nobody's, and HTTP says what that means.
-    fn driver(&mut self, hop: WorkerId) -> &mut dyn Protocol {
-        match self.others.iter_mut().find(|other| other.owns_worker(hop)) {
+    /// The protocol through which a worker is reached. A worker that is no longer known counts as one of HTTP, which reports
+    /// the failure.
+    fn protocol_for_worker(&mut self, worker: WorkerId) -> &mut dyn Protocol {
+        match self.other_protocols.iter_mut().find(|other| other.owns_worker(worker)) {
             Some(other) => &mut **other,
             None => self.http,
         }
     }
 }
 
-mod orders;
-mod renewal;
+mod management;
+mod settings_update;
 mod shutdown;
 #[cfg(test)]
 mod tests;
 mod transfers;
 mod upgrade;
 
-use shutdown::Ending;
-use transfers::Transfers;
+use shutdown::Termination;
+use transfers::PendingTransfers;
--- /dev/null
+++ b/src/net/event_loop/management.rs
@@ -0,0 +1,53 @@
+//! Execution of management commands.
+
+use super::*;
+
+impl EventLoop {
+    /// Accepts management connections, and executes the commands that arrived with them.
+    pub(super) fn accept_management(&mut self, now: Micros) {
+        let (mut ctx, components) = self.split(now);
+        let Some(management) = components.management else { return };
+        for (token, command) in management.accept(&mut ctx, components.http) {
+            self.execute_management_command(now, token, command);
+        }
+    }
+
+    /// Executes a management command, and sends its reply. `None`: the command is unknown.
+    pub(super) fn execute_management_command(&mut self, now: Micros, token: usize, command: Option<Order>) {
+        let reply = match command {
+            Some(Order::Ping) if self.ready_to_serve => "done\n".to_owned(),
+            Some(Order::Ping) => "error no list of stock workers is known yet\n".to_owned(),
+            Some(Order::Info) => {
+                let list = self.discovery.figures(now);
+                let gauges = Gauges {
+                    in_flight: self.request_table.unanswered_requests(),
+                    known_workers: self.request_table.worker_count(),
+                    excluded_workers: self.request_table.excluded_workers(now),
+                };
+                let shared = self.request_table.shared_usage().into_iter().chain(self.http.hops.figures());
+                let shared = shared.chain(self.request_table.rejections()).chain(list);
+                let others = shared.chain(self.other_protocols.iter().flat_map(|other| other.metrics()));
+                let others = others.chain([("settings.taken_up", self.settings_updates)]);
+                let others = others.map(|(name, value)| (name, value.to_string()));
+                let others = others.chain(self.control.iter().flat_map(|control| control.figures(now)));
+                self.request_table.counters().render(self.names.classes(), gauges, others)
+            }
+            // The successor accepts the clients now, so it has to drain them.
+            Some(Order::Lameduck | Order::Rejoin) if self.handed_over => {
+                self.upgrade_link.say(Side::Successor, &Word::Drain(command == Some(Order::Lameduck)));
+                "done\n".to_owned()
+            }
+            Some(Order::Lameduck) => {
+                self.begin_drain(now, Why::Asked);
+                "done\n".to_owned()
+            }
+            Some(Order::Rejoin) if self.end_drain() => "done\n".to_owned(),
+            Some(Order::Rejoin) => "error the program is ending\n".to_owned(),
+            None => "error unknown call\n".to_owned(),
+        };
+        let (mut ctx, components) = self.split(now);
+        if let Some(management) = components.management {
+            management.answer(&mut ctx, token, &reply);
+        }
+    }
+}
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -1,82 +1,86 @@
-//! Graceful shutdown: sending clients away, the end after SIGTERM, and the return from a drain.
+//! Graceful shutdown: draining clients, the end of the process after SIGTERM, and the end of a drain.
 
 use super::*;
 use calicolb_shutdown::{Duty, Phase};
 
-/// What is owed to open requests is looked at so often after SIGTERM.
-const LOOK: Micros = 50_000;
+/// Interval (microseconds) at which open requests are checked for transfer or a final answer after SIGTERM.
+const OPEN_REQUEST_CHECK_INTERVAL: Micros = 50_000;
 
-/// The end of the program, from SIGTERM on.
-pub(super) struct Ending {
-    /// When the first SIGTERM came.
+/// State of the shutdown after SIGTERM.
+pub(super) struct Termination {
+    /// When the first SIGTERM was received.
     since: Micros,
-    /// Open requests have to be done before the last moment: no successor goes on with them.
+    /// The open requests have been limited to the end of the process, because no successor continues them.
     limited: bool,
 }
 
 impl EventLoop {
-    /// The program ends once all that was taken is answered, however long that takes.
-    pub(super) fn begin_patient_end(&mut self, now: Micros) {
-        note!("the program ends when {} requests are answered", self.desk.unanswered_requests());
-        self.patient = !self.drain.ending();
+    /// Ends the process once all accepted requests are answered, without a time limit.
+    pub(super) fn begin_graceful_shutdown(&mut self, now: Micros) {
+        note!(
+            "graceful shutdown: waiting for the answers to {} requests",
+            self.request_table.unanswered_requests()
+        );
+        self.graceful = !self.drain.ending();
         if self.drain.begin(Why::Ending) {
             self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill * 3 / 5));
         }
     }
 
-    /// Begins to send clients away. The work goes on, new work too; when clients have had the time to hear of
-    /// it, their connections are parted with. After SIGTERM only what can be done before the end is taken.
+    /// Begins a drain. Requests are still accepted and processed; when clients have had the time to notice the drain, their
+    /// connections are closed. After SIGTERM only requests that can be finished before the end of the process are accepted.
     pub(super) fn begin_drain(&mut self, now: Micros, why: Why) {
-        if why == Why::Ending && self.ending.is_none() {
-            self.patient = false;
-            note!("SIGTERM: {} requests are open", self.desk.unanswered_requests());
-            self.ending = Some(Ending { since: now, limited: false });
-            self.desk.set_process_end(now + self.grace.last_answer());
+        if why == Why::Ending && self.termination.is_none() {
+            self.graceful = false;
+            note!("SIGTERM: {} requests are open", self.request_table.unanswered_requests());
+            self.termination = Some(Termination { since: now, limited: false });
+            self.request_table.set_process_end(now + self.grace.last_answer());
         }
-        if why == Why::Ending && self.retired && !self.drain.ending() {
-            // Clients were parted with when the successor took over.
+        if why == Why::Ending && self.handed_over && !self.drain.ending() {
+            // The clients' connections were closed when the successor took over.
             self.drain.part();
         }
-        self.upgrade.say(Side::Predecessor, &Word::Drain(true));
+        self.upgrade_link.say(Side::Predecessor, &Word::Drain(true));
         if self.drain.begin(why) {
-            note!("clients are sent away: {} requests are open", self.desk.unanswered_requests());
+            note!("draining clients: {} requests are open", self.request_table.unanswered_requests());
             self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill * 3 / 5));
         }
-        self.http.clients.open = self.begun && self.welcome();
-        self.settle_open_requests(now);
+        self.http.clients.open = self.ready_to_serve && self.accepts_clients();
+        self.process_open_requests(now);
     }
 
-    /// After SIGTERM: moves to the successor what can move, and answers what is left in the last moment.
-    pub(super) fn settle_open_requests(&mut self, now: Micros) {
-        let Some(ending) = &mut self.ending else { return };
-        let phase = self.grace.phase(now.saturating_sub(ending.since));
-        let successor = self.retired;
-        if !ending.limited && (!successor || phase >= Phase::HandingOver) {
-            ending.limited = true;
-            self.desk.limit_open_requests(&mut self.deadlines);
+    /// After SIGTERM: transfers open requests to the successor where possible, and answers the remaining ones shortly before the
+    /// process ends.
+    pub(super) fn process_open_requests(&mut self, now: Micros) {
+        let Some(termination) = &mut self.termination else { return };
+        let phase = self.grace.phase(now.saturating_sub(termination.since));
+        let successor = self.handed_over;
+        if !termination.limited && (!successor || phase >= Phase::HandingOver) {
+            termination.limited = true;
+            self.request_table.limit_open_requests(&mut self.deadlines);
         }
-        for (number, client) in self.desk.open_requests() {
+        for (number, client) in self.request_table.open_requests() {
             let movable = successor && self.can_transfer(number, client);
-            match self.desk.duty(number, phase, movable) {
+            match self.request_table.duty(number, phase, movable) {
                 Duty::Wait => {}
-                Duty::Move => self.transfer(now, number, client),
-                Duty::Answer(_) => self.desk.answer_at_process_end(number),
+                Duty::Move => self.transfer_request(now, number, client),
+                Duty::Answer(_) => self.request_table.answer_at_process_end(number),
             }
         }
-        self.deadlines.set(Deadline::OpenRequestsCheck, now + LOOK);
+        self.deadlines.set(Deadline::OpenRequestsCheck, now + OPEN_REQUEST_CHECK_INTERVAL);
     }
 
-    /// Ends a drain; tells whether the scheduler is open.
-    pub(super) fn rejoin(&mut self) -> bool {
-        let open = self.drain.rejoin();
-        if open {
-            self.upgrade.say(Side::Predecessor, &Word::Drain(false));
-            note!("clients are welcome");
+    /// Ends a drain that an operator asked for. Returns whether the scheduler accepts clients again.
+    pub(super) fn end_drain(&mut self) -> bool {
+        let accepts_clients = self.drain.rejoin();
+        if accepts_clients {
+            self.upgrade_link.say(Side::Predecessor, &Word::Drain(false));
+            note!("drain ended: accepting clients");
             self.deadlines.clear(Deadline::DrainClients);
             self.http.resume();
-            self.others.iter_mut().for_each(|other| other.resume());
-            self.http.clients.open = self.begun;
+            self.other_protocols.iter_mut().for_each(|other| other.resume());
+            self.http.clients.open = self.ready_to_serve;
         }
-        open
+        accepts_clients
     }
 }
--- a/src/net/event_loop/tests.rs
+++ b/src/net/event_loop/tests.rs
@@ -1,14 +1,14 @@
-//! How descriptors are dealt out.
+//! Tests of the distribution of file descriptors.
 
 use super::*;
 
 #[test]
-fn the_descriptors_suffice_and_requests_hold_a_third_at_most() {
-    for sockets in [64, 128, 192, 256, 384, 1024] {
-        let own = OWN_SOCKETS + CALLS;
-        let (DescriptorLimits { clients, workers: hops }, most_open) = shares(sockets, own);
-        assert!(own + clients + hops <= sockets, "{sockets}");
-        assert!(most_open <= sockets / 3 && most_open < clients, "{sockets}");
-        assert!(most_open > 0 && hops > 0, "{sockets}");
+fn descriptor_limits_fit_the_total_and_open_requests_hold_at_most_a_third() {
+    for descriptors in [64, 128, 192, 256, 384, 1024] {
+        let reserved = RESERVED_DESCRIPTORS + CALLS;
+        let (DescriptorLimits { clients, workers }, max_open) = descriptor_limits(descriptors, reserved);
+        assert!(reserved + clients + workers <= descriptors, "with {descriptors} descriptors");
+        assert!(max_open <= descriptors / 3 && max_open < clients, "with {descriptors} descriptors");
+        assert!(max_open > 0 && workers > 0, "with {descriptors} descriptors");
     }
 }
--- a/src/net/event_loop/transfers.rs
+++ b/src/net/event_loop/transfers.rs
@@ -1,78 +1,81 @@
-//! Requests that have been sent to the successor, and of which it has not said yet that it goes on with them. Until it has, or
-//! has declined, they belong to neither process; if it dies before, they come back.
+//! Requests that were sent to the successor and that it has neither accepted nor declined. Until then neither process works
+//! on them. If the successor ends before it replies, the requests return to this process.
 
 use crate::net::core::request_table::ClientId;
 use crate::net::core::transfer::Transfer;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashSet};
 
-/// Call-backs kept for a request whose owner is not known yet.
-const CALL_BACKS: usize = 16;
+/// Maximum number of callbacks kept for a request that is being transferred.
+const MAX_CALLBACKS: usize = 16;
 
-/// One request that is on its way.
-pub(super) struct Pending {
+/// A request that is being transferred.
+pub(super) struct PendingTransfer {
+    /// Its client.
     pub(super) client: ClientId,
+    /// The data that was sent to the successor.
     pub(super) transfer: Transfer,
-    /// Call-backs about it that came meanwhile. They were passed on too, but whether they were read is not known.
-    pub(super) call_backs: Vec<String>,
+    /// Callbacks about it that arrived meanwhile. They were passed on to the successor too, but it may not have read them.
+    pub(super) callbacks: Vec<String>,
 }
 
-/// See the head of this file.
+/// The requests that are being transferred, by name.
 #[derive(Default)]
-pub(super) struct Transfers {
-    pending: BTreeMap<String, Pending>,
-    /// What the successor cannot go on with.
+pub(super) struct PendingTransfers {
+    pending: BTreeMap<String, PendingTransfer>,
+    /// Names of requests that the successor declined.
     declined: HashSet<String>,
 }
 
-/// As much of a call-back as tells whose it is.
+/// The field of a callback that identifies its request.
 #[derive(Deserialize)]
-struct Subject {
+struct CallbackSubject {
     id: String,
 }
 
-impl Transfers {
-    /// A request of this name has been sent.
-    pub(super) fn sent(&mut self, name: String, client: ClientId, transfer: Transfer) {
-        self.pending.insert(name, Pending { client, transfer, call_backs: Vec::new() });
+impl PendingTransfers {
+    /// Records that a request was sent to the successor.
+    pub(super) fn insert(&mut self, name: String, client: ClientId, transfer: Transfer) {
+        self.pending.insert(name, PendingTransfer { client, transfer, callbacks: Vec::new() });
     }
 
-    /// A call-back has come that met no request here.
-    pub(super) fn call_back(&mut self, body: &str) {
+    /// Keeps a callback that matched no request here, if it is about a request that is being transferred.
+    pub(super) fn record_callback(&mut self, body: &str) {
         if self.pending.is_empty() {
             return;
         }
-        let subject = serde_json::from_str::<Subject>(body).ok();
+        let subject = serde_json::from_str::<CallbackSubject>(body).ok();
         let pending = subject.and_then(|subject| self.pending.get_mut(&subject.id));
-        if let Some(pending) = pending.filter(|pending| pending.call_backs.len() < CALL_BACKS) {
-            pending.call_backs.push(body.to_owned());
+        if let Some(pending) = pending.filter(|pending| pending.callbacks.len() < MAX_CALLBACKS) {
+            pending.callbacks.push(body.to_owned());
         }
     }
 
-    /// The successor goes on with the request of this name.
-    pub(super) fn adopted(&mut self, name: &str) -> Option<Pending> {
+    /// Removes a request that the successor accepted.
+    pub(super) fn remove(&mut self, name: &str) -> Option<PendingTransfer> {
         self.pending.remove(name)
     }
 
-    /// The successor cannot go on with the request of this name.
-    pub(super) fn declined(&mut self, name: &str) -> Option<Pending> {
+    /// Removes a request that the successor declined, and records that it must not be sent again.
+    pub(super) fn decline(&mut self, name: &str) -> Option<PendingTransfer> {
         let pending = self.pending.remove(name)?;
         self.declined.insert(name.to_owned());
         Some(pending)
     }
 
-    /// There is no successor any more: what it has not said to go on with, it never will.
-    pub(super) fn take_back(&mut self) -> Vec<Pending> {
+    /// Removes all requests, because the successor has ended and will not reply. Declined requests may be sent to another
+    /// successor.
+    pub(super) fn take_all(&mut self) -> Vec<PendingTransfer> {
         self.declined.clear();
         std::mem::take(&mut self.pending).into_values().collect()
     }
 
-    /// The successor may yet take a request of this name.
+    /// Whether the successor has not declined the request of this name.
     pub(super) fn may_send(&self, name: &str) -> bool {
         !self.declined.contains(name)
     }
 
-    /// Nothing is on its way.
+    /// Whether no request is being transferred.
     pub(super) fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/src/net/event_loop/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -1,177 +1,187 @@
-//! An upgrade: two processes are one scheduler for a while. What the other one says, and what follows from its coming and
-//! going.
+//! Upgrade: two processes act as one scheduler for a while. Handles the messages of the other process, its arrival and its
+//! end.
 
-use super::transfers::Pending;
+use super::transfers::PendingTransfer;
 use super::*;
 use crate::net::core::request_table::ClientId;
 use crate::net::core::transfer::{AnyTransfer, Transfer};
 
 impl EventLoop {
-    /// A successor has come: it takes what comes from now on, and what was taken here is answered here.
-    pub(super) fn retire(&mut self, now: Micros) {
-        note!("handing over to the next process: {} requests are open", self.desk.unanswered_requests());
-        self.successor_open = !self.drain.asked();
-        self.retired = true;
-        // The successor needs the address.
+    /// Hands over to a successor: from now on it accepts all new requests. Requests that were accepted here are answered here.
+    pub(super) fn hand_over_to_successor(&mut self, now: Micros) {
+        note!(
+            "handing over to the successor process: {} requests are open",
+            self.request_table.unanswered_requests()
+        );
+        self.successor_accepts_clients = !self.drain.asked();
+        self.handed_over = true;
+        // The successor binds the same address.
         self.peers = None;
-        let (mut ctx, parts) = self.split(now);
-        parts.http.clients.stop_listening(&mut ctx);
-        parts.http.begin_drain(&mut ctx);
-        parts.upgrade.stop_listening();
+        let (mut ctx, components) = self.split(now);
+        components.http.clients.stop_listening(&mut ctx);
+        components.http.begin_drain(&mut ctx);
+        components.upgrade_link.stop_listening();
         let handover = Handover {
-            routes: parts.routes.list(),
+            routes: components.discovery.list(),
             clock: Some(now),
-            confirmed_us_ago: parts.routes.confirmed_ago(now),
+            confirmed_us_ago: components.discovery.confirmed_ago(now),
             knowledge: ctx.request_table.hand_over(),
             names: Some(Listed::new(ctx.names)),
             open: ctx.request_table.track_open_names(),
-            drained: parts.drain.asked(),
+            drained: components.drain.asked(),
         };
-        parts.upgrade.say(Side::Successor, &Word::Handover(Box::new(handover)));
-        if parts.drain.ending() {
-            parts.drain.part();
+        components.upgrade_link.say(Side::Successor, &Word::Handover(Box::new(handover)));
+        if components.drain.ending() {
+            components.drain.part();
         }
-        self.share_out(now);
-        self.settle_open_requests(now);
+        self.distribute_descriptors(now);
+        self.process_open_requests(now);
     }
 
-    /// The other process has gone. Where it had taken over, this one takes clients again.
-    pub(super) fn bereave(&mut self, now: Micros, side: Side) {
-        note!("the {side:?} has gone");
-        if !self.upgrade.any() {
-            self.desk.other_process_gone();
+    /// Handles the end of the other process. If it was a successor that had taken over, this process accepts clients again.
+    pub(super) fn other_process_gone(&mut self, now: Micros, role: Side) {
+        note!("the link to the {role:?} process is closed");
+        if !self.upgrade_link.any() {
+            self.request_table.other_process_gone();
         }
-        self.share_out(now);
-        match side {
-            Side::Predecessor => self.begin(now, None),
-            // Also near its own end: call-backs for what is still out would reach nobody.
-            Side::Successor if self.retired => {
-                for pending in self.transfers.take_back() {
-                    self.take_back(now, pending);
+        self.distribute_descriptors(now);
+        match role {
+            Side::Predecessor => self.try_start_serving(now, None),
+            // Listening resumes even if this process is about to end, because callbacks for open attempts would otherwise
+            // reach no process.
+            Side::Successor if self.handed_over => {
+                for pending in self.transfers.take_all() {
+                    self.restore_request(now, pending);
                 }
-                self.retired = false;
-                let opened = self.open_peers(now);
-                let (mut ctx, parts) = self.split(now);
+                self.handed_over = false;
+                let opened = self.open_peer_socket(now);
+                let (mut ctx, components) = self.split(now);
                 ctx.request_table.successor_gone();
-                if parts.drain.open() {
-                    parts.http.resume();
+                if components.drain.open() {
+                    components.http.resume();
                 }
-                let listening = opened.and_then(|()| parts.http.listen(&mut ctx));
-                parts.upgrade.listen(ctx.registry, MEETING);
+                let listening = opened.and_then(|()| components.http.listen(&mut ctx));
+                components.upgrade_link.listen(ctx.registry, UPGRADE_LISTENER);
                 if let Err(error) = listening {
-                    note!("taking clients again: {error}");
+                    note!("cannot accept clients again: {error}");
                 }
-                self.settle_open_requests(now);
+                self.process_open_requests(now);
             }
             Side::Successor => {}
         }
     }
 
-    /// The successor takes requests now, this one too, and the connection of its client can be passed on.
+    /// Whether the successor is ready to receive a request, has not declined this one, and its client's connection can be passed
+    /// on.
     pub(super) fn can_transfer(&mut self, number: u32, client: ClientId) -> bool {
-        let passable = self.http.clients.for_transfer(client).is_some();
-        let wanted = self.desk.request_name(number).is_some_and(|name| self.transfers.may_send(name));
-        passable && wanted && self.upgrade.can_transfer()
+        let connection_passable = self.http.clients.for_transfer(client).is_some();
+        let not_declined =
+            self.request_table.request_name(number).is_some_and(|name| self.transfers.may_send(name));
+        connection_passable && not_declined && self.upgrade_link.can_transfer()
     }
 
-    /// Sends a request to the successor, with all that is known of its attempts and with its client's connection. Call-backs
-    /// of its workers come to the address that both processes share.
-    pub(super) fn transfer(&mut self, now: Micros, number: u32, client: ClientId) {
-        let Some((name, envelope, history)) = self.desk.history(number) else { return };
+    /// Sends a request to the successor, with the history of its attempts and its client's connection. Callbacks of its workers
+    /// arrive at the address that both processes share.
+    pub(super) fn transfer_request(&mut self, now: Micros, number: u32, client: ClientId) {
+        let Some((name, envelope, history)) = self.request_table.history(number) else { return };
         let Some((stream, keep_alive, unread)) = self.http.clients.for_transfer(client) else { return };
         let (envelope, unread) = ((*envelope).clone(), unread.to_vec());
         let transfer = Transfer { envelope, keep_alive, unread, history, clock: now };
-        if !self.upgrade.transfer(stream, &transfer) {
-            return note!(request = number, "a request could not be sent to the next process yet");
+        if !self.upgrade_link.transfer(stream, &transfer) {
+            return note!(request = number, "request cannot be sent to the successor process yet");
         }
         note!(
             request = number,
             attempts = transfer.history.attempts.len(),
-            "a request moves to the next process"
+            "request sent to the successor process"
         );
-        self.desk.request_transferred(number);
-        let (mut ctx, parts) = self.split(now);
-        parts.http.clients.suspend(&mut ctx, client);
-        self.transfers.sent(name, client, transfer);
+        self.request_table.request_transferred(number);
+        let (mut ctx, components) = self.split(now);
+        components.http.clients.suspend(&mut ctx, client);
+        self.transfers.insert(name, client, transfer);
     }
 
-    /// A request that was sent to the successor goes on here.
-    fn take_back(&mut self, now: Micros, pending: Pending) {
-        note!("a request comes back from the next process");
-        let (mut ctx, parts) = self.split(now);
-        parts.http.clients.resume(&mut ctx, pending.client, pending.transfer);
-        for body in pending.call_backs {
-            // Answered already, where it came in.
+    /// Continues a request here that had been sent to the successor.
+    fn restore_request(&mut self, now: Micros, pending: PendingTransfer) {
+        note!("a request returned from the successor process");
+        let (mut ctx, components) = self.split(now);
+        components.http.clients.resume(&mut ctx, pending.client, pending.transfer);
+        for body in pending.callbacks {
+            // The callback was answered when it arrived.
             let _ = call_back(&mut ctx, body.as_bytes());
         }
     }
 
-    /// The predecessor sends a request, with its client's connection.
-    fn take_over(&mut self, now: Micros, transfer: AnyTransfer) {
-        let stream = self.upgrade.passed();
+    /// Continues a request that the predecessor sent with its client's connection, and tells the predecessor whether that was
+    /// possible.
+    fn accept_transfer(&mut self, now: Micros, transfer: AnyTransfer) {
+        let stream = self.upgrade_link.passed();
         let ahead = match &transfer {
-            AnyTransfer::Current(whole) => self.upgrade.hear_clock(now, whole.clock),
+            AnyTransfer::Current(current) => self.upgrade_link.hear_clock(now, current.clock),
             AnyTransfer::Legacy(_) => 0,
         };
-        let (transfer, answers) = transfer.received(ahead);
+        let (transfer, wants_reply) = transfer.received(ahead);
         let name = transfer.envelope.name.clone();
-        let (mut ctx, parts) = self.split(now);
-        let taken = stream.is_some_and(|stream| parts.http.clients.adopt(&mut ctx, stream, transfer).is_ok());
-        if !taken {
-            note!("a request of the process before this one cannot be taken over");
+        let (mut ctx, components) = self.split(now);
+        let accepted =
+            stream.is_some_and(|stream| components.http.clients.adopt(&mut ctx, stream, transfer).is_ok());
+        if !accepted {
+            note!("a request of the predecessor process cannot be continued");
         }
-        if answers {
-            let word = if taken { Word::Adopted(name) } else { Word::Declined(name) };
-            self.upgrade.say(Side::Predecessor, &word);
+        if wants_reply {
+            let message = if accepted { Word::Adopted(name) } else { Word::Declined(name) };
+            self.upgrade_link.say(Side::Predecessor, &message);
         }
     }
 
-    /// The other process has spoken, or gone.
-    pub(super) fn link_ready(&mut self, now: Micros, token: usize) {
-        let (mut ctx, parts) = self.split(now);
-        let (side, words, ended) = parts.upgrade.ready(&mut ctx, token);
-        for word in words {
-            self.said(now, side, word);
+    /// Handles messages of the other process, or the end of the link to it.
+    pub(super) fn handle_link_ready(&mut self, now: Micros, token: usize) {
+        let (mut ctx, components) = self.split(now);
+        let (role, messages, ended) = components.upgrade_link.ready(&mut ctx, token);
+        for message in messages {
+            self.handle_message(now, role, message);
         }
         if ended {
-            self.bereave(now, side);
-        } else if side == Side::Successor {
-            // It may have room for the next request by now.
-            self.settle_open_requests(now);
+            self.other_process_gone(now, role);
+        } else if role == Side::Successor {
+            // The link may have become ready for the next request.
+            self.process_open_requests(now);
         }
     }
 
-    pub(super) fn said(&mut self, now: Micros, side: Side, word: Word) {
-        match (word, side) {
-            (Word::Successor, Side::Successor) => self.retire(now),
-            (Word::Handover(handover), Side::Predecessor) => self.begin(now, Some(*handover)),
-            (Word::Opened(name), _) => self.desk.set_open_elsewhere(name, true),
-            (Word::Closed(name), _) => self.desk.set_open_elsewhere(name, false),
+    /// Handles a message of the other process.
+    pub(super) fn handle_message(&mut self, now: Micros, role: Side, message: Word) {
+        match (message, role) {
+            (Word::Successor, Side::Successor) => self.hand_over_to_successor(now),
+            (Word::Handover(handover), Side::Predecessor) => self.try_start_serving(now, Some(*handover)),
+            (Word::Opened(name), _) => self.request_table.set_open_elsewhere(name, true),
+            (Word::Closed(name), _) => self.request_table.set_open_elsewhere(name, false),
             (Word::News(body), _) => {
-                let before = self.strays.len();
+                let before = self.unmatched_callbacks.len();
                 let (mut ctx, _) = self.split(now);
-                // Answered already, where it came in.
+                // The callback was answered when it arrived.
                 let _ = call_back(&mut ctx, body.as_bytes());
-                // Of three processes in a row the middle one passes on what is not its own, but never back.
-                for body in self.strays.split_off(before) {
-                    self.upgrade.say(side.other(), &Word::News(body));
+                // With three processes in a chain, the middle one passes on callbacks that match none of its requests, but never
+                // back to the process they came from.
+                for body in self.unmatched_callbacks.split_off(before) {
+                    self.upgrade_link.say(role.other(), &Word::News(body));
                 }
             }
-            (Word::Load(body), Side::Predecessor) => self.desk.peer_message(self.rank, body),
-            (Word::Transfer(transfer), Side::Predecessor) => self.take_over(now, *transfer),
+            (Word::Load(body), Side::Predecessor) => self.request_table.peer_message(self.rank, body),
+            (Word::Transfer(transfer), Side::Predecessor) => self.accept_transfer(now, *transfer),
             (Word::Adopted(name), Side::Successor) => {
-                if let Some(pending) = self.transfers.adopted(&name) {
+                if let Some(pending) = self.transfers.remove(&name) {
                     self.http.clients.release(pending.client);
                 }
             }
             (Word::Declined(name), Side::Successor) => {
-                if let Some(pending) = self.transfers.declined(&name) {
-                    self.take_back(now, pending);
+                if let Some(pending) = self.transfers.decline(&name) {
+                    self.restore_request(now, pending);
                 }
             }
-            (Word::Drain(drained), Side::Successor) => self.successor_open = !drained,
+            (Word::Drain(draining), Side::Successor) => self.successor_accepts_clients = !draining,
             (Word::Drain(true), Side::Predecessor) => self.begin_drain(now, Why::Asked),
-            (Word::Drain(false), Side::Predecessor) => drop(self.rejoin()),
+            (Word::Drain(false), Side::Predecessor) => drop(self.end_drain()),
             (
                 Word::Successor
                 | Word::Handover(_)
@@ -180,20 +190,21 @@
                 | Word::Adopted(_)
                 | Word::Declined(_),
                 _,
-            ) => note!("the {side:?} said what it may not"),
+            ) => note!("the {role:?} process sent a message that its role does not allow"),
         }
     }
 
-    /// Tells the other process, if there is one, what concerns it.
-    pub(super) fn tell_other_process(&mut self) {
-        let turnover = self.desk.take_name_changes().into_iter();
-        self.strays.iter().for_each(|body| self.transfers.call_back(body));
-        let names = turnover.map(|(name, open)| if open { Word::Opened(name) } else { Word::Closed(name) });
-        let words: Vec<Word> =
-            names.chain(std::mem::take(&mut self.strays).into_iter().map(Word::News)).collect();
-        for word in words {
-            self.upgrade.say(Side::Predecessor, &word);
-            self.upgrade.say(Side::Successor, &word);
+    /// Tells the other process, if there is one, about opened and closed requests and unmatched callbacks.
+    pub(super) fn notify_other_process(&mut self) {
+        let name_changes = self.request_table.take_name_changes().into_iter();
+        self.unmatched_callbacks.iter().for_each(|body| self.transfers.record_callback(body));
+        let names =
+            name_changes.map(|(name, open)| if open { Word::Opened(name) } else { Word::Closed(name) });
+        let messages: Vec<Word> =
+            names.chain(std::mem::take(&mut self.unmatched_callbacks).into_iter().map(Word::News)).collect();
+        for message in messages {
+            self.upgrade_link.say(Side::Predecessor, &message);
+            self.upgrade_link.say(Side::Successor, &message);
         }
     }
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -130,7 +130,7 @@
     }
     assert!(program.wait().is_ok_and(|status| status.success()));
     for (line, (what, shipped)) in told.iter().zip([
-        ("appliance hears operators on 127.0.0.1:", "7000"),
+        ("appliance listens for operators on 127.0.0.1:", "7000"),
         ("appliance speaks Gearman on 127.0.0.1:", "4730"),
         ("appliance serves on 127.0.0.1:", "8080"),
     ]) {
--- a/tests/regions/schedulers.rs
+++ b/tests/regions/schedulers.rs
@@ -71,7 +71,7 @@
         let log = Log::default();
         let mut command = Command::new(env!("CARGO_BIN_EXE_calicolb"));
         command.env("RELAY_CONFIG", &file);
-        let (child, found) = run(&mut command, &log, &["hears operators on ", "serves on "]);
+        let (child, found) = run(&mut command, &log, &["listens for operators on ", "serves on "]);
         let ready = || call(found[1], "GET", "/up", "", b"").is_ok_and(|answer| answer.0 == 200);
         let since = Instant::now();
         while !ready() {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -17,7 +17,7 @@
 }
 
 /// What brings other settings into force.
-const RENEW: &str = "send file d\nsend program HUP\nexpect program other settings are in force";
+const RENEW: &str = "send file d\nsend program HUP\nexpect program new settings are in force";
 
 #[test]
 fn open_requests_and_resting_connections_live_through_other_settings() {
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -322,7 +322,7 @@
     fn find(&mut self) -> Result<(), String> {
         let address = |text: String| text.parse().map_err(|_| format!("'{text}' is no address"));
         let before = self.heard.len();
-        self.door_at = address(self.hear("hears operators on ")?)?;
+        self.door_at = address(self.hear("listens for operators on ")?)?;
         if self.appliance {
             self.gearman_at = address(self.hear("speaks Gearman on ")?)?;
             self.at = address(self.hear("serves on ")?)?;
@@ -330,7 +330,7 @@
         }
         // Where schedulers may not talk it hears none.
         if !self.settings.contains(&("/settings/ceilings/peers".to_owned(), "false".to_owned())) {
-            self.peers_at = address(self.hear("hears schedulers on ")?)?;
+            self.peers_at = address(self.hear("listens for schedulers on ")?)?;
         }
         self.at = address(self.hear("serves on ")?)?;
         // It may have said so before it served.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -504,7 +504,7 @@
         expect c4 200 | r2
         send predecessor TERM
         wait predecessor
-        expect program the Predecessor has gone
+        expect program the link to the Predecessor process is closed
         send c4 GET /up
         expect c4 200
         "#,
@@ -589,7 +589,7 @@
         start successor
         send predecessor TERM
         wait predecessor
-        expect program the Predecessor has gone
+        expect program the link to the Predecessor process is closed
         send c2 POST /look Request-Id:a1 Request-Timeout:20
         expect c2 409
         send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}
