--- a/src/net/http/call_back.rs
+++ b/src/net/http/callback.rs
@@ -21,7 +21,7 @@
 }
 
 /// Takes a call-back. One that fits nothing is taken all the same, or it would come again and again.
-pub fn call_back(ctx: &mut Ctx<'_>, body: &[u8]) -> Result<(), Reject> {
+pub fn handle_callback(ctx: &mut Ctx<'_>, body: &[u8]) -> Result<(), Reject> {
     let call: CallBack = serde_json::from_slice(body).map_err(|_| Reject(400))?;
     // Next hops call whoever takes the connection: it may be for the other process on this socket.
     if !ctx.desk.knows(&call.id) {
@@ -42,13 +42,13 @@
             return Ok(());
         }
     };
-    let report = call.load.and_then(|value| report_of(ctx.names, &value));
+    let report = call.load.and_then(|value| parse_load_report(ctx.names, &value));
     ctx.desk.news(ctx.now, &call.id, hop_id(&call.from), news, report);
     Ok(())
 }
 
 /// A load report as a next hop writes it.
-pub fn report_of(names: &Names, value: &Value) -> Option<Report> {
+pub fn parse_load_report(names: &Names, value: &Value) -> Option<Report> {
     let fields = value.as_object()?;
     Some(names.report(fields.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_f64()?)))))
 }
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -8,7 +8,7 @@
 use crate::net::core::desk::{Answer, Hears, Job, Unfit};
 use crate::net::core::envelope::{Envelope, Payload};
 use crate::net::core::transfer::Transfer;
-use crate::net::http::call_back::call_back;
+use crate::net::http::callback::handle_callback;
 use crate::net::http::framing::{self, Reject, Request};
 use crate::net::protocol::Spare;
 use calicolb::api::{ClassIx, Micros};
@@ -68,7 +68,7 @@
 }
 
 /// See the head of this file.
-pub struct Clients {
+pub struct ClientConnections {
     listener: TcpListener,
     /// The number of the listener.
     token: usize,
@@ -82,11 +82,19 @@
     listening: bool,
 }
 
-impl Clients {
-    /// `token`: the number of the listener. How many connections there may be is told later (see [`Clients::limit`]).
+impl ClientConnections {
+    /// `token`: the number of the listener. How many connections there may be is told later (see [`ClientConnections::limit`]).
     pub fn new(listener: TcpListener, token: usize) -> Self {
         let connections = HashMap::new();
-        Clients { listener, token, connections, most: 0, parting: false, open: false, listening: false }
+        ClientConnections {
+            listener,
+            token,
+            connections,
+            most: 0,
+            parting: false,
+            open: false,
+            listening: false,
+        }
     }
 
     /// The connection is one of these.
@@ -282,7 +290,7 @@
             }
             "/_jobs/news" => {
                 wanted("POST")?;
-                call_back(ctx, &request.body)?;
+                handle_callback(ctx, &request.body)?;
                 if let Some(connection) = self.connections.get_mut(&token) {
                     connection.back = true;
                 }
@@ -495,7 +503,7 @@
     }
 }
 
-impl Spare for Clients {
+impl Spare for ClientConnections {
     /// Closes the connection that has been at rest for longest, of clients first; if none is, the one that has been in
     /// the middle of sending a request, which is not taken before its last byte.
     fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool {
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -22,7 +22,7 @@
 }
 
 impl Table {
-    fn new() -> (Table, Clients) {
+    fn new() -> (Table, ClientConnections) {
         let info = r#"{"azs":["a"],"kinds":["k"],"ceilings":{"cancelling":true,"most_tries":4},
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
         let (settings, names) = wire::settings(info).expect("the settings are sound");
@@ -31,7 +31,7 @@
         let poll = Poll::new().expect("a poll can be had");
         let mut table = Table { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
         let at = "127.0.0.1:0".parse().expect("it is an address");
-        let mut clients = Clients::new(TcpListener::bind(at).expect("a port is free"), 1);
+        let mut clients = ClientConnections::new(TcpListener::bind(at).expect("a port is free"), 1);
         table.with(|ctx| clients.listen(ctx)).expect("it can be watched");
         table.with(|ctx| clients.limit(ctx, 10));
         (table, clients)
@@ -52,7 +52,7 @@
     }
 
     /// A client connects: its end, and the number of the connection here.
-    fn connect(&mut self, clients: &mut Clients) -> (Peer, usize) {
+    fn connect(&mut self, clients: &mut ClientConnections) -> (Peer, usize) {
         let peer = Peer::connect(clients.listener.local_addr().expect("it is bound")).expect("it listens");
         let before = clients.connections.len();
         until(|| {
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1: the clients' connections with the call-backs that come by them, and the connections to next hops.
 
-pub mod call_back;
+pub mod callback;
 pub mod client;
 pub mod framing;
-pub mod next_hop;
+pub mod upstream;
 
 use crate::net::Ctx;
 use crate::net::core::deadlines::Alarm;
@@ -11,14 +11,14 @@
 use crate::net::core::envelope::Payload;
 use crate::net::protocol::{Protocol, Shares, Spare};
 use calicolb::api::{Micros, WorkerId};
-use client::Clients;
-use next_hop::NextHops;
+use client::ClientConnections;
 use std::io;
+use upstream::UpstreamConnections;
 
 /// Both sides of it.
 pub struct Http {
-    pub clients: Clients,
-    pub hops: NextHops,
+    pub clients: ClientConnections,
+    pub upstream: UpstreamConnections,
 }
 
 impl Spare for Http {
@@ -29,18 +29,18 @@
 
 impl Protocol for Http {
     fn has(&self, token: usize) -> bool {
-        self.clients.has(token) || self.hops.has(token)
+        self.clients.has(token) || self.upstream.has(token)
     }
 
     fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        if self.clients.has(token) { self.clients.ready(ctx, token) } else { self.hops.ready(ctx, token) }
+        if self.clients.has(token) { self.clients.ready(ctx, token) } else { self.upstream.ready(ctx, token) }
     }
 
     fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
         if self.clients.has(token) {
             self.clients.due(ctx, token, alarm);
         } else {
-            self.hops.due(ctx, token, alarm);
+            self.upstream.due(ctx, token, alarm);
         }
     }
 
@@ -53,7 +53,7 @@
     }
 
     fn drives(&self, hop: WorkerId) -> bool {
-        self.hops.drives(hop)
+        self.upstream.drives(hop)
     }
 
     fn send(
@@ -64,27 +64,27 @@
         payload: &Payload,
         wait: Micros,
     ) {
-        self.hops.send(ctx, &mut self.clients, attempt, hop, payload, wait);
+        self.upstream.send(ctx, &mut self.clients, attempt, hop, payload, wait);
     }
 
     fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
-        self.hops.give_up(ctx, &mut self.clients, attempt, hop, name);
+        self.upstream.give_up(ctx, &mut self.clients, attempt, hop, name);
     }
 
     fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
-        self.hops.release(ctx, attempt);
+        self.upstream.release(ctx, attempt);
     }
 
     fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
-        self.hops.probe(ctx, &mut self.clients, hop);
+        self.upstream.probe(ctx, &mut self.clients, hop);
     }
 
     fn close_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
-        self.hops.close_idle(ctx, hop);
+        self.upstream.close_idle(ctx, hop);
     }
 
     fn settled(&mut self, ctx: &mut Ctx<'_>) {
-        self.hops.begin(ctx);
+        self.upstream.begin(ctx);
     }
 
     fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
@@ -93,7 +93,7 @@
 
     fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares) {
         self.clients.limit(ctx, shares.clients);
-        self.hops.limit(ctx, shares.hops);
+        self.upstream.limit(ctx, shares.hops);
     }
 
     fn farewell(&mut self, ctx: &mut Ctx<'_>) {
--- a/src/net/http/next_hop.rs
+++ b/src/net/http/upstream.rs
@@ -10,7 +10,7 @@
 use crate::net::core::desk::AttemptId;
 use crate::net::core::envelope::Payload;
 use crate::net::core::journey;
-use crate::net::http::call_back::report_of;
+use crate::net::http::callback::parse_load_report;
 use crate::net::http::framing;
 use crate::net::protocol::Spare;
 use calicolb::api::{Ending, Micros, WorkerId};
@@ -119,7 +119,7 @@
 }
 
 /// See the head of this file.
-pub struct NextHops {
+pub struct UpstreamConnections {
     hops: HashMap<WorkerId, Hop>,
     links: HashMap<usize, Link>,
     /// Attempts whose connection has not brought an answer yet.
@@ -134,10 +134,10 @@
     reused: u64,
 }
 
-impl NextHops {
+impl UpstreamConnections {
     /// `idle`: when a next hop closes an idle connection; `most`: connections at most.
     pub fn new(connect_timeout: Micros, idle: Micros, most: usize) -> Self {
-        NextHops {
+        UpstreamConnections {
             hops: HashMap::new(),
             links: HashMap::new(),
             out: HashMap::new(),
@@ -470,7 +470,7 @@
                     }
                     Task::Probe(sent) => {
                         let report = serde_json::from_slice(&response.body).ok();
-                        let report = report.and_then(|value| report_of(ctx.names, &value));
+                        let report = report.and_then(|value| parse_load_report(ctx.names, &value));
                         let ending = if response.status == 200 { Ending::Ok } else { Ending::Error };
                         ctx.desk.probed(hop, ending, ctx.now.saturating_sub(sent), report);
                     }
@@ -573,7 +573,7 @@
 /// What the answer on its own connection says of an attempt.
 fn answered(ctx: &mut Ctx<'_>, attempt: AttemptId, response: &framing::Response) {
     let load = response.headers.get("server-load").and_then(|text| serde_json::from_str(text).ok());
-    let report = load.and_then(|value| report_of(ctx.names, &value));
+    let report = load.and_then(|value| parse_load_report(ctx.names, &value));
     let unstarted = response.headers.get("not-started") == Some("1");
     match response.status {
         202 => ctx.desk.taken(attempt),
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -15,7 +15,7 @@
 use crate::net::core::deadlines::Due;
 use crate::net::core::roster::Source;
 use crate::net::http::framing;
-use crate::net::http::next_hop::NextHops;
+use crate::net::http::upstream::UpstreamConnections;
 use crate::net::platform::call::{Call, Heard, Word, fetched, watched};
 use crate::net::protocol::Spare;
 use calicolb::api::{ListKind, Micros, WorkerId};
@@ -101,7 +101,7 @@
     pub fn warm(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut NextHops,
+        hops: &mut UpstreamConnections,
         known: Option<Update>,
         confirmed_ago: Option<Micros>,
     ) {
@@ -280,7 +280,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops, token: usize) {
+    pub fn ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut UpstreamConnections, token: usize) {
         if self.fetch.as_ref().is_some_and(|call| call.token == token) {
             let Some(mut call) = self.fetch.take() else { return };
             match fetched(&mut call) {
@@ -311,7 +311,7 @@
     }
 
     /// The watch has brought something, or has ended.
-    fn watch_ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops) {
+    fn watch_ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut UpstreamConnections) {
         let Some(mut call) = self.watch.take() else { return };
         // What lay unread while this process stood still may be of any time since, and confirms nothing now. The watch
         // counts as silent later in this turn.
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -6,7 +6,7 @@
 use crate::log::note;
 use crate::net::Ctx;
 use crate::net::core::roster::Source;
-use crate::net::http::next_hop::NextHops;
+use crate::net::http::upstream::UpstreamConnections;
 use calicolb::api::{ListKind, Member, Standing, WorkerId};
 use calicolb::wire::WireError;
 use calicolb_freshness::MISSED;
@@ -20,7 +20,7 @@
     pub(super) fn update(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut NextHops,
+        hops: &mut UpstreamConnections,
         update: Update,
     ) -> Result<(), &'static str> {
         let confirmed = self.clock.confirmed().unwrap_or(self.clock.started());
@@ -33,7 +33,13 @@
         Ok(())
     }
 
-    pub(super) fn take(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops, update: Update, kind: ListKind) {
+    pub(super) fn take(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        hops: &mut UpstreamConnections,
+        update: Update,
+        kind: ListKind,
+    ) {
         let (before, lines) = (self.seq, update.hosts.len());
         self.seq = update.seq;
         self.digest = None;
@@ -72,7 +78,7 @@
     fn read_line(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut NextHops,
+        hops: &mut UpstreamConnections,
         value: Value,
     ) -> Result<Member, WireError> {
         let line: Line = serde_json::from_value(value).map_err(|error| WireError(error.to_string()))?;
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -12,9 +12,9 @@
 use crate::net::core::roster::Source;
 use crate::net::gearman::Gearman;
 use crate::net::http::Http;
-use crate::net::http::call_back::call_back;
-use crate::net::http::client::Clients;
-use crate::net::http::next_hop::NextHops;
+use crate::net::http::callback::handle_callback;
+use crate::net::http::client::ClientConnections;
+use crate::net::http::upstream::UpstreamConnections;
 use crate::net::operators::door::{CALLS, Door, Order};
 use crate::net::operators::drain::{Drain, PARTING, Why};
 use crate::net::platform::control::Control;
@@ -128,7 +128,7 @@
         };
         let (asked, drain) = (config.settings.list_on_request, config.settings.rules.drain_grace);
         let routes = RouteSet::new(config.discovery, asked, drain, clock.now());
-        let hops = NextHops::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
+        let upstream = UpstreamConnections::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
         let mut turn = Turn {
             grace: grace(&config.settings.classes),
             ending: None,
@@ -142,7 +142,7 @@
             deadlines: Deadlines::default(),
             tokens: FIRST,
             signals,
-            http: Http { clients: Clients::new(listener, LISTENER), hops },
+            http: Http { clients: ClientConnections::new(listener, LISTENER), upstream },
             others: Vec::new(),
             wishes: Vec::new(),
             routes,
@@ -212,11 +212,11 @@
             parts
                 .fixed
                 .iter()
-                .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.dial, 0));
+                .for_each(|hop| parts.http.upstream.learn(&mut ctx, hop.member.worker, hop.dial, 0));
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
             ctx.desk.members(Source::Fixed, ListKind::Changes, members);
         }
-        parts.routes.warm(&mut ctx, &mut parts.http.hops, known, confirmed_ago);
+        parts.routes.warm(&mut ctx, &mut parts.http.upstream, known, confirmed_ago);
         parts.http.listen(&mut ctx)?;
         parts.others.iter_mut().try_for_each(|other| other.listen(&mut ctx))?;
         parts.upgrade.listen(ctx.registry, MEETING);
@@ -377,7 +377,7 @@
             MEETING => parts.upgrade.accept(&mut ctx),
             Token(token) if parts.upgrade.has(token) => self.link_ready(now, token),
             Token(token) if parts.routes.has(token) => {
-                parts.routes.ready(&mut ctx, &mut parts.http.hops, token);
+                parts.routes.ready(&mut ctx, &mut parts.http.upstream, token);
             }
             Token(token) if parts.control.as_ref().is_some_and(|control| control.has(token)) => {
                 if let Some(control) = parts.control {
--- a/src/net/turn/upgrade.rs
+++ b/src/net/turn/upgrade.rs
@@ -102,7 +102,7 @@
         parts.http.clients.resume(&mut ctx, pending.client, pending.transfer);
         for body in pending.call_backs {
             // Answered already, where it came in.
-            let _ = call_back(&mut ctx, body.as_bytes());
+            let _ = handle_callback(&mut ctx, body.as_bytes());
         }
     }
 
@@ -151,7 +151,7 @@
                 let before = self.strays.len();
                 let (mut ctx, _) = self.split(now);
                 // Answered already, where it came in.
-                let _ = call_back(&mut ctx, body.as_bytes());
+                let _ = handle_callback(&mut ctx, body.as_bytes());
                 // Of three processes in a row the middle one passes on what is not its own, but never back.
                 for body in self.strays.split_off(before) {
                     self.upgrade.say(side.other(), &Word::News(body));
