--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -4,7 +4,7 @@
 use super::learners::Watch;
 use super::machine::{AGREE, CHANGES, Machine, Waiting};
 use crate::config::agreed::Shared;
-use crate::net::http::framing::{Request, query};
+use crate::net::http::framing::{Request, query_parameter};
 use calicolb::api::Micros;
 use calicolb_agreed::{Answer, Change, Digest, Outcome, Refused};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     pub(super) fn request(&mut self, now: Micros, token: usize, request: &Request) {
         match (request.method.as_str(), request.path()) {
             ("POST", "/control/talk") => {
-                let from = query(&request.target, "from").and_then(|text| text.parse().ok());
+                let from = query_parameter(&request.target, "from").and_then(|text| text.parse().ok());
                 let Some(from) = from.filter(|from| self.links.iter().any(|link| link.id == *from)) else {
                     return self.refuse(
                         now,
@@ -29,7 +29,7 @@
                 self.voter.receive(from, &request.body);
                 self.answer(now, token, 204, &[], b"");
             }
-            ("GET", "/control/versions") if query(&request.target, "watch").is_some() => {
+            ("GET", "/control/versions") if query_parameter(&request.target, "watch").is_some() => {
                 self.watch(now, token, &request.target);
             }
             ("GET", "/control/versions") => {
@@ -135,11 +135,11 @@
     }
 
     fn watch(&mut self, now: Micros, token: usize, target: &str) {
-        let Some(name) = query(target, "name").filter(|name| fit(name)) else {
+        let Some(name) = query_parameter(target, "name").filter(|name| fit(name)) else {
             return self.refuse(now, token, 400, "name", "it is no name");
         };
-        let seq = query(target, "from").and_then(|text| text.parse().ok()).unwrap_or(0);
-        let digest = query(target, "digest").and_then(|text| text.parse::<Digest>().ok());
+        let seq = query_parameter(target, "from").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let digest = query_parameter(target, "digest").and_then(|text| text.parse::<Digest>().ok());
         let (mut io, inbound, _) = self.split(now);
         if !inbound.watch(&mut io, token) {
             return self.refuse(
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -139,7 +139,7 @@
                 }
                 return None;
             }
-            match framing::request_within(conn.buffer.input(), room) {
+            match framing::parse_request_with_limit(conn.buffer.input(), room) {
                 Ok(Some((request, length))) => {
                     conn.buffer.consume(length);
                     conn.phase = Phase::Owing;
@@ -157,13 +157,13 @@
                     }
                     // What it brought along may be whole; if it isn't, it never will be.
                     Filled::Ended => {
-                        if let Ok(None) = framing::request_within(conn.buffer.input(), room) {
+                        if let Ok(None) = framing::parse_request_with_limit(conn.buffer.input(), room) {
                             self.close(io, token);
                             return None;
                         }
                     }
                     Filled::Dry => {
-                        if let Ok(None) = framing::request_within(conn.buffer.input(), room) {
+                        if let Ok(None) = framing::parse_request_with_limit(conn.buffer.input(), room) {
                             self.rest(io, token);
                             return None;
                         }
--- a/src/net/control/link.rs
+++ b/src/net/control/link.rs
@@ -126,7 +126,7 @@
                 return Ok(());
             }
             let filled = conn.buffer.fill(&mut conn.stream, ANSWERS);
-            while let Some((answer, length)) = framing::response(conn.buffer.input()).map_err(|_| ())? {
+            while let Some((answer, length)) = framing::parse_response(conn.buffer.input()).map_err(|_| ())? {
                 if answer.status != 204 || conn.out == 0 {
                     return Err(());
                 }
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -77,13 +77,13 @@
     /// Answers tell clients to go elsewhere.
     parting: bool,
     /// New clients are welcome.
-    pub open: bool,
+    pub accepts_clients: bool,
     /// New connections are taken here: those that are not wait for another process on the same socket.
     listening: bool,
 }
 
 impl ClientConnections {
-    /// `token`: the number of the listener. How many connections there may be is told later (see [`ClientConnections::limit`]).
+    /// `token`: the number of the listener. How many connections there may be is told later (see [`ClientConnections::set_max_connections`]).
     pub fn new(listener: TcpListener, token: usize) -> Self {
         let connections = HashMap::new();
         ClientConnections {
@@ -92,13 +92,13 @@
             connections,
             most: 0,
             parting: false,
-            open: false,
+            accepts_clients: false,
             listening: false,
         }
     }
 
     /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
+    pub fn owns_token(&self, token: usize) -> bool {
         token == self.token || self.connections.contains_key(&token)
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// So many connections may be open from now on.
-    pub fn limit(&mut self, ctx: &mut Ctx<'_>, most: usize) {
+    pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, most: usize) {
         self.most = most;
         while self.connections.len() > most && self.shed(ctx) {}
     }
@@ -182,7 +182,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         if token == self.token {
             return self.accept(ctx);
         }
@@ -194,10 +194,10 @@
     }
 
     /// A time that was set for a connection, or for the listener, has come.
-    pub fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
+    pub fn handle_deadline(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
         match alarm {
             Alarm::Accept => self.accept(ctx),
-            Alarm::More => self.ready(ctx, token),
+            Alarm::More => self.handle_ready(ctx, token),
             Alarm::Late | Alarm::Rested => self.late(ctx, token),
             // The loop looks again whether all is done.
             Alarm::Owed => {}
@@ -244,7 +244,7 @@
     fn step(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
         let first = self.first();
         let Some(connection) = self.connections.get_mut(&token) else { return false };
-        match framing::request(connection.buffer.input()) {
+        match framing::parse_request(connection.buffer.input()) {
             Ok(None) => {
                 // Counted from its first byte: who sends a byte now and then does not hold a connection for ever.
                 let ends = if connection.fresh {
@@ -285,7 +285,7 @@
         match path.as_str() {
             "/up" => {
                 wanted("GET")?;
-                let status = if self.open { 200 } else { 503 };
+                let status = if self.accepts_clients { 200 } else { 503 };
                 self.reply(ctx, token, status, &[], b"");
             }
             "/_jobs/news" => {
@@ -315,14 +315,14 @@
 
     /// The connection of a request in work, as another process has to have it: the stream, whether another request may follow,
     /// and what has come in behind this one.
-    pub fn for_transfer(&self, token: usize) -> Option<(&TcpStream, bool, &[u8])> {
+    pub fn connection_for_transfer(&self, token: usize) -> Option<(&TcpStream, bool, &[u8])> {
         let connection = self.connections.get(&token)?;
         (connection.state == State::Waiting)
             .then(|| (&connection.stream, !connection.last, connection.buffer.input()))
     }
 
     /// Another process may have this connection now: nothing is read or written here until it is known which of the two has it.
-    pub fn suspend(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn suspend_connection(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
         ctx.deadlines.clear(Due::Conn(token, Alarm::More));
         if let Some(connection) = self.connections.get_mut(&token) {
@@ -331,12 +331,12 @@
     }
 
     /// Another process has the connection: it is let go of here, and not ended.
-    pub fn release(&mut self, token: usize) {
+    pub fn release_connection(&mut self, token: usize) {
         self.connections.remove(&token);
     }
 
     /// No other process has the connection: the request on it goes on here.
-    pub fn resume(&mut self, ctx: &mut Ctx<'_>, token: usize, transfer: Transfer) {
+    pub fn resume_connection(&mut self, ctx: &mut Ctx<'_>, token: usize, transfer: Transfer) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut connection.stream, Token(token), both) {
@@ -355,7 +355,12 @@
     ///
     /// # Errors
     /// The request is none that this process can take; its connection is not touched.
-    pub fn adopt(&mut self, ctx: &mut Ctx<'_>, stream: TcpStream, transfer: Transfer) -> Result<(), Reject> {
+    pub fn adopt_connection(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        stream: TcpStream,
+        transfer: Transfer,
+    ) -> Result<(), Reject> {
         let job = transferred(ctx, &transfer)?;
         if ctx.desk.knows(&job.name) {
             return Err(Reject(409));
@@ -474,13 +479,13 @@
     }
 
     /// Answers are no longer the last of their connections.
-    pub fn stay(&mut self) {
+    pub fn end_drain(&mut self) {
         self.parting = false;
     }
 
     /// Closes the connections at rest, between two requests, and from now on every answer is the last of its connection;
     /// call-backs keep theirs.
-    pub fn farewell(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn begin_drain(&mut self, ctx: &mut Ctx<'_>) {
         self.parting = true;
         let resting: Vec<usize> = self
             .connections
@@ -498,7 +503,7 @@
     }
 
     /// No connection is in the middle of a request, and clients have had the time to take their last answers.
-    pub fn at_rest(&self, now: Micros) -> bool {
+    pub fn is_idle(&self, now: Micros) -> bool {
         self.connections.values().all(|connection| connection.over(now) || connection.at_rest())
     }
 }
@@ -589,7 +594,7 @@
         }
     }
     let Request { target, headers, body, .. } = request;
-    let key = framing::query(&target, "obj").map(wire::hash_text);
+    let key = framing::query_parameter(&target, "obj").map(wire::hash_text);
     // Its class says what a next hop must be able to do for it.
     let skill = class.0 as u32;
     let envelope = Envelope { name: id.clone(), skill, target, headers, body };
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -33,7 +33,7 @@
         let at = "127.0.0.1:0".parse().expect("it is an address");
         let mut clients = ClientConnections::new(TcpListener::bind(at).expect("a port is free"), 1);
         table.with(|ctx| clients.listen(ctx)).expect("it can be watched");
-        table.with(|ctx| clients.limit(ctx, 10));
+        table.with(|ctx| clients.set_max_connections(ctx, 10));
         (table, clients)
     }
 
@@ -56,7 +56,7 @@
         let peer = Peer::connect(clients.listener.local_addr().expect("it is bound")).expect("it listens");
         let before = clients.connections.len();
         until(|| {
-            self.with(|ctx| clients.ready(ctx, 1));
+            self.with(|ctx| clients.handle_ready(ctx, 1));
             clients.connections.len() > before
         });
         (peer, clients.connections.keys().copied().max().expect("there is one"))
@@ -85,13 +85,13 @@
         if rested {
             peer.write_all(b"GET /up HTTP/1.1\r\n\r\n").expect("it is read");
             until(|| {
-                table.with(|ctx| clients.ready(ctx, connection));
+                table.with(|ctx| clients.handle_ready(ctx, connection));
                 !clients.connections[&connection].fresh
             });
         }
         table.now += IDLE + SECOND;
         peer.write_all(REQUEST).expect("it is read");
-        table.with(|ctx| clients.due(ctx, connection, Alarm::Late));
+        table.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
         assert_eq!(
             (table.desk.owed(), clients.connections[&connection].state),
             (1, State::Waiting),
@@ -105,9 +105,9 @@
     let (mut table, mut clients) = Table::new();
     let (mut peer, connection) = table.connect(&mut clients);
     table.now += FIRST;
-    table.with(|ctx| clients.due(ctx, connection, Alarm::Late));
+    table.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
     peer.write_all(REQUEST).expect("the way there is open");
-    table.with(|ctx| clients.ready(ctx, connection));
+    table.with(|ctx| clients.handle_ready(ctx, connection));
     assert_eq!(
         (table.desk.owed(), clients.connections[&connection].state),
         (0, State::Ending),
@@ -115,7 +115,7 @@
     );
     table.now += LINGER;
     peer.write_all(REQUEST).expect("the way there is open");
-    table.with(|ctx| clients.due(ctx, connection, Alarm::Late));
+    table.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
     assert!(clients.connections.is_empty());
     assert_eq!(rest(peer), "", "an end, and no reset");
 }
@@ -129,7 +129,9 @@
     first.write_all(REQUEST).expect("it is read");
     assert!(table.with(|ctx| clients.shed(ctx)), "the second makes room");
     assert!(
-        !clients.has(idle) && table.desk.owed() == 1 && clients.connections[&busy].state == State::Waiting
+        !clients.owns_token(idle)
+            && table.desk.owed() == 1
+            && clients.connections[&busy].state == State::Waiting
     );
     assert_eq!(rest(second), "");
     assert!(!table.with(|ctx| clients.shed(ctx)), "a connection with a request in work never does");
@@ -142,27 +144,27 @@
         let (mut peer, connection) = table.connect(&mut clients);
         peer.write_all(REQUEST).expect("it is read");
         until(|| {
-            table.with(|ctx| clients.ready(ctx, connection));
+            table.with(|ctx| clients.handle_ready(ctx, connection));
             table.desk.owed() == 1
         });
-        table.with(|ctx| clients.farewell(ctx));
+        table.with(|ctx| clients.begin_drain(ctx));
         table.with(|ctx| clients.answer(ctx, connection, Answer::Served(b"r".to_vec())));
-        assert!(!clients.at_rest(table.now), "the answer may be under way");
+        assert!(!clients.is_idle(table.now), "the answer may be under way");
         // A client that goes on sending on what stays open must not make the exit reset its answer.
         peer.write_all(REQUEST).expect("the way there is open");
-        table.with(|ctx| clients.ready(ctx, connection));
+        table.with(|ctx| clients.handle_ready(ctx, connection));
         if closes {
             drop(peer);
             until(|| {
-                table.with(|ctx| clients.ready(ctx, connection));
-                clients.at_rest(table.now)
+                table.with(|ctx| clients.handle_ready(ctx, connection));
+                clients.is_idle(table.now)
             });
             assert!(clients.connections.is_empty());
         } else {
             table.now += TAKEN;
             let due = table.deadlines.next_due(table.now);
             assert_eq!(due, Some(Due::Conn(connection, Alarm::Owed)), "the loop looks again then");
-            assert!(clients.at_rest(table.now));
+            assert!(clients.is_idle(table.now));
         }
     }
 }
@@ -176,7 +178,7 @@
         peer.write_all(&vec![b'x'; 8 << 20]).expect("it is read, to the last byte");
     });
     until(|| {
-        table.with(|ctx| clients.ready(ctx, connection));
+        table.with(|ctx| clients.handle_ready(ctx, connection));
         assert!(
             clients
                 .connections
--- a/src/net/http/framing.rs
+++ b/src/net/http/framing.rs
@@ -61,7 +61,7 @@
 }
 
 /// The value of a query parameter of a target.
-pub fn query<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name)).map(|pair| pair.1)
 }
@@ -80,12 +80,12 @@
 }
 
 /// Reads a request from the beginning of these bytes; gives it with its length, or `None` while it is not whole.
-pub fn request(bytes: &[u8]) -> Result<Option<(Request, usize)>, Reject> {
-    request_within(bytes, BODY_LIMIT)
+pub fn parse_request(bytes: &[u8]) -> Result<Option<(Request, usize)>, Reject> {
+    parse_request_with_limit(bytes, BODY_LIMIT)
 }
 
 /// The same, with a body of this size at most.
-pub fn request_within(bytes: &[u8], limit: usize) -> Result<Option<(Request, usize)>, Reject> {
+pub fn parse_request_with_limit(bytes: &[u8], limit: usize) -> Result<Option<(Request, usize)>, Reject> {
     let mut raw = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut raw);
     let head = match parsed.parse(bytes) {
@@ -107,7 +107,7 @@
 }
 
 /// Reads the head of a response; gives it with its length.
-pub fn response_head(bytes: &[u8]) -> Result<Option<(Response, usize)>, Reject> {
+pub fn parse_response_head(bytes: &[u8]) -> Result<Option<(Response, usize)>, Reject> {
     let mut raw = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Response::new(&mut raw);
     let head = match parsed.parse(bytes) {
@@ -122,16 +122,16 @@
 
 /// Reads a whole response; gives it with its length. One whose framing does not tell where its body ends is
 /// whole with its head, and its connection is used no more.
-pub fn response(bytes: &[u8]) -> Result<Option<(Response, usize)>, Reject> {
-    response_within(bytes, BODY_LIMIT)
+pub fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, Reject> {
+    parse_response_with_limit(bytes, BODY_LIMIT)
 }
 
 /// The same, with a body of this size at most.
-pub fn response_within(bytes: &[u8], limit: usize) -> Result<Option<(Response, usize)>, Reject> {
-    let Some((mut response, head)) = response_head(bytes)? else { return Ok(None) };
+pub fn parse_response_with_limit(bytes: &[u8], limit: usize) -> Result<Option<(Response, usize)>, Reject> {
+    let Some((mut response, head)) = parse_response_head(bytes)? else { return Ok(None) };
     if (100..200).contains(&response.status) {
         // Only news that an answer will come: that one follows.
-        let rest = response_within(&bytes[head..], limit)?;
+        let rest = parse_response_with_limit(&bytes[head..], limit)?;
         return Ok(rest.map(|(response, length)| (response, head + length)));
     }
     let framed = response.headers.get("content-length").is_some() || chunked(&response.headers);
@@ -159,7 +159,7 @@
         let mut body = Vec::new();
         let mut at = 0;
         loop {
-            let Some((part, length)) = chunk_within(&bytes[at..], limit)? else { return Ok(None) };
+            let Some((part, length)) = parse_chunk(&bytes[at..], limit)? else { return Ok(None) };
             at += length;
             if part.is_empty() {
                 return Ok(Some((body, at)));
@@ -182,7 +182,7 @@
 }
 
 /// Reads one chunk of this size at most; gives what it holds and its length with the framing. An empty one is the last.
-pub fn chunk_within(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, Reject> {
+pub fn parse_chunk(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, Reject> {
     let (head, size) = match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete(found)) => found,
         Ok(httparse::Status::Partial) if bytes.len() <= HEAD_LIMIT => return Ok(None),
@@ -274,11 +274,11 @@
     fn a_request_is_whole_only_with_its_last_byte() {
         let text = b"POST /render?obj=7f HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbodyGET";
         for cut in 0..text.len() - 3 {
-            assert!(request(&text[..cut]).expect("nothing is wrong with it").is_none(), "cut at {cut}");
+            assert!(parse_request(&text[..cut]).expect("nothing is wrong with it").is_none(), "cut at {cut}");
         }
-        let (whole, length) = request(text).expect("well formed").expect("whole");
+        let (whole, length) = parse_request(text).expect("well formed").expect("whole");
         assert_eq!(
-            (whole.path(), query(&whole.target, "obj"), whole.body.as_slice()),
+            (whole.path(), query_parameter(&whole.target, "obj"), whole.body.as_slice()),
             ("/render", Some("7f"), &b"body"[..])
         );
         assert_eq!(length, text.len() - 3);
@@ -289,9 +289,9 @@
     fn chunks_are_put_together_and_bad_framing_is_turned_away() {
         let head = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         let text = format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-        let (whole, length) = request(text.as_bytes()).expect("well formed").expect("whole");
+        let (whole, length) = parse_request(text.as_bytes()).expect("well formed").expect("whole");
         assert_eq!((whole.body.as_slice(), length), (&b"abcde"[..], text.len()));
-        let status = |text: &str| request(text.as_bytes()).expect_err("it is bad").0;
+        let status = |text: &str| parse_request(text.as_bytes()).expect_err("it is bad").0;
         assert_eq!(status(&format!("{head}3\r\nabcde\r\n")), 400);
         assert_eq!(status(&format!("{head}fffff\r\n")), 413);
         assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"), 413);
@@ -304,10 +304,10 @@
 
     #[test]
     fn a_response_without_framing_ends_its_connection() {
-        let (plain, _) = response(b"HTTP/1.1 202 Accepted\r\n\r\n").expect("fine").expect("whole");
+        let (plain, _) = parse_response(b"HTTP/1.1 202 Accepted\r\n\r\n").expect("fine").expect("whole");
         assert!(!plain.keep_alive);
         let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-        let (framed, length) = response(text).expect("fine").expect("whole");
+        let (framed, length) = parse_response(text).expect("fine").expect("whole");
         assert_eq!((framed.status, framed.keep_alive, length), (202, true, text.len()));
     }
 }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -29,23 +29,27 @@
 
 impl Protocol for Http {
     fn has(&self, token: usize) -> bool {
-        self.clients.has(token) || self.upstream.has(token)
+        self.clients.owns_token(token) || self.upstream.owns_token(token)
     }
 
     fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        if self.clients.has(token) { self.clients.ready(ctx, token) } else { self.upstream.ready(ctx, token) }
+        if self.clients.owns_token(token) {
+            self.clients.handle_ready(ctx, token)
+        } else {
+            self.upstream.handle_ready(ctx, token)
+        }
     }
 
     fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
-        if self.clients.has(token) {
-            self.clients.due(ctx, token, alarm);
+        if self.clients.owns_token(token) {
+            self.clients.handle_deadline(ctx, token, alarm);
         } else {
-            self.upstream.due(ctx, token, alarm);
+            self.upstream.handle_deadline(ctx, token, alarm);
         }
     }
 
     fn serves(&self, client: ClientId) -> bool {
-        self.clients.has(client)
+        self.clients.owns_token(client)
     }
 
     fn answer(&mut self, ctx: &mut Ctx<'_>, client: ClientId, answer: Answer) {
@@ -53,7 +57,7 @@
     }
 
     fn drives(&self, hop: WorkerId) -> bool {
-        self.upstream.drives(hop)
+        self.upstream.has_worker(hop)
     }
 
     fn send(
@@ -64,7 +68,7 @@
         payload: &Payload,
         wait: Micros,
     ) {
-        self.upstream.send(ctx, &mut self.clients, attempt, hop, payload, wait);
+        self.upstream.send_attempt(ctx, &mut self.clients, attempt, hop, payload, wait);
     }
 
     fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
@@ -72,7 +76,7 @@
     }
 
     fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
-        self.upstream.release(ctx, attempt);
+        self.upstream.release_attempt(ctx, attempt);
     }
 
     fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
@@ -84,7 +88,7 @@
     }
 
     fn settled(&mut self, ctx: &mut Ctx<'_>) {
-        self.upstream.begin(ctx);
+        self.upstream.start_connected_attempts(ctx);
     }
 
     fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
@@ -92,19 +96,19 @@
     }
 
     fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares) {
-        self.clients.limit(ctx, shares.clients);
-        self.upstream.limit(ctx, shares.hops);
+        self.clients.set_max_connections(ctx, shares.clients);
+        self.upstream.set_max_connections(ctx, shares.hops);
     }
 
     fn farewell(&mut self, ctx: &mut Ctx<'_>) {
-        self.clients.farewell(ctx);
+        self.clients.begin_drain(ctx);
     }
 
     fn stay(&mut self) {
-        self.clients.stay();
+        self.clients.end_drain();
     }
 
     fn at_rest(&self, now: Micros) -> bool {
-        self.clients.at_rest(now)
+        self.clients.is_idle(now)
     }
 }
--- a/src/net/http/upstream.rs
+++ b/src/net/http/upstream.rs
@@ -151,7 +151,7 @@
     }
 
     /// What operators are shown of the connections, by name.
-    pub fn figures(&self) -> [(&'static str, u64); 3] {
+    pub fn metrics(&self) -> [(&'static str, u64); 3] {
         let open = self.links.len() as u64;
         [
             ("fleet.connections.open", open),
@@ -161,7 +161,7 @@
     }
 
     /// So many connections may be open from now on; of those at rest, all that are too many are closed.
-    pub fn limit(&mut self, ctx: &mut Ctx<'_>, most: usize) {
+    pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, most: usize) {
         self.most = most;
         let idle: Vec<usize> = self.hops.values().flat_map(|hop| hop.idle.iter().copied()).collect();
         for token in idle.into_iter().take(self.links.len().saturating_sub(most)) {
@@ -170,17 +170,17 @@
     }
 
     /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
+    pub fn owns_token(&self, token: usize) -> bool {
         self.links.contains_key(&token)
     }
 
     /// This next hop is one of these.
-    pub fn drives(&self, hop: WorkerId) -> bool {
+    pub fn has_worker(&self, hop: WorkerId) -> bool {
         self.hops.contains_key(&hop)
     }
 
     /// Learns where a next hop listens. One that has moved or started anew has no connections left.
-    pub fn learn(&mut self, ctx: &mut Ctx<'_>, id: WorkerId, dial: SocketAddr, born: u64) {
+    pub fn update_worker(&mut self, ctx: &mut Ctx<'_>, id: WorkerId, dial: SocketAddr, born: u64) {
         let changed = self.hops.get(&id).is_some_and(|hop| hop.dial != dial || hop.born != born);
         if changed {
             self.close_idle(ctx, id);
@@ -190,13 +190,13 @@
     }
 
     /// Forgets a next hop that is gone. What is out on its connections ends as these show.
-    pub fn forget(&mut self, ctx: &mut Ctx<'_>, id: WorkerId) {
+    pub fn remove_worker(&mut self, ctx: &mut Ctx<'_>, id: WorkerId) {
         self.close_idle(ctx, id);
         self.hops.remove(&id);
     }
 
     /// Other settings are in force. Connections that rest are looked at when they are wanted.
-    pub fn take_up(&mut self, connect_timeout: Micros, idle: Micros) {
+    pub fn update_settings(&mut self, connect_timeout: Micros, idle: Micros) {
         self.connect_timeout = connect_timeout;
         self.rest.take_up(rest_of(idle));
     }
@@ -210,7 +210,7 @@
     }
 
     /// Sends an attempt.
-    pub fn send(
+    pub fn send_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
         spare: &mut dyn Spare,
@@ -261,7 +261,7 @@
 
     /// Lets go of the connection of an attempt that is over: news ended it, but the answer that was due on the
     /// connection itself has not come in all its time, and nothing else would ever end the wait for it.
-    pub fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
+    pub fn release_attempt(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
         if let Some(token) = self.out.get(&attempt).copied() {
             self.drop_link(ctx, token);
         }
@@ -373,7 +373,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         let Some(link) = self.links.get_mut(&token) else { return };
         if !link.up {
             let failed = !matches!(link.stream.take_error(), Ok(None));
@@ -405,7 +405,7 @@
 
     /// Begins the attempts whose connections have come up. The module has heard all that came with them: what it no longer
     /// wants is gone by now, or is asked for here.
-    pub fn begin(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn start_connected_attempts(&mut self, ctx: &mut Ctx<'_>) {
         for token in std::mem::take(&mut self.risen) {
             let Some(&Link { task: Task::Attempt(attempt), .. }) = self.links.get(&token) else { continue };
             match ctx.desk.begins(ctx.now, attempt) {
@@ -453,7 +453,7 @@
             }
             return;
         }
-        match framing::response(link.buffer.input()) {
+        match framing::parse_response(link.buffer.input()) {
             Ok(Some((response, length))) => {
                 link.buffer.consume(length);
                 let task = std::mem::replace(&mut link.task, Task::Idle);
@@ -546,7 +546,7 @@
     }
 
     /// A time that was set for a connection has come.
-    pub fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
+    pub fn handle_deadline(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
         if alarm == Alarm::Rested { self.rested(ctx, token) } else { self.late(ctx, token) }
     }
 
--- a/src/net/platform/call.rs
+++ b/src/net/platform/call.rs
@@ -36,7 +36,7 @@
 /// Reads the answer to a call that wants none but a status of success; tells whether it has come.
 pub(super) fn done(call: &mut Call) -> Result<bool, &'static str> {
     let Some(filled) = pump(call)? else { return Ok(false) };
-    match framing::response(call.buffer.input()) {
+    match framing::parse_response(call.buffer.input()) {
         Ok(Some((response, _))) if (200..300).contains(&response.status) => Ok(true),
         Ok(Some(_)) => Err("the call failed"),
         Ok(None) if filled == Filled::Dry => Ok(false),
@@ -48,7 +48,7 @@
 /// Reads the answer to a call for the whole list.
 pub(super) fn fetched<T: DeserializeOwned>(call: &mut Call) -> Result<Option<T>, &'static str> {
     let Some(filled) = pump(call)? else { return Ok(None) };
-    match framing::response_within(call.buffer.input(), LIST_LIMIT) {
+    match framing::parse_response_with_limit(call.buffer.input(), LIST_LIMIT) {
         Ok(Some((response, _))) if response.status == 200 => {
             serde_json::from_slice(&response.body).map(Some).map_err(|_| "the list is malformed")
         }
@@ -97,7 +97,7 @@
     let Some(mut filled) = pump(call)? else { return Ok(()) };
     loop {
         if !call.open {
-            match framing::response_head(call.buffer.input()) {
+            match framing::parse_response_head(call.buffer.input()) {
                 Ok(Some((response, _))) if response.status != 200 => return Err("the watch was refused"),
                 Ok(Some((_, length))) => {
                     call.open = true;
@@ -108,7 +108,7 @@
             }
         }
         while call.open {
-            let found = framing::chunk_within(call.buffer.input(), LIST_LIMIT);
+            let found = framing::parse_chunk(call.buffer.input(), LIST_LIMIT);
             let Ok(found) = found else { return Err("the watch is malformed") };
             let Some((part, length)) = found else { break };
             // The last chunk of an answer is empty, and says only that nothing more comes.
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -59,12 +59,12 @@
                 .collect();
             for id in gone {
                 self.listed.remove(&id);
-                hops.forget(ctx, id);
+                hops.remove_worker(ctx, id);
             }
         }
         for member in members.iter().filter(|member| member.standing == Standing::Gone) {
             self.listed.remove(&member.worker);
-            hops.forget(ctx, member.worker);
+            hops.remove_worker(ctx, member.worker);
         }
         let count = |standing| members.iter().filter(|member| member.standing == standing).count();
         let (draining, gone) = (count(Standing::Draining), count(Standing::Gone));
@@ -95,7 +95,7 @@
             None if self.listed.len() >= HOPS_LIMIT => return Err(WireError("too many hosts".to_owned())),
             _ => {}
         }
-        hops.learn(ctx, member.worker, dial, line.born_ms);
+        hops.update_worker(ctx, member.worker, dial, line.born_ms);
         self.listed.insert(member.worker, line);
         Ok(member)
     }
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -212,7 +212,7 @@
             parts
                 .fixed
                 .iter()
-                .for_each(|hop| parts.http.upstream.learn(&mut ctx, hop.member.worker, hop.dial, 0));
+                .for_each(|hop| parts.http.upstream.update_worker(&mut ctx, hop.member.worker, hop.dial, 0));
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
             ctx.desk.members(Source::Fixed, ListKind::Changes, members);
         }
@@ -308,7 +308,7 @@
             }
             self.learn(now);
             self.begun |= self.desk.known() > 0 && self.routes.serviceable(now);
-            self.http.clients.open = self.begun && self.welcome();
+            self.http.clients.accepts_clients = self.begun && self.welcome();
             self.tell_other_process();
             self.tell_peers();
             done = if self.done(now) { done + 1 } else { 0 };
--- a/src/net/turn/orders.rs
+++ b/src/net/turn/orders.rs
@@ -24,7 +24,7 @@
                     known: self.desk.known(),
                     avoided: self.desk.avoided(now),
                 };
-                let shared = self.desk.spent().into_iter().chain(self.http.upstream.figures());
+                let shared = self.desk.spent().into_iter().chain(self.http.upstream.metrics());
                 let shared = shared.chain(self.desk.rejections()).chain(list);
                 let others = shared.chain(self.others.iter().flat_map(|other| other.figures()));
                 let others = others.chain([("settings.taken_up", self.renewals)]);
--- a/src/net/turn/renewal.rs
+++ b/src/net/turn/renewal.rs
@@ -97,7 +97,7 @@
         }
         let (mut ctx, parts) = self.split(now);
         parts.routes.take_up(&mut ctx, grace);
-        parts.http.upstream.take_up(limits.connect_timeout, conn_idle);
+        parts.http.upstream.update_settings(limits.connect_timeout, conn_idle);
         parts.others.iter_mut().for_each(|other| other.take_up(&classes));
         self.share_out(now);
         self.renewals += 1;
--- a/src/net/turn/shutdown.rs
+++ b/src/net/turn/shutdown.rs
@@ -42,7 +42,7 @@
             note!("clients are sent away: {} requests are open", self.desk.owed());
             self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
         }
-        self.http.clients.open = self.begun && self.welcome();
+        self.http.clients.accepts_clients = self.begun && self.welcome();
         self.settle_open_requests(now);
     }
 
@@ -75,7 +75,7 @@
             self.deadlines.clear(Due::Farewell);
             self.http.stay();
             self.others.iter_mut().for_each(|other| other.stay());
-            self.http.clients.open = self.begun;
+            self.http.clients.accepts_clients = self.begun;
         }
         open
     }
--- a/src/net/turn/upgrade.rs
+++ b/src/net/turn/upgrade.rs
@@ -69,7 +69,7 @@
 
     /// The successor takes requests now, this one too, and the connection of its client can be passed on.
     pub(super) fn can_transfer(&mut self, number: u32, client: ClientId) -> bool {
-        let passable = self.http.clients.for_transfer(client).is_some();
+        let passable = self.http.clients.connection_for_transfer(client).is_some();
         let wanted = self.desk.name(number).is_some_and(|name| self.transfers.may_send(name));
         passable && wanted && self.upgrade.can_transfer()
     }
@@ -78,7 +78,9 @@
     /// of its workers come to the address that both processes share.
     pub(super) fn transfer(&mut self, now: Micros, number: u32, client: ClientId) {
         let Some((name, envelope, history)) = self.desk.history(number) else { return };
-        let Some((stream, keep_alive, unread)) = self.http.clients.for_transfer(client) else { return };
+        let Some((stream, keep_alive, unread)) = self.http.clients.connection_for_transfer(client) else {
+            return;
+        };
         let (envelope, unread) = ((*envelope).clone(), unread.to_vec());
         let transfer = Transfer { envelope, keep_alive, unread, history, clock: now };
         if !self.upgrade.transfer(stream, &transfer) {
@@ -91,7 +93,7 @@
         );
         self.desk.moved(number);
         let (mut ctx, parts) = self.split(now);
-        parts.http.clients.suspend(&mut ctx, client);
+        parts.http.clients.suspend_connection(&mut ctx, client);
         self.transfers.sent(name, client, transfer);
     }
 
@@ -99,7 +101,7 @@
     fn take_back(&mut self, now: Micros, pending: Pending) {
         note!("a request comes back from the next process");
         let (mut ctx, parts) = self.split(now);
-        parts.http.clients.resume(&mut ctx, pending.client, pending.transfer);
+        parts.http.clients.resume_connection(&mut ctx, pending.client, pending.transfer);
         for body in pending.call_backs {
             // Answered already, where it came in.
             let _ = handle_callback(&mut ctx, body.as_bytes());
@@ -116,7 +118,8 @@
         let (transfer, answers) = transfer.received(ahead);
         let name = transfer.envelope.name.clone();
         let (mut ctx, parts) = self.split(now);
-        let taken = stream.is_some_and(|stream| parts.http.clients.adopt(&mut ctx, stream, transfer).is_ok());
+        let taken = stream
+            .is_some_and(|stream| parts.http.clients.adopt_connection(&mut ctx, stream, transfer).is_ok());
         if !taken {
             note!("a request of the process before this one cannot be taken over");
         }
@@ -161,7 +164,7 @@
             (Word::Transfer(transfer), Side::Predecessor) => self.take_over(now, *transfer),
             (Word::Adopted(name), Side::Successor) => {
                 if let Some(pending) = self.transfers.adopted(&name) {
-                    self.http.clients.release(pending.client);
+                    self.http.clients.release_connection(pending.client);
                 }
             }
             (Word::Declined(name), Side::Successor) => {
