--- a/src/main.rs
+++ b/src/main.rs
@@ -58,7 +58,7 @@
         },
     };
     log::start(how.log_format, how.log_level.unwrap_or(Level::INFO));
-    net::platform::inherit::announce(config.passed, |name| std::env::var_os(name));
+    net::platform::inherited_socket::restart_with_listen_fds(config.passed, |name| std::env::var_os(name));
     let (name, listen) = (config.name.clone(), config.listen);
     match net::turn::Turn::new(config).and_then(net::turn::Turn::run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -33,7 +33,7 @@
 const LONGEST_WAIT: Micros = 1_000 * MILLI;
 
 /// See the head of this file.
-pub struct Control {
+pub struct ControlClient {
     /// The machines, in the order in which this scheduler asks them.
     machines: Vec<SocketAddr>,
     at: usize,
@@ -64,17 +64,17 @@
     behind: bool,
 }
 
-impl Control {
+impl ControlClient {
     /// Learns from these machines. Which is asked first is drawn from the name, and so is each that follows: those that
     /// a machine leaves behind are spread over all others.
-    pub fn new(config: LearnerConfig, name: &str, seed: u64) -> Control {
+    pub fn new(config: LearnerConfig, name: &str, seed: u64) -> ControlClient {
         let machines = in_order(config.machines, name);
         // The settings of the own configuration are in force until a version is.
         let first = Version::new(0, config.settings);
         let here = Here { own: config.own.clone() };
         let learner = Learner::with(config.silence, Box::new(here), first);
         let taken = learner.in_force(0);
-        Control {
+        ControlClient {
             machines,
             at: 0,
             name: name.to_owned(),
@@ -113,7 +113,7 @@
     }
 
     /// The machines are at these addresses from now on.
-    pub fn move_to(&mut self, ctx: &mut Ctx<'_>, machines: Vec<SocketAddr>) {
+    pub fn set_machines(&mut self, ctx: &mut Ctx<'_>, machines: Vec<SocketAddr>) {
         let here = self.machines[self.at];
         self.machines = in_order(machines, &self.name);
         match self.machines.iter().position(|at| *at == here) {
@@ -127,7 +127,7 @@
     }
 
     /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
+    pub fn owns_token(&self, token: usize) -> bool {
         [&self.watch, &self.tell].into_iter().flatten().any(|call| call.token == token)
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         if let Some(mut call) = self.tell.take_if(|call| call.token == token) {
             match done(&mut call) {
                 Ok(false) => self.tell = Some(call),
@@ -240,7 +240,7 @@
     }
 
     /// What is to come into force, once.
-    pub fn news(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, Fault>)> {
+    pub fn next_version(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, Fault>)> {
         let wanted = self.learner.in_force(now);
         if Arc::ptr_eq(&wanted, &self.given) {
             return None;
@@ -251,7 +251,7 @@
     }
 
     /// What became of it.
-    pub fn taken(&mut self, ctx: &mut Ctx<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
+    pub fn record_result(&mut self, ctx: &mut Ctx<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
         match (outcome, news.tightened_to) {
             (Ok(()), None) => note!(seq = news.seq, "version {} is in force", news.seq),
             (Ok(()), Some(seq)) => {
@@ -288,7 +288,7 @@
     }
 
     /// A time that was set has come.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>) {
         let now = ctx.now;
         if let Some(call) = self.tell.take_if(|_| self.tell_by <= now) {
             hang_up(ctx, call);
@@ -351,12 +351,12 @@
     }
 
     /// A version has come into force since the start: the settings of the own configuration count no more.
-    pub fn leads(&self) -> bool {
+    pub fn has_agreed_version(&self) -> bool {
         self.taken.seq > 0
     }
 
     /// What operators are shown.
-    pub fn figures(&self, now: Micros) -> Vec<(&'static str, String)> {
+    pub fn metrics(&self, now: Micros) -> Vec<(&'static str, String)> {
         vec![
             ("control.seq", self.taken.seq.to_string()),
             ("control.digest", self.taken.digest.to_string()),
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/discovery/mod.rs
@@ -4,8 +4,8 @@
 
 mod digest;
 mod entry;
+mod peer_queries;
 mod versions;
-mod witnesses;
 
 use self::entry::Line;
 use crate::config::list::Update;
@@ -34,7 +34,7 @@
 const READY_PATIENCE: Micros = 3_000_000;
 
 /// See the head of this file.
-pub struct RouteSet {
+pub struct DiscoveryClient {
     /// Where discovery is, if there is any.
     discovery: Option<SocketAddr>,
     /// How fresh the list is.
@@ -72,7 +72,7 @@
     behind: u64,
 }
 
-impl RouteSet {
+impl DiscoveryClient {
     /// The list of this discovery. `grace`: how long after it was told of a change a scheduler may go on as before.
     pub fn new(discovery: Option<SocketAddr>, asked: bool, grace: Micros, now: Micros) -> Self {
         let mode = match discovery {
@@ -80,7 +80,7 @@
             Some(_) if asked => Mode::Asked,
             Some(_) => Mode::Pushed,
         };
-        RouteSet {
+        DiscoveryClient {
             discovery,
             clock: ListClock::new(mode, grace, now),
             seq: 0,
@@ -98,7 +98,7 @@
 
     /// Takes in the copy of the list that came with the configuration, or from the process before this one.
     /// `confirmed_ago`: how long before the start of this process discovery had confirmed it, if that is known.
-    pub fn warm(
+    pub fn load_initial_list(
         &mut self,
         ctx: &mut Ctx<'_>,
         hops: &mut UpstreamConnections,
@@ -116,25 +116,25 @@
     }
 
     /// After it was told of a change a scheduler may go on as before for so long from now on.
-    pub fn take_up(&mut self, ctx: &mut Ctx<'_>, grace: Micros) {
+    pub fn set_grace(&mut self, ctx: &mut Ctx<'_>, grace: Micros) {
         if self.clock.set_grace(grace) {
             self.keep_time(ctx);
         }
     }
 
     /// How long ago the list was last confirmed, for another process to begin with.
-    pub fn confirmed_ago(&self, now: Micros) -> Option<Micros> {
+    pub fn time_since_confirmation(&self, now: Micros) -> Option<Micros> {
         self.clock.confirmed().map(|confirmed| now.saturating_sub(confirmed))
     }
 
     /// Clients may come: the list can be acted on, or has not been confirmed for so long that they are refused rather than
     /// kept waiting.
-    pub fn serviceable(&self, now: Micros) -> bool {
+    pub fn is_ready(&self, now: Micros) -> bool {
         !self.stale(now) || now >= self.clock.started() + READY_PATIENCE
     }
 
     /// The state of the list for operators: by name and value.
-    pub fn figures(&self, now: Micros) -> [(&'static str, u64); 9] {
+    pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 9] {
         [
             ("list.version", self.seq),
             ("list.watch_open", u64::from(matches!(self.clock.state(), State::Told(_)))),
@@ -149,13 +149,13 @@
     }
 
     /// The list as it is known, for another process to begin with.
-    pub fn list(&self) -> Update {
+    pub fn known_list(&self) -> Update {
         let hosts = self.listed.values().filter_map(|line| serde_json::to_value(line).ok()).collect();
         Update { seq: self.seq, whole: true, hosts }
     }
 
     /// Asks for the whole list once.
-    pub fn fetch(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare) {
+    pub fn fetch_list(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare) {
         // One that is under way brings the same.
         if self.fetch.is_none() {
             self.fetch = self.call(ctx, spare, "/discovery/hosts");
@@ -166,7 +166,7 @@
     }
 
     /// Begins the watch, or ends it.
-    pub fn watch(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, want: bool) {
+    pub fn set_watch(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, want: bool) {
         if let Some(call) = self.watch.take() {
             if want && call.open {
                 self.leave_before(ctx);
@@ -221,7 +221,7 @@
     }
 
     /// The list has grown too old to be acted on.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn handle_expiry(&mut self, now: Micros) {
         if self.stale(now) {
             self.in_force = false;
             note!(warn: seq = self.seq, "discovery: the list is too old: nothing new is sent until it is confirmed");
@@ -235,7 +235,7 @@
     }
 
     /// Discovery is at this address from now on; what to ask of it, and when, is the module's to say.
-    pub fn move_to(&mut self, ctx: &mut Ctx<'_>, discovery: Option<SocketAddr>) {
+    pub fn set_address(&mut self, ctx: &mut Ctx<'_>, discovery: Option<SocketAddr>) {
         if self.discovery != discovery {
             self.discovery = discovery;
             self.clock.moved(ctx.now);
@@ -275,12 +275,12 @@
     }
 
     /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
+    pub fn owns_token(&self, token: usize) -> bool {
         [&self.fetch, &self.watch, &self.before].into_iter().flatten().any(|call| call.token == token)
     }
 
     /// Something can be read or written on one of these connections.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut UpstreamConnections, token: usize) {
+    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut UpstreamConnections, token: usize) {
         if self.fetch.as_ref().is_some_and(|call| call.token == token) {
             let Some(mut call) = self.fetch.take() else { return };
             match fetched(&mut call) {
@@ -341,7 +341,7 @@
     }
 
     /// Nothing has come for too long, or it is time for another call.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, due: Due) {
+    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, due: Due) {
         if due == Due::Fetch {
             if let Some(call) = self.fetch.take() {
                 self.lose(ctx, call, due, "nothing came for too long");
@@ -349,7 +349,7 @@
             return;
         }
         match self.clock.act(ctx.now) {
-            Some(Act::Open) => return self.watch(ctx, spare, true),
+            Some(Act::Open) => return self.set_watch(ctx, spare, true),
             Some(Act::Lose) => {
                 if let Some(call) = self.watch.take() {
                     self.lose(ctx, call, due, "nothing came for too long");
--- a/src/net/platform/route_set/witnesses.rs
+++ b/src/net/platform/discovery/peer_queries.rs
@@ -1,14 +1,14 @@
 //! What schedulers ask each other of the freshness of their lists, as [`calicolb_freshness::witness`] has it.
 
-use super::RouteSet;
+use super::DiscoveryClient;
 use super::digest::digest;
 use crate::log::note;
 use crate::net::{Audience, Ctx};
 use calicolb_freshness::witness::{AUDIENCE, Inquiry, Message, Verdict};
 
-impl RouteSet {
+impl DiscoveryClient {
     /// It is time to ask some other schedulers how fresh their lists are.
-    pub fn ask_witnesses(&mut self, ctx: &mut Ctx<'_>) {
+    pub fn query_peers(&mut self, ctx: &mut Ctx<'_>) {
         if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
             ctx.tell(Audience::Some(AUDIENCE), question.encode());
@@ -17,7 +17,7 @@
     }
 
     /// Another scheduler asks how fresh this one's list is, or answers.
-    pub fn witness(&mut self, ctx: &mut Ctx<'_>, from: u32, message: Message) {
+    pub fn handle_peer_message(&mut self, ctx: &mut Ctx<'_>, from: u32, message: Message) {
         let own = *self.digest.get_or_insert_with(|| digest(self.listed.values()));
         match message {
             Message::Question { number } => {
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/discovery/versions.rs
@@ -1,7 +1,7 @@
 //! Versions of the list: what is taken in, and what becomes of workers that come and go with it.
 
 use super::entry::{Line, read_member};
-use super::{HOPS_LIMIT, RouteSet};
+use super::{DiscoveryClient, HOPS_LIMIT};
 use crate::config::list::Update;
 use crate::log::note;
 use crate::net::Ctx;
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-impl RouteSet {
+impl DiscoveryClient {
     /// Takes in a version or changes. One older than what is known is not taken: it would bring back what has gone
     /// since. Should the known one not be confirmed for as long as discovery may take to tell, it has begun anew, and is
     /// believed.
--- a/src/net/platform/inherit.rs
+++ b/src/net/platform/inherited_socket.rs
@@ -16,7 +16,7 @@
 /// Starts the program again in its own place, with the passed descriptor named as `listenfd` wants it: that is
 /// the way to adopt a bare number without unsafe code. Comes back only if there is nothing to do, or if it
 /// cannot be done.
-pub fn announce(passed: Option<i32>, env: impl Fn(&str) -> Option<OsString>) {
+pub fn restart_with_listen_fds(passed: Option<i32>, env: impl Fn(&str) -> Option<OsString>) {
     let Some(number) = passed.map(|number| OsString::from(number.to_string())) else { return };
     // Without this it would start itself for ever.
     if env(COUNT).is_some() && env(FIRST).as_ref() == Some(&number) {
@@ -34,7 +34,7 @@
 }
 
 /// The socket that was passed, or else one of our own. Tells whether it was passed.
-pub fn listener(passed: Option<i32>, listen: SocketAddr) -> io::Result<(TcpListener, bool)> {
+pub fn open_listener(passed: Option<i32>, listen: SocketAddr) -> io::Result<(TcpListener, bool)> {
     if passed.is_some() {
         match ListenFd::from_env().take_tcp_listener(0) {
             Ok(Some(listener)) => {
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -2,7 +2,8 @@
 
 mod call;
 pub mod control;
-pub mod inherit;
-pub mod peers;
-pub mod route_set;
+pub mod discovery;
+pub mod inherited_socket;
+pub mod peer_socket;
+
 pub mod upgrade;
--- a/src/net/platform/peers.rs
+++ b/src/net/platform/peer_socket.rs
@@ -14,7 +14,7 @@
 const BATCH: usize = 256;
 
 /// See the head of this file.
-pub struct Peers {
+pub struct PeerSocket {
     socket: UdpSocket,
     /// Addresses by rank.
     peers: Vec<SocketAddr>,
@@ -24,7 +24,7 @@
     rng: fastrand::Rng,
 }
 
-impl Peers {
+impl PeerSocket {
     pub fn new(
         socket: UdpSocket,
         peers: Vec<SocketAddr>,
@@ -32,17 +32,17 @@
         own: u32,
         seed: u64,
     ) -> Self {
-        Peers { socket, peers, all, own, rng: fastrand::Rng::with_seed(seed) }
+        PeerSocket { socket, peers, all, own, rng: fastrand::Rng::with_seed(seed) }
     }
 
     /// The schedulers are at these addresses from now on.
-    pub fn learn(&mut self, peers: Vec<SocketAddr>, all: Option<SocketAddr>) {
+    pub fn set_addresses(&mut self, peers: Vec<SocketAddr>, all: Option<SocketAddr>) {
         (self.peers, self.all) = (peers, all);
     }
 
     /// Takes what has come, as much as is one turn's share: a flood must not stop the loop. Gives what concerns the list,
     /// with the rank of its sender.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>) -> Vec<(u32, Message)> {
+    pub fn receive(&mut self, ctx: &mut Ctx<'_>) -> Vec<(u32, Message)> {
         let mut bytes = [0; LIMIT + 1];
         let mut of_the_list = Vec::new();
         for _ in 0..BATCH {
@@ -71,25 +71,25 @@
     }
 
     /// Sends a datagram to this audience.
-    pub fn address(&mut self, audience: Audience, body: &[u8]) {
+    pub fn send_to_audience(&mut self, audience: Audience, body: &[u8]) {
         match audience {
-            Audience::One(rank) => self.tell(Some(rank), body),
+            Audience::One(rank) => self.send(Some(rank), body),
             Audience::Some(count) => {
                 let others = (0..self.peers.len() as u32).filter(|&rank| rank != self.own);
                 for rank in self.rng.choose_multiple(others, count) {
-                    self.tell(Some(rank), body);
+                    self.send(Some(rank), body);
                 }
             }
         }
     }
 
     /// Sends a message to one scheduler, or to all.
-    pub fn tell(&self, to: Option<u32>, body: &[u8]) {
+    pub fn send(&self, to: Option<u32>, body: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.get(rank as usize).copied(),
             None if self.all.is_none() => {
                 // Each in turn; the module passes over what it hears from itself.
-                return (0..self.peers.len()).for_each(|rank| self.tell(Some(rank as u32), body));
+                return (0..self.peers.len()).for_each(|rank| self.send(Some(rank as u32), body));
             }
             None => self.all,
         };
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -28,34 +28,40 @@
 use std::path::PathBuf;
 
 /// The predecessor has this long to hand over. One that is dead or silent must not keep the successor from serving.
-pub const PATIENCE: Micros = 1_000_000;
+pub const HANDOVER_TIMEOUT: Micros = 1_000_000;
 /// Where a link that brings more than this in one message, or leaves so much unread, is cut.
 const LIMIT: usize = 4 << 20;
 
 /// What the two processes say to each other.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Word {
+pub enum Message {
     /// The first word of a successor.
     #[serde(rename = "heir")]
-    Successor,
+    HandoverRequest,
     /// The predecessor's answer: from now on the successor takes what comes.
     Handover(Box<Handover>),
     /// A request of this name is open here.
-    Opened(String),
+    #[serde(rename = "opened")]
+    RequestOpened(String),
     /// It is open no more.
-    Closed(String),
+    #[serde(rename = "closed")]
+    RequestClosed(String),
     /// A call-back that fits nothing here, as it came.
-    News(String),
+    #[serde(rename = "news")]
+    Callback(String),
     /// What the module tells itself on the other side.
-    Load(Vec<u8>),
+    #[serde(rename = "load")]
+    PeerMessage(Vec<u8>),
     /// A request that goes on at the successor. Its client's connection comes along with this word.
     #[serde(rename = "bequest")]
     Transfer(Box<AnyTransfer>),
     /// The successor goes on with the request of this name, and answers it.
-    Adopted(String),
+    #[serde(rename = "adopted")]
+    TransferAccepted(String),
     /// The successor cannot go on with the request of this name: it stays where it was.
-    Declined(String),
+    #[serde(rename = "declined")]
+    TransferDeclined(String),
     /// An operator wants clients sent away (`true`), or welcomed again.
     Drain(bool),
 }
@@ -64,7 +70,8 @@
 #[derive(Serialize, Deserialize)]
 pub struct Handover {
     /// The list of next hops, and its version.
-    pub routes: Update,
+    #[serde(rename = "routes")]
+    pub worker_list: Update,
     /// The predecessor's clock as this was written; a predecessor of before does not tell it.
     #[serde(default)]
     pub clock: Option<Micros>,
@@ -72,27 +79,30 @@
     #[serde(default)]
     pub confirmed_us_ago: Option<u64>,
     /// What the module has learned, in its own words.
-    pub knowledge: Value,
+    #[serde(rename = "knowledge")]
+    pub dispatcher_state: Value,
     /// The names that its places stand for; a predecessor of before does not tell them.
     #[serde(default)]
-    pub names: Option<Listed>,
+    pub names: Option<IndexedNames>,
     /// The names of the requests that are open.
-    pub open: Vec<String>,
+    #[serde(rename = "open")]
+    pub open_requests: Vec<String>,
     /// Clients are being sent away, as an operator asked.
-    pub drained: bool,
+    #[serde(rename = "drained")]
+    pub draining: bool,
 }
 
 /// Classes and tenants in the order of their places.
 #[derive(Serialize, Deserialize)]
-pub struct Listed {
+pub struct IndexedNames {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
 }
 
-impl Listed {
+impl IndexedNames {
     pub fn new(names: &Names) -> Self {
         let texts = |name: &str| name.to_owned();
-        Listed {
+        IndexedNames {
             classes: names.classes().map(texts).collect(),
             tenants: names.tenants().map(texts).collect(),
         }
@@ -101,15 +111,15 @@
 
 /// Which of the two others is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Role {
     Predecessor,
     Successor,
 }
 
-impl Side {
+impl Role {
     /// The other one.
     pub fn other(self) -> Self {
-        if self == Side::Predecessor { Side::Successor } else { Side::Predecessor }
+        if self == Role::Predecessor { Role::Successor } else { Role::Predecessor }
     }
 }
 
@@ -163,12 +173,12 @@
     }
 
     /// Asks the predecessor, if there is one, to hand over; tells whether there is.
-    pub fn call(&mut self, ctx: &mut Ctx<'_>) -> bool {
+    pub fn connect_to_predecessor(&mut self, ctx: &mut Ctx<'_>) -> bool {
         let Some(path) = &self.path else { return false };
         // A socket that nobody listens at any more was left by a process that has gone.
         let Ok(stream) = UnixStream::connect(path) else { return false };
         self.predecessor = link(ctx, stream);
-        self.say(Side::Predecessor, &Word::Successor);
+        self.send(Role::Predecessor, &Message::HandoverRequest);
         self.predecessor.is_some()
     }
 
@@ -205,24 +215,24 @@
     }
 
     /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
+    pub fn owns_token(&self, token: usize) -> bool {
         [&self.predecessor, &self.successor].into_iter().flatten().any(|link| link.token == token)
     }
 
     /// There is another process.
-    pub fn any(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.predecessor.is_some() || self.successor.is_some()
     }
 
     /// Something can be read or written; gives what was said, and whether the link has ended.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> (Side, Vec<Word>, bool) {
+    pub fn receive(&mut self, ctx: &mut Ctx<'_>, token: usize) -> (Role, Vec<Message>, bool) {
         let side = if self.predecessor.as_ref().is_some_and(|link| link.token == token) {
-            Side::Predecessor
+            Role::Predecessor
         } else {
-            Side::Successor
+            Role::Successor
         };
         let mut words = Vec::new();
-        let link = if side == Side::Predecessor { &mut self.predecessor } else { &mut self.successor };
+        let link = if side == Role::Predecessor { &mut self.predecessor } else { &mut self.successor };
         let Some(link) = link else { return (side, words, false) };
         let mut sound = link.buffer.flush(&mut link.stream).is_ok();
         let filled = link.buffer.fill(&mut Mail(&link.stream, &mut self.passed), LIMIT);
@@ -244,7 +254,7 @@
     }
 
     /// Says something, if there is anybody to hear it.
-    pub fn say(&mut self, side: Side, word: &Word) {
+    pub fn send(&mut self, side: Role, word: &Message) {
         let Some(link) = self.link(side) else { return };
         let Ok(mut line) = serde_json::to_vec(word) else {
             return note!("a word to the {side:?} cannot be written");
@@ -261,24 +271,24 @@
     }
 
     /// The next connection that came along with a word.
-    pub fn passed(&mut self) -> Option<TcpStream> {
+    pub fn take_received_connection(&mut self) -> Option<TcpStream> {
         let descriptor = self.passed.pop_front()??;
         Some(TcpStream::from_std(descriptor.into()))
     }
 
     /// The successor has taken all that was written to it, so that a request can be sent to it with its client's connection.
-    pub fn can_transfer(&mut self) -> bool {
+    pub fn ready_for_transfer(&mut self) -> bool {
         let Some(link) = &mut self.successor else { return false };
         // What waits goes first, or the connection would come along with another word.
         matches!(link.buffer.flush(&mut link.stream), Ok(true))
     }
 
     /// Sends a request to the successor, with its client's connection; tells whether that could be done.
-    pub fn transfer(&mut self, stream: &TcpStream, transfer: &Transfer) -> bool {
+    pub fn send_transfer(&mut self, stream: &TcpStream, transfer: &Transfer) -> bool {
         let transfer = AnyTransfer::Whole(transfer.clone());
-        let Ok(mut line) = serde_json::to_vec(&Word::Transfer(Box::new(transfer))) else { return false };
+        let Ok(mut line) = serde_json::to_vec(&Message::Transfer(Box::new(transfer))) else { return false };
         line.push(b'\n');
-        if !self.can_transfer() {
+        if !self.ready_for_transfer() {
             return false;
         }
         let Some(link) = &mut self.successor else { return false };
@@ -299,22 +309,22 @@
     }
 
     /// The predecessor's clock showed this as it spoke; gives by how much it is ahead of this one's.
-    pub fn hear_clock(&mut self, now: Micros, told: Micros) -> i64 {
+    pub fn record_clock_offset(&mut self, now: Micros, told: Micros) -> i64 {
         let shown = told.cast_signed() - now.cast_signed();
         *self.ahead.insert(self.ahead.map_or(shown, |ahead| ahead.max(shown)))
     }
 
-    fn link(&mut self, side: Side) -> Option<&mut Link> {
+    fn link(&mut self, side: Role) -> Option<&mut Link> {
         match side {
-            Side::Predecessor => self.predecessor.as_mut(),
-            Side::Successor => self.successor.as_mut(),
+            Role::Predecessor => self.predecessor.as_mut(),
+            Role::Successor => self.successor.as_mut(),
         }
     }
 
-    fn cut(&mut self, ctx: &mut Ctx<'_>, side: Side) {
+    fn cut(&mut self, ctx: &mut Ctx<'_>, side: Role) {
         let link = match side {
-            Side::Predecessor => self.predecessor.take(),
-            Side::Successor => self.successor.take(),
+            Role::Predecessor => self.predecessor.take(),
+            Role::Successor => self.successor.take(),
         };
         if let Some(mut link) = link {
             let _ = ctx.registry.deregister(&mut link.stream);
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -17,11 +17,11 @@
 use crate::net::http::upstream::UpstreamConnections;
 use crate::net::operators::door::{CALLS, Door, Order};
 use crate::net::operators::drain::{Drain, PARTING, Why};
-use crate::net::platform::control::Control;
-use crate::net::platform::inherit;
-use crate::net::platform::peers::Peers;
-use crate::net::platform::route_set::RouteSet;
-use crate::net::platform::upgrade::{Handover, Listed, PATIENCE, Side, UpgradeLink, Word};
+use crate::net::platform::control::ControlClient;
+use crate::net::platform::discovery::DiscoveryClient;
+use crate::net::platform::inherited_socket;
+use crate::net::platform::peer_socket::PeerSocket;
+use crate::net::platform::upgrade::{HANDOVER_TIMEOUT, Handover, IndexedNames, Message, Role, UpgradeLink};
 use crate::net::protocol::{Protocol, Shares, Wish};
 use crate::net::{Audience, Ctx};
 use calicolb::api::{Class, ListKind, Micros, WorkerId};
@@ -62,12 +62,12 @@
     /// The other protocols.
     others: Vec<Box<dyn Protocol>>,
     wishes: Vec<Wish>,
-    routes: RouteSet,
+    routes: DiscoveryClient,
     /// Next hops that the operator file names.
     fixed: Vec<Fixed>,
-    peers: Option<Peers>,
+    peers: Option<PeerSocket>,
     /// The agreed configuration, if there is any.
-    control: Option<Control>,
+    control: Option<ControlClient>,
     door: Option<Door>,
     drain: Drain,
     upgrade: UpgradeLink,
@@ -114,7 +114,7 @@
         let poll = Poll::new()?;
         let registry = poll.registry().try_clone()?;
         let clock = Clock::new();
-        let (listener, passed) = inherit::listener(config.passed, config.listen)?;
+        let (listener, passed) = inherited_socket::open_listener(config.passed, config.listen)?;
         let at = listener.local_addr()?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
         let door = match config.mgmt {
@@ -127,7 +127,7 @@
             None => None,
         };
         let (asked, drain) = (config.settings.list_on_request, config.settings.rules.drain_grace);
-        let routes = RouteSet::new(config.discovery, asked, drain, clock.now());
+        let routes = DiscoveryClient::new(config.discovery, asked, drain, clock.now());
         let upstream = UpstreamConnections::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
         let mut turn = Turn {
             grace: grace(&config.settings.classes),
@@ -148,7 +148,7 @@
             routes,
             fixed: config.fixed,
             peers: None,
-            control: config.control.map(|control| Control::new(control, &config.name, config.seed)),
+            control: config.control.map(|control| ControlClient::new(control, &config.name, config.seed)),
             door,
             drain: Drain::default(),
             upgrade: UpgradeLink::new(config.meeting.filter(|_| passed)),
@@ -175,8 +175,8 @@
             parts.others.push(Box::new(Gearman::new(&mut ctx, gearman)?));
         }
         let (mut ctx, parts) = turn.split(now);
-        if parts.upgrade.call(&mut ctx) {
-            ctx.deadlines.set(Due::Predecessor, now + PATIENCE);
+        if parts.upgrade.connect_to_predecessor(&mut ctx) {
+            ctx.deadlines.set(Due::Predecessor, now + HANDOVER_TIMEOUT);
             turn.share_out(now);
         } else {
             turn.start(now, None)?;
@@ -188,9 +188,9 @@
     fn start(&mut self, now: Micros, handover: Option<Handover>) -> io::Result<()> {
         if let Some(handover) = &handover {
             // Also from a predecessor that was silent for too long: its open requests are still its own.
-            note!("{} requests are open at the predecessor", handover.open.len());
+            note!("{} requests are open at the predecessor", handover.open_requests.len());
             self.desk.share();
-            handover.open.iter().for_each(|name| self.desk.elsewhere(name.clone(), true));
+            handover.open_requests.iter().for_each(|name| self.desk.elsewhere(name.clone(), true));
         }
         let Some(known) = self.waiting.take() else { return Ok(()) };
         self.open_peers(now)?;
@@ -201,10 +201,10 @@
         let confirmed_ago = handover.as_ref().and_then(|handover| handover.confirmed_us_ago);
         let (known, drained) = match handover {
             Some(handover) => {
-                let ahead = handover.clock.map_or(0, |clock| parts.upgrade.hear_clock(now, clock));
-                let knowledge = renewal::placed(handover.knowledge, &handover.names, ctx.names, now);
+                let ahead = handover.clock.map_or(0, |clock| parts.upgrade.record_clock_offset(now, clock));
+                let knowledge = renewal::placed(handover.dispatcher_state, &handover.names, ctx.names, now);
                 ctx.desk.inherit(renewal::on_clock(knowledge, ahead));
-                (Some(handover.routes), handover.drained)
+                (Some(handover.worker_list), handover.draining)
             }
             None => (known, false),
         };
@@ -216,7 +216,7 @@
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
             ctx.desk.members(Source::Fixed, ListKind::Changes, members);
         }
-        parts.routes.warm(&mut ctx, &mut parts.http.upstream, known, confirmed_ago);
+        parts.routes.load_initial_list(&mut ctx, &mut parts.http.upstream, known, confirmed_ago);
         parts.http.listen(&mut ctx)?;
         parts.others.iter_mut().try_for_each(|other| other.listen(&mut ctx))?;
         parts.upgrade.listen(ctx.registry, MEETING);
@@ -243,7 +243,7 @@
                 self.registry.register(&mut socket, PEERS, Interest::READABLE)?;
                 note!("{} hears schedulers on {}", self.name, socket.local_addr()?);
                 let seed = self.clock.now() ^ u64::from(self.rank);
-                self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
+                self.peers = Some(PeerSocket::new(socket, config.each.clone(), config.all, self.rank, seed));
             }
             // A silent predecessor still has it. Work does not hang on datagrams: they are let in when it has gone.
             Err(error) if self.passed && error.kind() == io::ErrorKind::AddrInUse => {
@@ -256,7 +256,7 @@
 
     /// Deals the descriptors out. While two processes share the limit, each keeps to half of it.
     fn share_out(&mut self, now: Micros) {
-        let sockets = self.sockets / if self.upgrade.any() { 2 } else { 1 };
+        let sockets = self.sockets / if self.upgrade.is_connected() { 2 } else { 1 };
         let own = OWN_SOCKETS + if self.door.is_some() { CALLS } else { 0 };
         let (shares, most_open) = shares(sockets, own);
         let most_open = most_open.min(self.most_open);
@@ -307,7 +307,7 @@
                 self.grant(now, wish);
             }
             self.learn(now);
-            self.begun |= self.desk.known() > 0 && self.routes.serviceable(now);
+            self.begun |= self.desk.known() > 0 && self.routes.is_ready(now);
             self.http.clients.accepts_clients = self.begun && self.welcome();
             self.tell_other_process();
             self.tell_peers();
@@ -320,7 +320,7 @@
     fn tell_peers(&mut self) {
         for (audience, body) in std::mem::take(&mut self.outbox) {
             if let Some(peers) = &mut self.peers {
-                peers.address(audience, &body);
+                peers.send_to_audience(audience, &body);
             }
         }
     }
@@ -375,13 +375,13 @@
             PEERS => parts.hear_peers(&mut ctx),
             DOOR => self.door_opens(now),
             MEETING => parts.upgrade.accept(&mut ctx),
-            Token(token) if parts.upgrade.has(token) => self.link_ready(now, token),
-            Token(token) if parts.routes.has(token) => {
-                parts.routes.ready(&mut ctx, &mut parts.http.upstream, token);
+            Token(token) if parts.upgrade.owns_token(token) => self.link_ready(now, token),
+            Token(token) if parts.routes.owns_token(token) => {
+                parts.routes.handle_ready(&mut ctx, &mut parts.http.upstream, token);
             }
-            Token(token) if parts.control.as_ref().is_some_and(|control| control.has(token)) => {
+            Token(token) if parts.control.as_ref().is_some_and(|control| control.owns_token(token)) => {
                 if let Some(control) = parts.control {
-                    control.ready(&mut ctx, token);
+                    control.handle_ready(&mut ctx, token);
                 }
             }
             Token(token) => match parts.door {
@@ -419,14 +419,14 @@
                 }
             }
             Due::Peers => parts.hear_peers(&mut ctx),
-            Due::Witness => parts.routes.ask_witnesses(&mut ctx),
-            Due::Fetch | Due::Watch => parts.routes.late(&mut ctx, parts.http, due),
+            Due::Witness => parts.routes.query_peers(&mut ctx),
+            Due::Fetch | Due::Watch => parts.routes.handle_timeout(&mut ctx, parts.http, due),
             Due::Control => {
                 if let Some(control) = parts.control {
-                    control.late(&mut ctx);
+                    control.handle_timeout(&mut ctx);
                 }
             }
-            Due::Stale => parts.routes.expire(now),
+            Due::Stale => parts.routes.handle_expiry(now),
             // A look at the end of the turn is all that it takes.
             Due::Ready => {}
             // Of another role.
@@ -475,15 +475,15 @@
             Work::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
             // To the own rank: the process that took over counts it with its own.
             Work::Tell { to, body } if to == Some(rank) => {
-                self.upgrade.say(Side::Successor, &Word::Load(body));
+                self.upgrade.send(Role::Successor, &Message::PeerMessage(body));
             }
             Work::Tell { to, body } => {
                 if let Some(peers) = parts.peers {
-                    peers.tell(to, &body);
+                    peers.send(to, &body);
                 }
             }
-            Work::FetchList => parts.routes.fetch(&mut ctx, parts.http),
-            Work::Watch(want) => parts.routes.watch(&mut ctx, parts.http, want),
+            Work::FetchList => parts.routes.fetch_list(&mut ctx, parts.http),
+            Work::Watch(want) => parts.routes.set_watch(&mut ctx, parts.http, want),
             Work::CloseIdle(hop) => parts.driver(hop).close_idle(&mut ctx, hop),
         }
     }
@@ -529,9 +529,9 @@
     http: &'a mut Http,
     others: &'a mut Vec<Box<dyn Protocol>>,
     fixed: &'a [Fixed],
-    routes: &'a mut RouteSet,
-    peers: &'a mut Option<Peers>,
-    control: &'a mut Option<Control>,
+    routes: &'a mut DiscoveryClient,
+    peers: &'a mut Option<PeerSocket>,
+    control: &'a mut Option<ControlClient>,
     door: &'a mut Option<Door>,
     drain: &'a mut Drain,
     upgrade: &'a mut UpgradeLink,
@@ -541,8 +541,8 @@
     /// Takes the datagrams that have come: those about the list are for the route set, the others for the module.
     fn hear_peers(&mut self, ctx: &mut Ctx<'_>) {
         let Some(peers) = self.peers else { return };
-        for (from, message) in peers.ready(ctx) {
-            self.routes.witness(ctx, from, message);
+        for (from, message) in peers.receive(ctx) {
+            self.routes.handle_peer_message(ctx, from, message);
         }
     }
 
--- a/src/net/turn/orders.rs
+++ b/src/net/turn/orders.rs
@@ -18,7 +18,7 @@
             Some(Order::Ping) if self.begun => "done\n".to_owned(),
             Some(Order::Ping) => "error no list of stock workers is known yet\n".to_owned(),
             Some(Order::Info) => {
-                let list = self.routes.figures(now);
+                let list = self.routes.metrics(now);
                 let present = Present {
                     in_flight: self.desk.owed(),
                     known: self.desk.known(),
@@ -29,12 +29,12 @@
                 let others = shared.chain(self.others.iter().flat_map(|other| other.figures()));
                 let others = others.chain([("settings.taken_up", self.renewals)]);
                 let others = others.map(|(name, value)| (name, value.to_string()));
-                let others = others.chain(self.control.iter().flat_map(|control| control.figures(now)));
+                let others = others.chain(self.control.iter().flat_map(|control| control.metrics(now)));
                 self.desk.figures().write(self.names.classes(), present, others)
             }
             // What this process no longer takes is the successor's to send away.
             Some(Order::Lameduck | Order::Rejoin) if self.retired => {
-                self.upgrade.say(Side::Successor, &Word::Drain(order == Some(Order::Lameduck)));
+                self.upgrade.send(Role::Successor, &Message::Drain(order == Some(Order::Lameduck)));
                 "done\n".to_owned()
             }
             Some(Order::Lameduck) => {
--- a/src/net/turn/renewal.rs
+++ b/src/net/turn/renewal.rs
@@ -1,9 +1,9 @@
 //! Settings that come into force while the program runs: all of them between two batches of the module, or none.
 
-use super::{Control, Turn};
+use super::{ControlClient, Turn};
 use crate::config::{Config, Fault, Renewal};
 use crate::log::note;
-use crate::net::platform::upgrade::Listed;
+use crate::net::platform::upgrade::IndexedNames;
 use calicolb::api::Micros;
 use calicolb::renewal::merge;
 use calicolb::rules::Dispatcher;
@@ -30,9 +30,9 @@
             note!("SIGHUP: discovery is at {discovery}");
         }
         let (mut ctx, parts) = self.split(now);
-        parts.routes.move_to(&mut ctx, config.discovery);
+        parts.routes.set_address(&mut ctx, config.discovery);
         if let (Some(peers), Some(told)) = (parts.peers, &config.peers) {
-            peers.learn(told.each.clone(), told.all);
+            peers.set_addresses(told.each.clone(), told.all);
         }
         if let (Some(old), Some(told)) = (&mut self.peer_config, &config.peers) {
             (old.each, old.all) = (told.each.clone(), told.all);
@@ -40,10 +40,10 @@
         if let Some(told) = config.control.as_ref().map(|told| told.machines.clone()) {
             let (mut ctx, parts) = self.split(now);
             if let Some(control) = parts.control {
-                control.move_to(&mut ctx, told);
+                control.set_machines(&mut ctx, told);
             }
         }
-        if self.control.as_ref().is_some_and(Control::leads) {
+        if self.control.as_ref().is_some_and(ControlClient::has_agreed_version) {
             return note!(
                 "SIGHUP: the settings are agreed with the control machines: the file's do not count"
             );
@@ -56,11 +56,11 @@
     /// Takes up what was learned of the agreed configuration, if there is anything new.
     pub(super) fn learn(&mut self, now: Micros) {
         let Some(control) = &mut self.control else { return };
-        let Some((news, checked)) = control.news(now) else { return };
+        let Some((news, checked)) = control.next_version(now) else { return };
         let outcome = checked.and_then(|renewal| self.take_up(now, renewal));
         let (mut ctx, parts) = self.split(now);
         if let Some(control) = parts.control {
-            control.taken(&mut ctx, news, outcome);
+            control.record_result(&mut ctx, news, outcome);
         }
     }
 
@@ -96,7 +96,7 @@
             self.grace = super::grace(&classes);
         }
         let (mut ctx, parts) = self.split(now);
-        parts.routes.take_up(&mut ctx, grace);
+        parts.routes.set_grace(&mut ctx, grace);
         parts.http.upstream.update_settings(limits.connect_timeout, conn_idle);
         parts.others.iter_mut().for_each(|other| other.take_up(&classes));
         self.share_out(now);
@@ -114,7 +114,7 @@
 
 /// What another process learned, by the places that classes and tenants have here: there they may have come and gone in
 /// another order.
-pub(super) fn placed(knowledge: Value, told: &Option<Listed>, names: &Names, now: Micros) -> Value {
+pub(super) fn placed(knowledge: Value, told: &Option<IndexedNames>, names: &Names, now: Micros) -> Value {
     let Some(told) = told else { return knowledge };
     let place = |list: &[String], name: &str| list.iter().position(|other| other == name);
     let classes: Vec<_> = names.classes().map(|name| place(&told.classes, name)).collect();
--- a/src/net/turn/shutdown.rs
+++ b/src/net/turn/shutdown.rs
@@ -37,7 +37,7 @@
             // Clients were parted with when the successor took over.
             self.drain.part();
         }
-        self.upgrade.say(Side::Predecessor, &Word::Drain(true));
+        self.upgrade.send(Role::Predecessor, &Message::Drain(true));
         if self.drain.begin(why) {
             note!("clients are sent away: {} requests are open", self.desk.owed());
             self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
@@ -70,7 +70,7 @@
     pub(super) fn rejoin(&mut self) -> bool {
         let open = self.drain.rejoin();
         if open {
-            self.upgrade.say(Side::Predecessor, &Word::Drain(false));
+            self.upgrade.send(Role::Predecessor, &Message::Drain(false));
             note!("clients are welcome");
             self.deadlines.clear(Due::Farewell);
             self.http.stay();
--- a/src/net/turn/upgrade.rs
+++ b/src/net/turn/upgrade.rs
@@ -19,15 +19,15 @@
         parts.http.farewell(&mut ctx);
         parts.upgrade.stop_listening();
         let handover = Handover {
-            routes: parts.routes.list(),
+            worker_list: parts.routes.known_list(),
             clock: Some(now),
-            confirmed_us_ago: parts.routes.confirmed_ago(now),
-            knowledge: ctx.desk.hand_over(),
-            names: Some(Listed::new(ctx.names)),
-            open: ctx.desk.share(),
-            drained: parts.drain.asked(),
+            confirmed_us_ago: parts.routes.time_since_confirmation(now),
+            dispatcher_state: ctx.desk.hand_over(),
+            names: Some(IndexedNames::new(ctx.names)),
+            open_requests: ctx.desk.share(),
+            draining: parts.drain.asked(),
         };
-        parts.upgrade.say(Side::Successor, &Word::Handover(Box::new(handover)));
+        parts.upgrade.send(Role::Successor, &Message::Handover(Box::new(handover)));
         if parts.drain.ending() {
             parts.drain.part();
         }
@@ -36,16 +36,16 @@
     }
 
     /// The other process has gone. Where it had taken over, this one takes clients again.
-    pub(super) fn bereave(&mut self, now: Micros, side: Side) {
+    pub(super) fn bereave(&mut self, now: Micros, side: Role) {
         note!("the {side:?} has gone");
-        if !self.upgrade.any() {
+        if !self.upgrade.is_connected() {
             self.desk.alone();
         }
         self.share_out(now);
         match side {
-            Side::Predecessor => self.begin(now, None),
+            Role::Predecessor => self.begin(now, None),
             // Also near its own end: call-backs for what is still out would reach nobody.
-            Side::Successor if self.retired => {
+            Role::Successor if self.retired => {
                 for pending in self.transfers.take_back() {
                     self.take_back(now, pending);
                 }
@@ -63,7 +63,7 @@
                 }
                 self.settle_open_requests(now);
             }
-            Side::Successor => {}
+            Role::Successor => {}
         }
     }
 
@@ -71,7 +71,7 @@
     pub(super) fn can_transfer(&mut self, number: u32, client: ClientId) -> bool {
         let passable = self.http.clients.connection_for_transfer(client).is_some();
         let wanted = self.desk.name(number).is_some_and(|name| self.transfers.may_send(name));
-        passable && wanted && self.upgrade.can_transfer()
+        passable && wanted && self.upgrade.ready_for_transfer()
     }
 
     /// Sends a request to the successor, with all that is known of its attempts and with its client's connection. Call-backs
@@ -83,7 +83,7 @@
         };
         let (envelope, unread) = ((*envelope).clone(), unread.to_vec());
         let transfer = Transfer { envelope, keep_alive, unread, history, clock: now };
-        if !self.upgrade.transfer(stream, &transfer) {
+        if !self.upgrade.send_transfer(stream, &transfer) {
             return note!(request = number, "a request could not be sent to the next process yet");
         }
         note!(
@@ -110,9 +110,9 @@
 
     /// The predecessor sends a request, with its client's connection.
     fn take_over(&mut self, now: Micros, transfer: AnyTransfer) {
-        let stream = self.upgrade.passed();
+        let stream = self.upgrade.take_received_connection();
         let ahead = match &transfer {
-            AnyTransfer::Whole(whole) => self.upgrade.hear_clock(now, whole.clock),
+            AnyTransfer::Whole(whole) => self.upgrade.record_clock_offset(now, whole.clock),
             AnyTransfer::Taken(_) => 0,
         };
         let (transfer, answers) = transfer.received(ahead);
@@ -124,64 +124,64 @@
             note!("a request of the process before this one cannot be taken over");
         }
         if answers {
-            let word = if taken { Word::Adopted(name) } else { Word::Declined(name) };
-            self.upgrade.say(Side::Predecessor, &word);
+            let word = if taken { Message::TransferAccepted(name) } else { Message::TransferDeclined(name) };
+            self.upgrade.send(Role::Predecessor, &word);
         }
     }
 
     /// The other process has spoken, or gone.
     pub(super) fn link_ready(&mut self, now: Micros, token: usize) {
         let (mut ctx, parts) = self.split(now);
-        let (side, words, ended) = parts.upgrade.ready(&mut ctx, token);
+        let (side, words, ended) = parts.upgrade.receive(&mut ctx, token);
         for word in words {
             self.said(now, side, word);
         }
         if ended {
             self.bereave(now, side);
-        } else if side == Side::Successor {
+        } else if side == Role::Successor {
             // It may have room for the next request by now.
             self.settle_open_requests(now);
         }
     }
 
-    pub(super) fn said(&mut self, now: Micros, side: Side, word: Word) {
+    pub(super) fn said(&mut self, now: Micros, side: Role, word: Message) {
         match (word, side) {
-            (Word::Successor, Side::Successor) => self.retire(now),
-            (Word::Handover(handover), Side::Predecessor) => self.begin(now, Some(*handover)),
-            (Word::Opened(name), _) => self.desk.elsewhere(name, true),
-            (Word::Closed(name), _) => self.desk.elsewhere(name, false),
-            (Word::News(body), _) => {
+            (Message::HandoverRequest, Role::Successor) => self.retire(now),
+            (Message::Handover(handover), Role::Predecessor) => self.begin(now, Some(*handover)),
+            (Message::RequestOpened(name), _) => self.desk.elsewhere(name, true),
+            (Message::RequestClosed(name), _) => self.desk.elsewhere(name, false),
+            (Message::Callback(body), _) => {
                 let before = self.strays.len();
                 let (mut ctx, _) = self.split(now);
                 // Answered already, where it came in.
                 let _ = handle_callback(&mut ctx, body.as_bytes());
                 // Of three processes in a row the middle one passes on what is not its own, but never back.
                 for body in self.strays.split_off(before) {
-                    self.upgrade.say(side.other(), &Word::News(body));
+                    self.upgrade.send(side.other(), &Message::Callback(body));
                 }
             }
-            (Word::Load(body), Side::Predecessor) => self.desk.peer(self.rank, body),
-            (Word::Transfer(transfer), Side::Predecessor) => self.take_over(now, *transfer),
-            (Word::Adopted(name), Side::Successor) => {
+            (Message::PeerMessage(body), Role::Predecessor) => self.desk.peer(self.rank, body),
+            (Message::Transfer(transfer), Role::Predecessor) => self.take_over(now, *transfer),
+            (Message::TransferAccepted(name), Role::Successor) => {
                 if let Some(pending) = self.transfers.adopted(&name) {
                     self.http.clients.release_connection(pending.client);
                 }
             }
-            (Word::Declined(name), Side::Successor) => {
+            (Message::TransferDeclined(name), Role::Successor) => {
                 if let Some(pending) = self.transfers.declined(&name) {
                     self.take_back(now, pending);
                 }
             }
-            (Word::Drain(drained), Side::Successor) => self.successor_open = !drained,
-            (Word::Drain(true), Side::Predecessor) => self.begin_drain(now, Why::Asked),
-            (Word::Drain(false), Side::Predecessor) => drop(self.rejoin()),
+            (Message::Drain(drained), Role::Successor) => self.successor_open = !drained,
+            (Message::Drain(true), Role::Predecessor) => self.begin_drain(now, Why::Asked),
+            (Message::Drain(false), Role::Predecessor) => drop(self.rejoin()),
             (
-                Word::Successor
-                | Word::Handover(_)
-                | Word::Load(_)
-                | Word::Transfer(_)
-                | Word::Adopted(_)
-                | Word::Declined(_),
+                Message::HandoverRequest
+                | Message::Handover(_)
+                | Message::PeerMessage(_)
+                | Message::Transfer(_)
+                | Message::TransferAccepted(_)
+                | Message::TransferDeclined(_),
                 _,
             ) => note!("the {side:?} said what it may not"),
         }
@@ -191,12 +191,15 @@
     pub(super) fn tell_other_process(&mut self) {
         let turnover = self.desk.turnover().into_iter();
         self.strays.iter().for_each(|body| self.transfers.call_back(body));
-        let names = turnover.map(|(name, open)| if open { Word::Opened(name) } else { Word::Closed(name) });
-        let words: Vec<Word> =
-            names.chain(std::mem::take(&mut self.strays).into_iter().map(Word::News)).collect();
+        let names =
+            turnover.map(
+                |(name, open)| if open { Message::RequestOpened(name) } else { Message::RequestClosed(name) },
+            );
+        let words: Vec<Message> =
+            names.chain(std::mem::take(&mut self.strays).into_iter().map(Message::Callback)).collect();
         for word in words {
-            self.upgrade.say(Side::Predecessor, &word);
-            self.upgrade.say(Side::Successor, &word);
+            self.upgrade.send(Role::Predecessor, &word);
+            self.upgrade.send(Role::Successor, &word);
         }
     }
 }
