--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -72,7 +72,7 @@
     }
 
     fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
-        self.upstream.give_up(ctx, &mut self.clients, attempt, hop, name);
+        self.upstream.cancel_attempt(ctx, &mut self.clients, attempt, hop, name);
     }
 
     fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
--- a/src/net/http/upstream.rs
+++ b/src/net/http/upstream.rs
@@ -1,7 +1,7 @@
-//! Next hops: the connections to them, the attempts that go out on these, give-ups and probes.
+//! Connections to workers: sends attempts, cancellations and load probes over HTTP/1.1 and reads the answers.
 //!
-//! Nothing is ever sent twice from here: a request that meets a stale connection ends as what its last
-//! written byte says, and whether it goes out again is the module's to say.
+//! This module never retries. A request that fails on a stale kept connection is reported as a broken
+//! attempt, and the dispatcher decides whether it is sent again.
 
 use crate::log::note;
 use crate::net::Ctx;
@@ -21,227 +21,243 @@
 use std::net::SocketAddr;
 
 const MILLI: Micros = 1_000;
-/// An idle connection is closed this long before its next hop may: the answer that began its rest, and a
-/// request that would end it, are each under way for some of that time.
+/// Idle connections are closed this long before the worker's own idle timeout, in microseconds. The answer
+/// that started the idle period and the next request each spend part of this time on the network.
 const IDLE_MARGIN: Micros = 300 * MILLI;
-/// After so long without a kept connection that broke under a request, they may rest longer again.
-const CALM: Micros = 60_000 * MILLI;
-/// A connection that rested for less did not break because it rested.
-const BRIEF: Micros = 50 * MILLI;
-/// So many of the kept connections must break, by the weight of the last ten or so, before their rest is blamed:
-/// other breaks come now and then, and a new connection for every request would cost more than these.
-const BLAMED: f64 = 0.25;
-/// A probe or a give-up that is not answered by then is dropped.
-const SIDE_CALL: Micros = 1_000 * MILLI;
-
-/// What a connection is busy with.
+/// Time without a kept connection breaking under a request after which the idle limit is doubled again, in
+/// microseconds.
+const RECOVERY_INTERVAL: Micros = 60_000 * MILLI;
+/// Smallest idle limit, in microseconds. A connection that was idle for less did not break because it was
+/// idle.
+const MIN_IDLE_LIMIT: Micros = 50 * MILLI;
+/// Share of kept connections that must break under a request, in a moving average over about the last ten,
+/// before the idle limit is lowered. Breaks also occur for other reasons, and opening a connection per
+/// request would cost more than those breaks.
+const MAX_BREAK_RATE: f64 = 0.25;
+/// Timeout of a probe or a cancellation, in microseconds.
+const AUXILIARY_REQUEST_TIMEOUT: Micros = 1_000 * MILLI;
+
+/// The exchange that occupies a connection.
 #[derive(Debug, PartialEq)]
 enum Task {
     Idle,
     Attempt(AttemptId),
-    GiveUp(AttemptId),
+    Cancel(AttemptId),
     Probe(Micros),
 }
 
-struct Link {
+struct Connection {
     stream: TcpStream,
     buffer: Buffer,
-    hop: WorkerId,
-    opened: Micros,
-    up: bool,
+    worker: WorkerId,
+    opened_at: Micros,
+    is_connected: bool,
     task: Task,
-    /// When it last came to rest; `None` on its first request.
-    rested: Option<Micros>,
-    /// How long it had rested when the request in work was written, unless that is its first.
-    rest: Option<Micros>,
+    /// When the connection last became idle, in microseconds; `None` during its first request.
+    idle_since: Option<Micros>,
+    /// Time for which the connection was idle before the current request was written, in microseconds; `None`
+    /// for the first request of a connection.
+    idle_before_request: Option<Micros>,
 }
 
-struct Hop {
-    dial: SocketAddr,
-    born: u64,
-    /// Idle connections; the one used last is used first, so that the others may end.
+struct Worker {
+    address: SocketAddr,
+    started_ms: u64,
+    /// Tokens of the idle connections. The most recently used one is taken first, so that the others can
+    /// reach their idle limit.
     idle: Vec<usize>,
 }
 
-/// How long a connection may rest and be used again. Something between here and a next hop may let go of
-/// resting connections long before the settings say, and show it only at the next request: that one may then
-/// have run, and if it must not run twice, it is lost.
-struct Rest {
-    bound: Micros,
-    most: Micros,
-    /// The share of kept connections that broke under a request of late.
-    breaks: f64,
-    /// When the bound was last moved.
-    moved: Micros,
+/// Longest time for which a connection may be idle and still be reused. A middlebox may drop idle connections
+/// long before the configured idle timeout, and this shows only when the next request is written. That
+/// request may then have run, and it is lost if it must not run twice.
+struct IdleLimit {
+    limit: Micros,
+    max: Micros,
+    /// Moving average of the share of kept connections that broke under a request.
+    break_rate: f64,
+    /// When `limit` was last changed, in microseconds.
+    changed_at: Micros,
 }
 
-impl Rest {
-    fn new(most: Micros) -> Self {
-        Rest { bound: most, most, breaks: 0.0, moved: 0 }
+impl IdleLimit {
+    fn new(max: Micros) -> Self {
+        IdleLimit { limit: max, max, break_rate: 0.0, changed_at: 0 }
     }
 
-    /// Connections may rest for so long at most from now on. What was found out about breaks still counts.
-    fn take_up(&mut self, most: Micros) {
-        let lowered = self.bound < self.most;
-        self.bound = if lowered { self.bound.min(most) } else { most };
-        self.most = most;
+    /// Sets the upper bound of the limit, in microseconds. A limit that breaks have lowered stays lowered.
+    fn set_max(&mut self, max: Micros) {
+        let lowered = self.limit < self.max;
+        self.limit = if lowered { self.limit.min(max) } else { max };
+        self.max = max;
     }
 
-    fn bound(&mut self, now: Micros) -> Micros {
-        if self.bound < self.most && now > self.moved + CALM {
-            (self.bound, self.moved) = ((self.bound * 2).min(self.most), now);
+    fn current(&mut self, now: Micros) -> Micros {
+        if self.limit < self.max && now > self.changed_at + RECOVERY_INTERVAL {
+            (self.limit, self.changed_at) = ((self.limit * 2).min(self.max), now);
         }
-        self.bound
+        self.limit
     }
 
-    /// A connection that had rested so long brought an answer.
-    fn held(&mut self, rest: Micros) {
-        if rest >= BRIEF {
-            self.breaks *= 0.9;
+    /// Records that a connection which had been idle for `idle` microseconds brought an answer.
+    fn record_success(&mut self, idle: Micros) {
+        if idle >= MIN_IDLE_LIMIT {
+            self.break_rate *= 0.9;
         }
     }
 
-    /// A connection that had rested so long broke under a request.
-    fn broke(&mut self, now: Micros, rest: Micros) {
-        if rest >= BRIEF {
-            self.breaks += (1.0 - self.breaks) * 0.1;
-            if self.breaks > BLAMED {
-                // Half of what was too long: a few such breaks find the time that is safe.
-                (self.bound, self.moved) = (self.bound.min(rest / 2).max(BRIEF), now);
+    /// Records that a connection which had been idle for `idle` microseconds broke under a request.
+    fn record_break(&mut self, now: Micros, idle: Micros) {
+        if idle >= MIN_IDLE_LIMIT {
+            self.break_rate += (1.0 - self.break_rate) * 0.1;
+            if self.break_rate > MAX_BREAK_RATE {
+                // Half of an idle time that was too long: a few such breaks converge on a safe limit.
+                (self.limit, self.changed_at) = (self.limit.min(idle / 2).max(MIN_IDLE_LIMIT), now);
             }
         }
     }
 }
 
-/// How long a connection may rest that its next hop closes after `idle`.
-fn rest_of(idle: Micros) -> Micros {
-    idle.saturating_sub(IDLE_MARGIN).max(idle / 2)
+/// The idle limit of connections that the worker closes after `worker_idle_timeout`, in microseconds.
+fn idle_limit_for(worker_idle_timeout: Micros) -> Micros {
+    worker_idle_timeout.saturating_sub(IDLE_MARGIN).max(worker_idle_timeout / 2)
 }
 
-/// See the head of this file.
+/// Connections to all workers that are reached over HTTP, by token and by worker.
 pub struct UpstreamConnections {
-    hops: HashMap<WorkerId, Hop>,
-    links: HashMap<usize, Link>,
-    /// Attempts whose connection has not brought an answer yet.
-    out: HashMap<AttemptId, usize>,
-    /// Connections that have come up for an attempt in this turn. It begins when all facts of the turn are in.
-    risen: Vec<usize>,
+    workers: HashMap<WorkerId, Worker>,
+    connections: HashMap<usize, Connection>,
+    /// Tokens of the connections of attempts that have not been answered yet.
+    pending_attempts: HashMap<AttemptId, usize>,
+    /// Tokens of connections that were established for an attempt in this iteration of the event loop. The
+    /// attempt is sent once all events of the iteration have been processed.
+    connected_attempts: Vec<usize>,
     connect_timeout: Micros,
-    rest: Rest,
-    most: usize,
-    /// Connections opened, and requests that went out on a kept one, since the start.
-    opened: u64,
-    reused: u64,
+    idle_limit: IdleLimit,
+    max_connections: usize,
+    /// Number of connections opened, and of requests sent on a kept connection, since the start of the
+    /// process.
+    opened_total: u64,
+    reused_total: u64,
 }
 
 impl UpstreamConnections {
-    /// `idle`: when a next hop closes an idle connection; `most`: connections at most.
-    pub fn new(connect_timeout: Micros, idle: Micros, most: usize) -> Self {
+    /// `worker_idle_timeout`: the time after which a worker closes an idle connection, in microseconds.
+    /// `max_connections`: the limit on open connections.
+    pub fn new(connect_timeout: Micros, worker_idle_timeout: Micros, max_connections: usize) -> Self {
         UpstreamConnections {
-            hops: HashMap::new(),
-            links: HashMap::new(),
-            out: HashMap::new(),
-            risen: Vec::new(),
+            workers: HashMap::new(),
+            connections: HashMap::new(),
+            pending_attempts: HashMap::new(),
+            connected_attempts: Vec::new(),
             connect_timeout,
-            rest: Rest::new(rest_of(idle)),
-            most,
-            opened: 0,
-            reused: 0,
+            idle_limit: IdleLimit::new(idle_limit_for(worker_idle_timeout)),
+            max_connections,
+            opened_total: 0,
+            reused_total: 0,
         }
     }
 
-    /// What operators are shown of the connections, by name.
+    /// Connection metrics by name.
     pub fn metrics(&self) -> [(&'static str, u64); 3] {
-        let open = self.links.len() as u64;
+        let open = self.connections.len() as u64;
         [
             ("fleet.connections.open", open),
-            ("fleet.connections.opened", self.opened),
-            ("fleet.connections.reused", self.reused),
+            ("fleet.connections.opened", self.opened_total),
+            ("fleet.connections.reused", self.reused_total),
         ]
     }
 
-    /// So many connections may be open from now on; of those at rest, all that are too many are closed.
-    pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, most: usize) {
-        self.most = most;
-        let idle: Vec<usize> = self.hops.values().flat_map(|hop| hop.idle.iter().copied()).collect();
-        for token in idle.into_iter().take(self.links.len().saturating_sub(most)) {
-            self.drop_link(ctx, token);
+    /// Sets the limit on open connections and closes idle connections above it.
+    pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, max_connections: usize) {
+        self.max_connections = max_connections;
+        let idle: Vec<usize> = self.workers.values().flat_map(|worker| worker.idle.iter().copied()).collect();
+        for token in idle.into_iter().take(self.connections.len().saturating_sub(max_connections)) {
+            self.drop_connection(ctx, token);
         }
     }
 
-    /// The connection is one of these.
+    /// Returns whether the token belongs to one of these connections.
     pub fn owns_token(&self, token: usize) -> bool {
-        self.links.contains_key(&token)
+        self.connections.contains_key(&token)
     }
 
-    /// This next hop is one of these.
-    pub fn has_worker(&self, hop: WorkerId) -> bool {
-        self.hops.contains_key(&hop)
+    /// Returns whether the worker is reached through these connections.
+    pub fn has_worker(&self, worker: WorkerId) -> bool {
+        self.workers.contains_key(&worker)
     }
 
-    /// Learns where a next hop listens. One that has moved or started anew has no connections left.
-    pub fn update_worker(&mut self, ctx: &mut Ctx<'_>, id: WorkerId, dial: SocketAddr, born: u64) {
-        let changed = self.hops.get(&id).is_some_and(|hop| hop.dial != dial || hop.born != born);
+    /// Adds a worker or updates its address and start time. A worker that moved or restarted loses its idle
+    /// connections.
+    pub fn update_worker(&mut self, ctx: &mut Ctx<'_>, id: WorkerId, address: SocketAddr, started_ms: u64) {
+        let changed = self
+            .workers
+            .get(&id)
+            .is_some_and(|worker| worker.address != address || worker.started_ms != started_ms);
         if changed {
             self.close_idle(ctx, id);
         }
-        let hop = self.hops.entry(id).or_insert(Hop { dial, born, idle: Vec::new() });
-        (hop.dial, hop.born) = (dial, born);
+        let worker = self.workers.entry(id).or_insert(Worker { address, started_ms, idle: Vec::new() });
+        (worker.address, worker.started_ms) = (address, started_ms);
     }
 
-    /// Forgets a next hop that is gone. What is out on its connections ends as these show.
+    /// Removes a worker and its idle connections. Attempts on its busy connections end with those
+    /// connections.
     pub fn remove_worker(&mut self, ctx: &mut Ctx<'_>, id: WorkerId) {
         self.close_idle(ctx, id);
-        self.hops.remove(&id);
+        self.workers.remove(&id);
     }
 
-    /// Other settings are in force. Connections that rest are looked at when they are wanted.
-    pub fn update_settings(&mut self, connect_timeout: Micros, idle: Micros) {
+    /// Applies new timeouts. Idle connections are checked against them when they are next used.
+    pub fn update_settings(&mut self, connect_timeout: Micros, worker_idle_timeout: Micros) {
         self.connect_timeout = connect_timeout;
-        self.rest.take_up(rest_of(idle));
+        self.idle_limit.set_max(idle_limit_for(worker_idle_timeout));
     }
 
-    /// Closes the idle connections to a next hop.
+    /// Closes the idle connections to a worker.
     pub fn close_idle(&mut self, ctx: &mut Ctx<'_>, id: WorkerId) {
-        let idle = self.hops.get_mut(&id).map(|hop| std::mem::take(&mut hop.idle)).unwrap_or_default();
+        let idle =
+            self.workers.get_mut(&id).map(|worker| std::mem::take(&mut worker.idle)).unwrap_or_default();
         for token in idle {
-            self.drop_link(ctx, token);
+            self.drop_connection(ctx, token);
         }
     }
 
-    /// Sends an attempt.
+    /// Sends an attempt. A failure is reported to the request table.
     pub fn send_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
+        idle_clients: &mut dyn Spare,
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         payload: &Payload,
         wait: Micros,
     ) {
         let timeout = format!("{:.3}", wait as f64 / 1e6);
-        let kept = |name: &str| !DROPPED.iter().any(|dropped| name.eq_ignore_ascii_case(dropped));
-        let mut headers: Vec<(&str, &str)> = payload.headers.iter().filter(|(name, _)| kept(name)).collect();
+        let is_forwarded =
+            |name: &str| !NOT_FORWARDED.iter().any(|dropped| name.eq_ignore_ascii_case(dropped));
+        let mut headers: Vec<(&str, &str)> =
+            payload.headers.iter().filter(|(name, _)| is_forwarded(name)).collect();
         headers.push(("Request-Timeout", &timeout));
         let bytes = framing::write_request("POST", &payload.target, &headers, &payload.body);
-        if !self.put(ctx, spare, hop, Task::Attempt(attempt), &bytes) {
+        if !self.send_request(ctx, idle_clients, worker, Task::Attempt(attempt), &bytes) {
             ctx.desk.broke(ctx.now, attempt);
         }
     }
 
-    /// Tells a next hop that an attempt is given up: before it took the job by closing the connection, after
-    /// that in words.
-    pub fn give_up(
+    /// Cancels an attempt: by closing its connection if the worker has not accepted the job yet, otherwise by
+    /// a DELETE request.
+    pub fn cancel_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
+        idle_clients: &mut dyn Spare,
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         name: &str,
     ) {
-        match self.out.get(&attempt).copied() {
+        match self.pending_attempts.get(&attempt).copied() {
             Some(token) => {
-                self.drop_link(ctx, token);
+                self.drop_connection(ctx, token);
                 ctx.deadlines.set(
                     Due::CalledOff(attempt.request, attempt.number),
                     ctx.now + journey::arrives(self.connect_timeout),
@@ -254,312 +270,333 @@
                     &[("Host", "origin.svc")],
                     b"",
                 );
-                self.put(ctx, spare, hop, Task::GiveUp(attempt), &bytes);
+                self.send_request(ctx, idle_clients, worker, Task::Cancel(attempt), &bytes);
             }
         }
     }
 
-    /// Lets go of the connection of an attempt that is over: news ended it, but the answer that was due on the
-    /// connection itself has not come in all its time, and nothing else would ever end the wait for it.
+    /// Closes the connection of an attempt that has already ended. A callback ended the attempt, but the
+    /// answer on its own connection did not arrive within the attempt's deadline, and nothing else would end
+    /// the wait for it.
     pub fn release_attempt(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
-        if let Some(token) = self.out.get(&attempt).copied() {
-            self.drop_link(ctx, token);
+        if let Some(token) = self.pending_attempts.get(&attempt).copied() {
+            self.drop_connection(ctx, token);
         }
     }
 
-    /// Asks a next hop for its load.
-    pub fn probe(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, hop: WorkerId) {
+    /// Requests the load report of a worker.
+    pub fn probe(&mut self, ctx: &mut Ctx<'_>, idle_clients: &mut dyn Spare, worker: WorkerId) {
         let bytes = framing::write_request("GET", "/metrics/load", &[("Host", "origin.svc")], b"");
-        if !self.put(ctx, spare, hop, Task::Probe(ctx.now), &bytes) {
-            ctx.desk.probed(hop, Ending::Unreachable, 0, None);
+        if !self.send_request(ctx, idle_clients, worker, Task::Probe(ctx.now), &bytes) {
+            ctx.desk.probed(worker, Ending::Unreachable, 0, None);
         }
     }
 
-    /// Writes a request on an idle connection, or on a new one; tells whether there is one.
-    fn put(
+    /// Writes a request on an idle connection or on a new one. Returns false if no connection is available.
+    fn send_request(
         &mut self,
         ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
-        hop: WorkerId,
+        idle_clients: &mut dyn Spare,
+        worker: WorkerId,
         task: Task,
         bytes: &[u8],
     ) -> bool {
-        let token = match self.take_idle(ctx, hop) {
+        let token = match self.take_idle(ctx, worker) {
             Some(token) => {
-                self.reused += 1;
+                self.reused_total += 1;
                 token
             }
-            None => match self.open(ctx, spare, hop) {
+            None => match self.open_connection(ctx, idle_clients, worker) {
                 Some(token) => token,
                 None => return false,
             },
         };
-        let Some(link) = self.links.get_mut(&token) else { return false };
-        link.buffer.put(bytes);
-        if link.up && !matches!(task, Task::Attempt(_)) {
-            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + SIDE_CALL);
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        connection.buffer.put(bytes);
+        if connection.is_connected && !matches!(task, Task::Attempt(_)) {
+            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + AUXILIARY_REQUEST_TIMEOUT);
         }
         if let Task::Attempt(attempt) = task {
-            self.out.insert(attempt, token);
+            self.pending_attempts.insert(attempt, token);
         }
-        link.task = task;
-        if link.up {
+        connection.task = task;
+        if connection.is_connected {
             self.flush(ctx, token);
         }
         true
     }
 
-    fn take_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) -> Option<usize> {
-        while let Some(token) = self.hops.get_mut(&hop)?.idle.pop() {
+    fn take_idle(&mut self, ctx: &mut Ctx<'_>, worker: WorkerId) -> Option<usize> {
+        while let Some(token) = self.workers.get_mut(&worker)?.idle.pop() {
             ctx.deadlines.clear(Due::Conn(token, Alarm::Rested));
-            let Some(link) = self.links.get_mut(&token) else { continue };
-            link.rest = link.rested.map(|since| ctx.now.saturating_sub(since));
-            if link.rest.is_some_and(|rest| rest > self.rest.bound(ctx.now)) {
-                self.drop_link(ctx, token);
+            let Some(connection) = self.connections.get_mut(&token) else { continue };
+            connection.idle_before_request = connection.idle_since.map(|since| ctx.now.saturating_sub(since));
+            if connection.idle_before_request.is_some_and(|idle| idle > self.idle_limit.current(ctx.now)) {
+                self.drop_connection(ctx, token);
                 continue;
             }
-            // An end that came in since the poll: a request written now would count as one that may have run.
-            let silent = matches!(link.stream.read(&mut [0]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
-            if silent {
+            // Detects a close that arrived after the poll: a request written now would count as one that may
+            // have run.
+            let still_open = matches!(connection.stream.read(&mut [0]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
+            if still_open {
                 return Some(token);
             }
-            self.drop_link(ctx, token);
+            self.drop_connection(ctx, token);
         }
         None
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, hop: WorkerId) -> Option<usize> {
-        if self.links.len() >= self.most {
-            let idle = self.hops.values().find_map(|hop| hop.idle.first().copied());
+    fn open_connection(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        idle_clients: &mut dyn Spare,
+        worker: WorkerId,
+    ) -> Option<usize> {
+        if self.connections.len() >= self.max_connections {
+            let idle = self.workers.values().find_map(|worker| worker.idle.first().copied());
             let Some(token) = idle else {
-                note!("no connection is left for another attempt: {} are open", self.links.len());
+                note!(
+                    "no connection available for another attempt: {} connections are open",
+                    self.connections.len()
+                );
                 return None;
             };
-            self.drop_link(ctx, token);
+            self.drop_connection(ctx, token);
         }
-        let dial = self.hops.get(&hop)?.dial;
-        let mut made = TcpStream::connect(dial);
-        // Out of descriptors, say: work in hand comes before clients at rest. Nothing has been sent yet.
-        if made.is_err() && spare.shed(ctx) {
-            made = TcpStream::connect(dial);
+        let address = self.workers.get(&worker)?.address;
+        let mut connect_result = TcpStream::connect(address);
+        // The connect fails when the process is out of descriptors, for example. Sending jobs takes
+        // precedence over idle client connections, and nothing has been sent yet.
+        if connect_result.is_err() && idle_clients.shed(ctx) {
+            connect_result = TcpStream::connect(address);
         }
-        let mut stream = match made {
+        let mut stream = match connect_result {
             Ok(stream) => stream,
             Err(error) => {
-                note!("connecting to {dial}: {error}");
+                note!("failed to connect to worker at {address}: {error}");
                 return None;
             }
         };
         let token = ctx.next_token();
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            note!("watching a connection to {dial}: {error}");
+            note!("failed to register the connection to {address}: {error}");
             return None;
         }
         ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.connect_timeout);
-        let link = Link {
+        let connection = Connection {
             stream,
             buffer: Buffer::default(),
-            hop,
-            opened: ctx.now,
-            up: false,
+            worker,
+            opened_at: ctx.now,
+            is_connected: false,
             task: Task::Idle,
-            rested: None,
-            rest: None,
+            idle_since: None,
+            idle_before_request: None,
         };
-        self.links.insert(token, link);
-        self.opened += 1;
+        self.connections.insert(token, connection);
+        self.opened_total += 1;
         Some(token)
     }
 
-    /// Something can be read or written on one of these connections.
+    /// Handles a readable or writable connection.
     pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        if !link.up {
-            let failed = !matches!(link.stream.take_error(), Ok(None));
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if !connection.is_connected {
+            let failed = !matches!(connection.stream.take_error(), Ok(None));
             if failed {
-                return self.fail(ctx, token);
+                return self.handle_failure(ctx, token);
             }
-            if link.stream.peer_addr().is_err() {
+            if connection.stream.peer_addr().is_err() {
                 return;
             }
-            if ctx.now >= link.opened + self.connect_timeout {
-                return self.fail(ctx, token);
+            if ctx.now >= connection.opened_at + self.connect_timeout {
+                return self.handle_failure(ctx, token);
             }
-            link.up = true;
-            let _ = link.stream.set_nodelay(true);
-            if let Task::Attempt(_) = link.task {
+            connection.is_connected = true;
+            let _ = connection.stream.set_nodelay(true);
+            if let Task::Attempt(_) = connection.task {
                 ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
-                return self.risen.push(token);
+                return self.connected_attempts.push(token);
             }
-            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + SIDE_CALL);
+            ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + AUXILIARY_REQUEST_TIMEOUT);
         }
-        self.go_on(ctx, token);
+        self.flush_and_read(ctx, token);
     }
 
-    fn go_on(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn flush_and_read(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         if self.flush(ctx, token) {
             self.read(ctx, token);
         }
     }
 
-    /// Begins the attempts whose connections have come up. The module has heard all that came with them: what it no longer
-    /// wants is gone by now, or is asked for here.
+    /// Sends the attempts whose connections were established in this iteration. The dispatcher has processed
+    /// all events of the iteration, so attempts that it no longer wants are already cancelled, or are
+    /// rejected here.
     pub fn start_connected_attempts(&mut self, ctx: &mut Ctx<'_>) {
-        for token in std::mem::take(&mut self.risen) {
-            let Some(&Link { task: Task::Attempt(attempt), .. }) = self.links.get(&token) else { continue };
+        for token in std::mem::take(&mut self.connected_attempts) {
+            let Some(&Connection { task: Task::Attempt(attempt), .. }) = self.connections.get(&token) else {
+                continue;
+            };
             match ctx.desk.begins(ctx.now, attempt) {
-                Ok(()) => self.go_on(ctx, token),
+                Ok(()) => self.flush_and_read(ctx, token),
                 Err(ending) => {
-                    self.drop_link(ctx, token);
+                    self.drop_connection(ctx, token);
                     ctx.desk.unbegun(ctx.now, attempt, ending);
                 }
             }
         }
     }
 
-    /// Writes what waits; tells whether the connection lives and has nothing more to write.
+    /// Writes pending output. Returns true if the connection is alive and all output is written.
     fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
-        // A next hop says at once that it takes a job. One that has not after this time has fallen silent, or the way to
-        // it has: the connection would show nothing of that.
-        let silence = journey::silence(self.connect_timeout);
-        let Some(link) = self.links.get_mut(&token) else { return false };
-        if !link.buffer.has_output() {
+        // A healthy worker accepts a job at once. A worker that has not accepted it after this time is
+        // unresponsive or cut off from the network, which the connection itself does not show.
+        let acceptance_timeout = journey::silence(self.connect_timeout);
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        if !connection.buffer.has_output() {
             return true;
         }
-        match link.buffer.flush(&mut link.stream) {
+        match connection.buffer.flush(&mut connection.stream) {
             Ok(true) => {
-                if let Task::Attempt(attempt) = link.task {
+                if let Task::Attempt(attempt) = connection.task {
                     ctx.desk.written(ctx.now, attempt);
-                    ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + silence);
+                    ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + acceptance_timeout);
                 }
                 true
             }
             Ok(false) => false,
             Err(_) => {
-                self.fail(ctx, token);
+                self.handle_failure(ctx, token);
                 false
             }
         }
     }
 
     fn read(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        let filled = link.buffer.fill(&mut link.stream, framing::MESSAGE_LIMIT);
-        if link.task == Task::Idle {
-            // A next hop has nothing to say unasked; it ends the connection, or is out of step.
-            if filled != Filled::Dry || !link.buffer.input().is_empty() {
-                self.drop_link(ctx, token);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let filled = connection.buffer.fill(&mut connection.stream, framing::MESSAGE_LIMIT);
+        if connection.task == Task::Idle {
+            // A worker sends nothing unrequested: input here is the end of the connection or a protocol
+            // error.
+            if filled != Filled::Dry || !connection.buffer.input().is_empty() {
+                self.drop_connection(ctx, token);
             }
             return;
         }
-        match framing::parse_response(link.buffer.input()) {
+        match framing::parse_response(connection.buffer.input()) {
             Ok(Some((response, length))) => {
-                link.buffer.consume(length);
-                let task = std::mem::replace(&mut link.task, Task::Idle);
-                let (hop, clean) = (link.hop, link.buffer.input().is_empty());
+                connection.buffer.consume(length);
+                let task = std::mem::replace(&mut connection.task, Task::Idle);
+                let (worker, input_consumed) = (connection.worker, connection.buffer.input().is_empty());
                 ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
-                if let Some(rest) = link.rest.take() {
-                    self.rest.held(rest);
+                if let Some(idle) = connection.idle_before_request.take() {
+                    self.idle_limit.record_success(idle);
                 }
-                link.rested = Some(ctx.now);
+                connection.idle_since = Some(ctx.now);
                 match task {
                     Task::Attempt(attempt) => {
-                        self.out.remove(&attempt);
-                        answered(ctx, attempt, &response);
+                        self.pending_attempts.remove(&attempt);
+                        report_answer(ctx, attempt, &response);
                     }
                     Task::Probe(sent) => {
                         let report = serde_json::from_slice(&response.body).ok();
                         let report = report.and_then(|value| parse_load_report(ctx.names, &value));
                         let ending = if response.status == 200 { Ending::Ok } else { Ending::Error };
-                        ctx.desk.probed(hop, ending, ctx.now.saturating_sub(sent), report);
+                        ctx.desk.probed(worker, ending, ctx.now.saturating_sub(sent), report);
                     }
-                    // Whatever it answers: it has heard, or knows nothing of the job.
-                    Task::GiveUp(attempt) => ctx.desk.called_off(ctx.now, attempt),
+                    // Any status will do: the worker has received the cancellation or does not know the job.
+                    Task::Cancel(attempt) => ctx.desk.called_off(ctx.now, attempt),
                     Task::Idle => {}
                 }
-                let known = self.hops.get_mut(&hop).filter(|hop| {
-                    self.links
-                        .get(&token)
-                        .is_some_and(|link| link.stream.peer_addr().is_ok_and(|at| at == hop.dial))
+                let reusable = self.workers.get_mut(&worker).filter(|worker| {
+                    self.connections.get(&token).is_some_and(|connection| {
+                        connection.stream.peer_addr().is_ok_and(|at| at == worker.address)
+                    })
                 });
-                match known {
-                    Some(hop) if response.keep_alive && clean && filled == Filled::Dry => {
-                        hop.idle.push(token);
+                match reusable {
+                    Some(worker) if response.keep_alive && input_consumed && filled == Filled::Dry => {
+                        worker.idle.push(token);
                         ctx.deadlines
-                            .set(Due::Conn(token, Alarm::Rested), ctx.now + self.rest.bound(ctx.now));
+                            .set(Due::Conn(token, Alarm::Rested), ctx.now + self.idle_limit.current(ctx.now));
                     }
-                    _ => self.drop_link(ctx, token),
+                    _ => self.drop_connection(ctx, token),
                 }
             }
             Ok(None) if filled == Filled::Dry => {}
-            Ok(None) => self.fail(ctx, token),
+            Ok(None) => self.handle_failure(ctx, token),
             Err(_) => {
-                note!("a next hop's answer is malformed");
-                self.fail(ctx, token);
+                note!("malformed response from a worker");
+                self.handle_failure(ctx, token);
             }
         }
     }
 
-    /// The connection has broken, or never came up.
-    fn fail(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        let (hop, up) = (link.hop, link.up);
-        let task = std::mem::replace(&mut link.task, Task::Idle);
-        if let Some(rest) = link.rest {
-            self.rest.broke(ctx.now, rest);
+    /// Handles a connection that broke or could not be established.
+    fn handle_failure(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let (worker, was_connected) = (connection.worker, connection.is_connected);
+        let task = std::mem::replace(&mut connection.task, Task::Idle);
+        if let Some(idle) = connection.idle_before_request {
+            self.idle_limit.record_break(ctx.now, idle);
         }
         match task {
             Task::Attempt(attempt) => {
-                self.out.remove(&attempt);
+                self.pending_attempts.remove(&attempt);
                 ctx.desk.broke(ctx.now, attempt);
             }
             Task::Probe(sent) => {
-                let ending = if up { Ending::Broken } else { Ending::Unreachable };
-                ctx.desk.probed(hop, ending, ctx.now.saturating_sub(sent), None);
+                let ending = if was_connected { Ending::Broken } else { Ending::Unreachable };
+                ctx.desk.probed(worker, ending, ctx.now.saturating_sub(sent), None);
             }
-            Task::GiveUp(_) | Task::Idle => {}
+            Task::Cancel(_) | Task::Idle => {}
         }
-        self.drop_link(ctx, token);
+        self.drop_connection(ctx, token);
     }
 
-    fn drop_link(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        let Some(mut link) = self.links.remove(&token) else { return };
-        let _ = ctx.registry.deregister(&mut link.stream);
+    fn drop_connection(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let _ = ctx.registry.deregister(&mut connection.stream);
         ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
         ctx.deadlines.clear(Due::Conn(token, Alarm::Rested));
-        if let Task::Attempt(attempt) = link.task {
-            self.out.remove(&attempt);
+        if let Task::Attempt(attempt) = connection.task {
+            self.pending_attempts.remove(&attempt);
         }
-        if let Some(hop) = self.hops.get_mut(&link.hop) {
-            hop.idle.retain(|&idle| idle != token);
+        if let Some(worker) = self.workers.get_mut(&connection.worker) {
+            worker.idle.retain(|&idle| idle != token);
         }
     }
 
-    /// The connect, a side call or the answer to an attempt has taken too long.
-    fn late(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        match self.links.get(&token) {
-            // It may be with the next hop, and news of it may yet come: what to do is the module's to say.
-            Some(Link { up: true, task: Task::Attempt(attempt), .. }) => ctx.desk.silent(*attempt),
-            _ => self.fail(ctx, token),
+    /// Handles the timeout of a connect, of a probe or cancellation, or of the answer to an attempt.
+    fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+        match self.connections.get(&token) {
+            // The worker may have the job and may still send callbacks for it: the dispatcher decides.
+            Some(Connection { is_connected: true, task: Task::Attempt(attempt), .. }) => {
+                ctx.desk.silent(*attempt)
+            }
+            _ => self.handle_failure(ctx, token),
         }
     }
 
-    /// A time that was set for a connection has come.
+    /// Handles a deadline of a connection.
     pub fn handle_deadline(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
-        if alarm == Alarm::Rested { self.rested(ctx, token) } else { self.late(ctx, token) }
+        if alarm == Alarm::Rested {
+            self.handle_idle_timeout(ctx, token)
+        } else {
+            self.handle_timeout(ctx, token)
+        }
     }
 
-    /// An idle connection has rested long enough.
-    fn rested(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        if self.links.get(&token).is_some_and(|link| link.task == Task::Idle) {
-            self.drop_link(ctx, token);
+    /// Closes a connection that has been idle for the idle limit.
+    fn handle_idle_timeout(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+        if self.connections.get(&token).is_some_and(|connection| connection.task == Task::Idle) {
+            self.drop_connection(ctx, token);
         }
     }
 }
 
-/// Headers that speak of one connection only, or are written anew.
-const DROPPED: [&str; 8] = [
+/// Request headers that apply to a single connection only, or that are written anew.
+const NOT_FORWARDED: [&str; 8] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -570,8 +607,8 @@
     "request-timeout",
 ];
 
-/// What the answer on its own connection says of an attempt.
-fn answered(ctx: &mut Ctx<'_>, attempt: AttemptId, response: &framing::Response) {
+/// Reports the worker's answer on the attempt's own connection to the request table.
+fn report_answer(ctx: &mut Ctx<'_>, attempt: AttemptId, response: &framing::Response) {
     let load = response.headers.get("server-load").and_then(|text| serde_json::from_str(text).ok());
     let report = load.and_then(|value| parse_load_report(ctx.names, &value));
     let unstarted = response.headers.get("not-started") == Some("1");
@@ -580,9 +617,10 @@
         503 | 504 if unstarted => ctx.desk.answered(ctx.now, attempt, Ending::Full, report),
         status => {
             if status != 500 {
-                note!("a next hop answered {status}");
+                note!("a worker answered with status {status}");
             }
-            // What a client did wrong must not be held against the next hop, nor tried on all the others.
+            // An error in the client's request must not count against the worker, nor be tried at all other
+            // workers.
             let ending = if (400..500).contains(&status) { Ending::Unusable } else { Ending::Error };
             ctx.desk.answered(ctx.now, attempt, ending, report);
         }
--- a/src/net/http/upstream/tests.rs
+++ b/src/net/http/upstream/tests.rs
@@ -1,25 +1,25 @@
-//! How long connections to workers rest.
+//! Tests of the idle limit of connections to workers.
 
 use super::*;
 
 #[test]
-fn connections_rest_shorter_once_resting_is_what_breaks_them_and_longer_after_a_calm_time() {
+fn idle_limit_is_lowered_when_idle_connections_break_and_raised_after_a_time_without_breaks() {
     const SECOND: Micros = 1_000 * MILLI;
-    let mut rest = Rest::new(4 * SECOND);
-    // Now and then one breaks: that is not for resting.
+    let mut limit = IdleLimit::new(4 * SECOND);
+    // One break in twenty requests does not lower the limit.
     for nr in 0..400 {
-        if nr % 20 == 0 { rest.broke(SECOND, SECOND) } else { rest.held(SECOND) }
+        if nr % 20 == 0 { limit.record_break(SECOND, SECOND) } else { limit.record_success(SECOND) }
     }
-    // Nor is what breaks though it hardly rested.
-    (0..100).for_each(|_| rest.broke(SECOND, BRIEF - 1));
-    assert_eq!(rest.bound(SECOND), 4 * SECOND);
-    // Half of those that rested break.
+    // Nor do breaks of connections that were idle for less than the smallest limit.
+    (0..100).for_each(|_| limit.record_break(SECOND, MIN_IDLE_LIMIT - 1));
+    assert_eq!(limit.current(SECOND), 4 * SECOND);
+    // Half of the idle connections break.
     for _ in 0..6 {
-        rest.broke(SECOND, SECOND);
-        rest.held(SECOND);
+        limit.record_break(SECOND, SECOND);
+        limit.record_success(SECOND);
     }
-    assert_eq!(rest.bound(SECOND), SECOND / 2);
-    (0..100).for_each(|_| rest.broke(SECOND, BRIEF));
-    assert_eq!(rest.bound(SECOND), BRIEF);
-    assert_eq!(rest.bound(2 * SECOND + CALM), 2 * BRIEF);
+    assert_eq!(limit.current(SECOND), SECOND / 2);
+    (0..100).for_each(|_| limit.record_break(SECOND, MIN_IDLE_LIMIT));
+    assert_eq!(limit.current(SECOND), MIN_IDLE_LIMIT);
+    assert_eq!(limit.current(2 * SECOND + RECOVERY_INTERVAL), 2 * MIN_IDLE_LIMIT);
 }
