--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -1,5 +1,4 @@
-//! Client connections: the connections that clients open, and those on which next hops bring their call-backs. One
-//! listener serves both.
+//! Connections that clients open, and connections on which workers send callbacks. One listener accepts both.
 
 use crate::log::note;
 use crate::net::Ctx;
@@ -21,169 +20,183 @@
 use std::rc::Rc;
 
 const SECOND: Micros = 1_000_000;
-/// Who connects owes a whole first request within this time: a slow or silent client costs a descriptor.
-const FIRST: Micros = 5 * SECOND / 2;
-/// The same once clients were told to go elsewhere: one that comes late and says nothing is let go soon.
-const FIRST_PARTING: Micros = SECOND;
-/// A connection that stays in the middle of a later request, or does not take its answer, is closed after this time.
-const STALLED: Micros = 5 * SECOND;
-/// A connection at rest is closed after this time.
-const IDLE: Micros = 120 * SECOND;
-/// How long a connection that was told of an error may go on sending before it is cut: with 60 MB on the way a cut
-/// would take the answer along.
-const LINGER: Micros = 3 * SECOND;
-/// A connection whose last answer is written is waited for this long before the program exits: an exit over bytes that its client
-/// goes on sending resets the connection, and what of the answer is still under way goes with it.
-const TAKEN: Micros = SECOND / 2;
-/// Accepting is tried again after this time when no descriptor could be had.
-const ACCEPT_AGAIN: Micros = SECOND / 50;
-/// Connections taken in one turn at most; the rest come in the next.
-const ACCEPTS: usize = 256;
-/// The longest time that a client's patience is taken to have.
-const PATIENCE: f64 = 3600.0;
+/// Time within which a new connection must send a complete first request, in microseconds. A slow or silent
+/// client occupies a descriptor.
+const FIRST_REQUEST_TIMEOUT: Micros = 5 * SECOND / 2;
+/// The same limit while clients are being drained, in microseconds: a connection opened late that sends
+/// nothing is closed soon.
+const FIRST_REQUEST_TIMEOUT_DRAINING: Micros = SECOND;
+/// A connection that stops in the middle of a later request, or does not read its response, is closed after
+/// this time, in microseconds.
+const STALL_TIMEOUT: Micros = 5 * SECOND;
+/// A connection without a request is closed after this time, in microseconds.
+const IDLE_TIMEOUT: Micros = 120 * SECOND;
+/// Time for which a connection may go on sending after its last response before it is closed, in
+/// microseconds. With 60 MB in flight, an immediate close would reset the connection and lose the response.
+const LINGER_TIMEOUT: Micros = 3 * SECOND;
+/// Time for which the process waits after it has written the last response of a connection before it exits,
+/// in microseconds. Exiting while the client is still sending resets the connection and loses the part of the
+/// response that is in flight.
+const DELIVERY_TIME: Micros = SECOND / 2;
+/// Interval after which accepting is tried again when no descriptor was available, in microseconds.
+const ACCEPT_RETRY_INTERVAL: Micros = SECOND / 50;
+/// Maximum number of connections accepted in one iteration of the event loop; the rest is accepted in the
+/// next one.
+const MAX_ACCEPTS: usize = 256;
+/// Upper bound of the `Request-Timeout` of a client, in seconds.
+const MAX_CLIENT_TIMEOUT_S: f64 = 3600.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
+/// State of a client connection.
 enum State {
-    /// Waits for a request, or for the rest of one.
+    /// Waits for a request or for the rest of one.
     Reading,
-    /// A request of this connection is with the desk.
-    Waiting,
-    /// The last answer is written; whatever still comes is thrown away.
-    Ending,
+    /// A request of this connection is in the request table.
+    InProgress,
+    /// The last response is written; further input is discarded.
+    Closing,
 }
 
 struct Connection {
     stream: TcpStream,
     buffer: Buffer,
     state: State,
-    /// The request in work, or the one before, was the last.
-    last: bool,
-    /// It carries call-backs.
-    back: bool,
-    /// No whole request has come on it yet.
-    fresh: bool,
-    since: Micros,
-    /// When the request that is coming in began.
-    begun: Option<Micros>,
+    /// The current request, or the previous one, is the last on this connection.
+    close_after_response: bool,
+    /// A worker sends callbacks on this connection.
+    carries_callbacks: bool,
+    /// No complete request has arrived yet.
+    awaits_first_request: bool,
+    last_activity: Micros,
+    /// When the first byte of the incomplete request arrived, in microseconds.
+    request_started: Option<Micros>,
 }
 
-/// See the head of this file.
+/// Connections that were accepted by the HTTP listener, by token.
 pub struct ClientConnections {
     listener: TcpListener,
-    /// The number of the listener.
-    token: usize,
+    /// Token of the listener.
+    listener_token: usize,
     connections: HashMap<usize, Connection>,
-    most: usize,
-    /// Answers tell clients to go elsewhere.
-    parting: bool,
-    /// New clients are welcome.
+    max_connections: usize,
+    /// Clients are being drained: every response closes its connection.
+    draining: bool,
+    /// `GET /up` reports that this process serves clients.
     pub accepts_clients: bool,
-    /// New connections are taken here: those that are not wait for another process on the same socket.
+    /// New connections are accepted here. Otherwise they are left to the other process that shares the
+    /// listening socket.
     listening: bool,
 }
 
 impl ClientConnections {
-    /// `token`: the number of the listener. How many connections there may be is told later (see [`ClientConnections::set_max_connections`]).
-    pub fn new(listener: TcpListener, token: usize) -> Self {
+    /// `listener_token`: token of the listener. The limit on connections is set later, by
+    /// [`ClientConnections::set_max_connections`].
+    pub fn new(listener: TcpListener, listener_token: usize) -> Self {
         let connections = HashMap::new();
         ClientConnections {
             listener,
-            token,
+            listener_token,
             connections,
-            most: 0,
-            parting: false,
+            max_connections: 0,
+            draining: false,
             accepts_clients: false,
             listening: false,
         }
     }
 
-    /// The connection is one of these.
+    /// Returns whether the token belongs to the listener or to one of these connections.
     pub fn owns_token(&self, token: usize) -> bool {
-        token == self.token || self.connections.contains_key(&token)
+        token == self.listener_token || self.connections.contains_key(&token)
     }
 
-    /// Begins to take connections.
+    /// Starts accepting connections.
     pub fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
         if !self.listening {
-            ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
+            ctx.registry.register(&mut self.listener, Token(self.listener_token), Interest::READABLE)?;
         }
         self.listening = true;
         Ok(())
     }
 
-    /// Leaves new connections to the other process on this socket: one that is taken and not served is lost.
+    /// Leaves new connections to the other process that shares the listening socket: a connection that is
+    /// accepted but not served is lost.
     pub fn stop_listening(&mut self, ctx: &mut Ctx<'_>) {
         self.listening = false;
         let _ = ctx.registry.deregister(&mut self.listener);
-        ctx.deadlines.clear(Due::Conn(self.token, Alarm::Accept));
+        ctx.deadlines.clear(Due::Conn(self.listener_token, Alarm::Accept));
     }
 
-    /// So many connections may be open from now on.
-    pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, most: usize) {
-        self.most = most;
-        while self.connections.len() > most && self.shed(ctx) {}
+    /// Sets the limit on open connections and closes connections above it where that loses no request.
+    pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, max_connections: usize) {
+        self.max_connections = max_connections;
+        while self.connections.len() > max_connections && self.shed(ctx) {}
     }
 
-    /// Takes new connections.
+    /// Accepts pending connections, at most [`MAX_ACCEPTS`] per call.
     fn accept(&mut self, ctx: &mut Ctx<'_>) {
         if !self.listening {
             return;
         }
-        for _ in 0..ACCEPTS {
-            if self.connections.len() >= self.most && !self.shed(ctx) {
-                // They wait in the listener's queue until a connection ends.
-                return ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + ACCEPT_AGAIN);
+        for _ in 0..MAX_ACCEPTS {
+            if self.connections.len() >= self.max_connections && !self.shed(ctx) {
+                // New connections wait in the listener's backlog until a connection ends.
+                return ctx
+                    .deadlines
+                    .set(Due::Conn(self.listener_token, Alarm::Accept), ctx.now + ACCEPT_RETRY_INTERVAL);
             }
             match self.listener.accept() {
-                Ok((stream, _)) => self.open(ctx, stream),
+                Ok((stream, _)) => self.add_connection(ctx, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
-                    // Out of descriptors or memory: a connection at rest makes room, else time may.
-                    note!("accepting: {error}");
+                    // No descriptor or memory is available: an idle connection is closed, and accepting is
+                    // tried again later.
+                    note!("failed to accept a connection: {error}");
                     self.shed(ctx);
-                    return ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + ACCEPT_AGAIN);
+                    return ctx
+                        .deadlines
+                        .set(Due::Conn(self.listener_token, Alarm::Accept), ctx.now + ACCEPT_RETRY_INTERVAL);
                 }
             }
         }
-        ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + 1);
+        ctx.deadlines.set(Due::Conn(self.listener_token, Alarm::Accept), ctx.now + 1);
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>, stream: TcpStream) {
+    fn add_connection(&mut self, ctx: &mut Ctx<'_>, stream: TcpStream) {
         let token = ctx.next_token();
-        self.open_as(ctx, stream, token);
+        self.register_connection(ctx, stream, token);
     }
 
-    fn open_as(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream, token: usize) {
+    fn register_connection(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream, token: usize) {
         let _ = stream.set_nodelay(true);
         if let Err(error) =
             ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE)
         {
-            return note!("watching a client connection: {error}");
+            return note!("failed to register a client connection: {error}");
         }
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.first());
+        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.first_request_timeout());
         let connection = Connection {
             stream,
             buffer: Buffer::default(),
             state: State::Reading,
-            last: false,
-            back: false,
-            fresh: true,
-            since: ctx.now,
-            begun: None,
+            close_after_response: false,
+            carries_callbacks: false,
+            awaits_first_request: true,
+            last_activity: ctx.now,
+            request_started: None,
         };
         self.connections.insert(token, connection);
     }
 
-    /// How long a new client may take over its first request.
-    fn first(&self) -> Micros {
-        if self.parting { FIRST_PARTING } else { FIRST }
+    /// Time that a new client has for its first request, in microseconds.
+    fn first_request_timeout(&self) -> Micros {
+        if self.draining { FIRST_REQUEST_TIMEOUT_DRAINING } else { FIRST_REQUEST_TIMEOUT }
     }
 
-    /// Something can be read or written on one of these connections.
+    /// Handles a readable or writable connection, or pending connections at the listener.
     pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        if token == self.token {
+        if token == self.listener_token {
             return self.accept(ctx);
         }
         let Some(connection) = self.connections.get_mut(&token) else { return };
@@ -193,13 +206,13 @@
         self.read(ctx, token);
     }
 
-    /// A time that was set for a connection, or for the listener, has come.
+    /// Handles a deadline of a connection or of the listener.
     pub fn handle_deadline(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
         match alarm {
             Alarm::Accept => self.accept(ctx),
             Alarm::More => self.handle_ready(ctx, token),
-            Alarm::Late | Alarm::Rested => self.late(ctx, token),
-            // The loop looks again whether all is done.
+            Alarm::Late | Alarm::Rested => self.handle_timeout(ctx, token),
+            // The event loop checks again whether all work is done.
             Alarm::Owed => {}
         }
     }
@@ -208,62 +221,65 @@
         loop {
             let Some(connection) = self.connections.get_mut(&token) else { return };
             let filled = connection.buffer.fill(&mut connection.stream, framing::MESSAGE_LIMIT);
-            if connection.state == State::Ending && !connection.buffer.has_output() {
+            if connection.state == State::Closing && !connection.buffer.has_output() {
                 connection.buffer.consume(usize::MAX / 2);
                 if filled == Filled::Brimful {
-                    // Who sends without end gets its share of a turn, not the whole of it.
+                    // A client that sends without end must not occupy the event loop: the rest is read in the
+                    // next iteration.
                     return ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now + 1);
                 }
             }
             while self.connections.get(&token).is_some_and(|connection| {
                 connection.state == State::Reading && !connection.buffer.has_output()
-            }) && self.step(ctx, token)
+            }) && self.process_request(ctx, token)
             {}
             if filled == Filled::Ended {
-                // Who closes has gone away, also in the middle of an answer.
+                // A client that closes its connection has gone, even in the middle of a response.
                 ctx.desk.leave(token);
                 return self.drop_connection(ctx, token);
             }
             let Some(connection) = self.connections.get_mut(&token) else { return };
             let full = connection.buffer.input().len() >= framing::MESSAGE_LIMIT;
-            if connection.state == State::Waiting && full {
-                // Who sends so much and waits may leave, and that shows only behind it: it is read and thrown away, a
-                // turn's share at a time, and the answer is the last on this connection.
-                connection.last = true;
+            if connection.state == State::InProgress && full {
+                // The end of a client that sends this much while it waits shows only behind that input. The
+                // input is read and discarded in parts, one per iteration, and the response is the last on
+                // this connection.
+                connection.close_after_response = true;
                 connection.buffer.consume(usize::MAX / 2);
                 return ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now + 1);
             }
-            // The buffer was full of requests, and room has come.
+            // Otherwise the buffer was full of requests and has room again.
             if filled == Filled::Dry || connection.buffer.has_output() || full {
                 return;
             }
         }
     }
 
-    /// Deals with the next request in the buffer; tells whether there was one.
-    fn step(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
-        let first = self.first();
+    /// Processes the next request in the buffer. Returns false if there is no complete one.
+    fn process_request(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
+        let first_request_timeout = self.first_request_timeout();
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         match framing::parse_request(connection.buffer.input()) {
             Ok(None) => {
-                // Counted from its first byte: who sends a byte now and then does not hold a connection for ever.
-                let ends = if connection.fresh {
-                    connection.since + first
+                // The limit counts from the first byte, so a client that sends single bytes cannot hold a
+                // connection forever.
+                let deadline = if connection.awaits_first_request {
+                    connection.last_activity + first_request_timeout
                 } else if connection.buffer.input().is_empty() {
-                    ctx.now + IDLE
+                    ctx.now + IDLE_TIMEOUT
                 } else {
-                    *connection.begun.get_or_insert(ctx.now) + STALLED
+                    *connection.request_started.get_or_insert(ctx.now) + STALL_TIMEOUT
                 };
-                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ends);
+                ctx.deadlines.set(Due::Conn(token, Alarm::Late), deadline);
                 false
             }
             Ok(Some((request, length))) => {
                 connection.buffer.consume(length);
-                connection.since = ctx.now;
-                connection.fresh = false;
-                connection.begun = None;
-                connection.last |= !request.keep_alive;
-                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + IDLE);
+                connection.last_activity = ctx.now;
+                connection.awaits_first_request = false;
+                connection.request_started = None;
+                connection.close_after_response |= !request.keep_alive;
+                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + IDLE_TIMEOUT);
                 match self.route(ctx, token, request) {
                     Ok(()) => {}
                     Err(Reject(status)) => self.reply(ctx, token, status, &[], b""),
@@ -271,8 +287,8 @@
                 true
             }
             Err(Reject(status)) => {
-                // Where this message ends and the next begins is not known.
-                connection.last = true;
+                // The end of this message, and thus the start of the next one, is unknown.
+                connection.close_after_response = true;
                 self.reply(ctx, token, status, &[], b"");
                 false
             }
@@ -280,28 +296,28 @@
     }
 
     fn route(&mut self, ctx: &mut Ctx<'_>, token: usize, request: Request) -> Result<(), Reject> {
-        let wanted = |method: &str| if request.method == method { Ok(()) } else { Err(Reject(405)) };
+        let require_method = |method: &str| if request.method == method { Ok(()) } else { Err(Reject(405)) };
         let path = request.path().to_owned();
         match path.as_str() {
             "/up" => {
-                wanted("GET")?;
+                require_method("GET")?;
                 let status = if self.accepts_clients { 200 } else { 503 };
                 self.reply(ctx, token, status, &[], b"");
             }
             "/_jobs/news" => {
-                wanted("POST")?;
+                require_method("POST")?;
                 handle_callback(ctx, &request.body)?;
                 if let Some(connection) = self.connections.get_mut(&token) {
-                    connection.back = true;
+                    connection.carries_callbacks = true;
                 }
                 self.reply(ctx, token, 200, &[], b"");
             }
             _ => {
-                let job = job_of(ctx, request)?;
+                let job = job_from_request(ctx, request)?;
                 match ctx.desk.arrive(ctx.now, token, job) {
                     Ok(_) => {
                         if let Some(connection) = self.connections.get_mut(&token) {
-                            connection.state = State::Waiting;
+                            connection.state = State::InProgress;
                         }
                         ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
                     }
@@ -313,15 +329,16 @@
         Ok(())
     }
 
-    /// The connection of a request in work, as another process has to have it: the stream, whether another request may follow,
-    /// and what has come in behind this one.
+    /// Returns the parts of a connection with a request in progress that another process needs: the stream,
+    /// whether another request may follow, and the unread input behind the current request.
     pub fn connection_for_transfer(&self, token: usize) -> Option<(&TcpStream, bool, &[u8])> {
         let connection = self.connections.get(&token)?;
-        (connection.state == State::Waiting)
-            .then(|| (&connection.stream, !connection.last, connection.buffer.input()))
+        (connection.state == State::InProgress)
+            .then(|| (&connection.stream, !connection.close_after_response, connection.buffer.input()))
     }
 
-    /// Another process may have this connection now: nothing is read or written here until it is known which of the two has it.
+    /// Stops reading and writing a connection that has been sent to another process, until it is known which
+    /// of the two processes keeps it.
     pub fn suspend_connection(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
         ctx.deadlines.clear(Due::Conn(token, Alarm::More));
@@ -330,19 +347,19 @@
         }
     }
 
-    /// Another process has the connection: it is let go of here, and not ended.
+    /// Drops a connection that another process has taken over, without shutting it down.
     pub fn release_connection(&mut self, token: usize) {
         self.connections.remove(&token);
     }
 
-    /// No other process has the connection: the request on it goes on here.
+    /// Continues the request of a suspended connection here because no other process has taken it over.
     pub fn resume_connection(&mut self, ctx: &mut Ctx<'_>, token: usize, transfer: Transfer) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let both = Interest::READABLE | Interest::WRITABLE;
-        if let Err(error) = ctx.registry.register(&mut connection.stream, Token(token), both) {
-            note!("watching a client connection again: {error}");
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        if let Err(error) = ctx.registry.register(&mut connection.stream, Token(token), interest) {
+            note!("failed to register a client connection again: {error}");
         }
-        match transferred(ctx, &transfer) {
+        match job_from_transfer(ctx, &transfer) {
             Ok(job) => ctx.desk.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines),
             Err(Reject(status)) => {
                 connection.state = State::Reading;
@@ -351,79 +368,85 @@
         }
     }
 
-    /// Takes on a connection with a request that another process has worked on.
+    /// Takes over a connection whose request another process has worked on.
     ///
     /// # Errors
-    /// The request is none that this process can take; its connection is not touched.
+    /// This process cannot take the request; the connection stays untouched.
     pub fn adopt_connection(
         &mut self,
         ctx: &mut Ctx<'_>,
         stream: TcpStream,
         transfer: Transfer,
     ) -> Result<(), Reject> {
-        let job = transferred(ctx, &transfer)?;
+        let job = job_from_transfer(ctx, &transfer)?;
         if ctx.desk.knows(&job.name) {
             return Err(Reject(409));
         }
         let token = ctx.next_token();
-        self.open_as(ctx, stream, token);
+        self.register_connection(ctx, stream, token);
         let connection = self.connections.get_mut(&token).ok_or(Reject(503))?;
-        connection.fresh = false;
-        connection.last = !transfer.keep_alive;
-        connection.state = State::Waiting;
+        connection.awaits_first_request = false;
+        connection.close_after_response = !transfer.keep_alive;
+        connection.state = State::InProgress;
         connection.buffer = Buffer::with_input(&transfer.unread);
         ctx.deadlines.clear(Due::Conn(token, Alarm::Late));
         ctx.desk.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines);
         Ok(())
     }
 
-    /// Gives the final answer to the request of a connection.
+    /// Writes the final response to the request of a connection.
     pub fn answer(&mut self, ctx: &mut Ctx<'_>, token: usize, answer: Answer) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.state = State::Reading;
         match answer {
             Answer::Served(result) => self.reply(ctx, token, 200, &[], &result),
-            Answer::Busy { come_back: Some(span) } => {
-                let seconds = format!("{:.3}", span as f64 / SECOND as f64);
+            Answer::Busy { come_back: Some(delay) } => {
+                let seconds = format!("{:.3}", delay as f64 / SECOND as f64);
                 self.reply(ctx, token, 503, &[("Retry-After", &seconds)], b"");
             }
             Answer::Busy { come_back: None } => self.reply(ctx, token, 503, &[], b""),
             Answer::Failed => self.reply(ctx, token, 500, &[], b""),
         }
-        // A client may have sent its next request already, and more of it than was read.
+        // The client may have pipelined its next request, and only part of it may have been read.
         self.read(ctx, token);
     }
 
     fn reply(&mut self, ctx: &mut Ctx<'_>, token: usize, status: u16, extra: &[(&str, &str)], body: &[u8]) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        connection.last |= self.parting && !connection.back;
-        connection.since = ctx.now;
-        connection.buffer.put(&framing::write_response(status, extra, body, !connection.last));
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + STALLED);
+        connection.close_after_response |= self.draining && !connection.carries_callbacks;
+        connection.last_activity = ctx.now;
+        connection.buffer.put(&framing::write_response(
+            status,
+            extra,
+            body,
+            !connection.close_after_response,
+        ));
+        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + STALL_TIMEOUT);
         self.flush(ctx, token);
     }
 
-    /// Writes what waits; tells whether the connection goes on.
+    /// Writes pending output. Returns false if the output is not complete or the connection has ended.
     fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
-        let parting = self.parting;
+        let draining = self.draining;
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let flushed = connection.buffer.flush(&mut connection.stream);
-        // An answer that was on its way when clients were told to go: its connection must not be kept after it.
-        let last = connection.last || (parting && !connection.back && connection.buffer.input().is_empty());
+        // A response that was already being written when the drain began must close its connection as well.
+        let close = connection.close_after_response
+            || (draining && !connection.carries_callbacks && connection.buffer.input().is_empty());
         match flushed {
             Ok(false) => false,
-            Ok(true) if last && connection.state == State::Reading => {
-                // Closing with input unread would reset the connection, and the answer with it.
+            Ok(true) if close && connection.state == State::Reading => {
+                // Closing with unread input would reset the connection and lose the response.
                 let _ = connection.stream.shutdown(Shutdown::Write);
-                connection.state = State::Ending;
+                connection.state = State::Closing;
                 connection.buffer.consume(usize::MAX / 2);
-                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER);
-                ctx.deadlines.set(Due::Conn(token, Alarm::Owed), ctx.now + TAKEN);
+                ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER_TIMEOUT);
+                ctx.deadlines.set(Due::Conn(token, Alarm::Owed), ctx.now + DELIVERY_TIME);
                 true
             }
             Ok(true) => {
                 if connection.state == State::Reading {
-                    ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + IDLE);
+                    ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + IDLE_TIMEOUT);
                 }
                 true
             }
@@ -435,39 +458,43 @@
         }
     }
 
-    /// A connection has rested or stalled for too long.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        // What came in since the poll counts: a request that lies unread has been taken, and a close would reset it.
-        let Some(&Connection { state, since, .. }) = self.connections.get(&token) else { return };
-        if state != State::Waiting {
+    /// Handles a connection that has been idle or stalled for too long.
+    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+        // Input that arrived since the poll counts: an unread request is accepted, and closing the connection
+        // would reset it.
+        let Some(&Connection { state, last_activity, .. }) = self.connections.get(&token) else { return };
+        if state != State::InProgress {
             self.read(ctx, token);
         }
         let Some(connection) =
-            self.connections.get_mut(&token).filter(|connection| connection.since == since)
+            self.connections.get_mut(&token).filter(|connection| connection.last_activity == last_activity)
         else {
             return;
         };
-        let begun = connection.begun.filter(|_| !connection.fresh);
+        let request_started = connection.request_started.filter(|_| !connection.awaits_first_request);
         match connection.state {
-            State::Waiting => {}
-            State::Reading if connection.at_rest() => self.part(ctx, token),
-            // Its first bytes have only just come.
-            State::Reading if begun.is_some_and(|begun| ctx.now < begun + STALLED) => {}
+            State::InProgress => {}
+            State::Reading if connection.is_idle() => self.shut_down(ctx, token),
+            // The first bytes of the request have only just arrived.
+            State::Reading
+                if request_started
+                    .is_some_and(|request_started| ctx.now < request_started + STALL_TIMEOUT) => {}
             State::Reading if !connection.buffer.has_output() => {
-                connection.last = true;
+                connection.close_after_response = true;
                 self.reply(ctx, token, 408, &[], b"");
             }
-            // It does not take its answer, or goes on sending after its end.
-            State::Reading | State::Ending => self.drop_connection(ctx, token),
+            // The client does not read its response, or goes on sending after the last response.
+            State::Reading | State::Closing => self.drop_connection(ctx, token),
         }
     }
 
-    /// Ends a connection at rest: its client hears of it, and what crosses the end is thrown away, not reset.
-    fn part(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    /// Shuts down the write side of an idle connection, so that the client sees its end. Input that arrives
+    /// meanwhile is discarded instead of causing a reset.
+    fn shut_down(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let _ = connection.stream.shutdown(Shutdown::Write);
-        connection.state = State::Ending;
-        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER);
+        connection.state = State::Closing;
+        ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + LINGER_TIMEOUT);
     }
 
     fn drop_connection(&mut self, ctx: &mut Ctx<'_>, token: usize) {
@@ -478,60 +505,67 @@
             .for_each(|alarm| ctx.deadlines.clear(Due::Conn(token, alarm)));
     }
 
-    /// Answers are no longer the last of their connections.
+    /// Ends the drain: responses keep their connections open again.
     pub fn end_drain(&mut self) {
-        self.parting = false;
+        self.draining = false;
     }
 
-    /// Closes the connections at rest, between two requests, and from now on every answer is the last of its connection;
-    /// call-backs keep theirs.
+    /// Starts the drain: shuts down connections that are idle between two requests, and from now on every
+    /// response closes its connection. Connections that carry callbacks stay open.
     pub fn begin_drain(&mut self, ctx: &mut Ctx<'_>) {
-        self.parting = true;
-        let resting: Vec<usize> = self
+        self.draining = true;
+        let idle: Vec<usize> = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.at_rest() && !connection.back)
+            .filter(|(_, connection)| connection.is_idle() && !connection.carries_callbacks)
             .map(|(&token, _)| token)
             .collect();
-        for token in resting {
-            // What came in since the poll is a request taken, not one that crosses the end.
+        for token in idle {
+            // Input that arrived since the poll is an accepted request, not one that crosses the shutdown.
             self.read(ctx, token);
-            if self.connections.get(&token).is_some_and(Connection::at_rest) {
-                self.part(ctx, token);
+            if self.connections.get(&token).is_some_and(Connection::is_idle) {
+                self.shut_down(ctx, token);
             }
         }
     }
 
-    /// No connection is in the middle of a request, and clients have had the time to take their last answers.
+    /// Returns whether no connection has a request in progress and clients have had [`DELIVERY_TIME`] to read
+    /// their last responses.
     pub fn is_idle(&self, now: Micros) -> bool {
-        self.connections.values().all(|connection| connection.over(now) || connection.at_rest())
+        self.connections.values().all(|connection| connection.is_delivered(now) || connection.is_idle())
     }
 }
 
 impl Spare for ClientConnections {
-    /// Closes the connection that has been at rest for longest, of clients first; if none is, the one that has been in
-    /// the middle of sending a request, which is not taken before its last byte.
+    /// Closes the connection that is needed least. The order is: last response delivered, idle client, idle
+    /// callback connection, last response possibly in flight, incomplete request, which is not accepted
+    /// before its last byte. Within each group the connection that has been inactive longest is closed.
     fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool {
         let now = ctx.now;
-        let order = |connection: &Connection| match connection.state {
-            State::Ending => Some((if connection.over(now) { 0 } else { 3 }, connection.since)),
-            State::Reading if connection.at_rest() => Some((1 + u8::from(connection.back), connection.since)),
+        let release_order = |connection: &Connection| match connection.state {
+            State::Closing => {
+                Some((if connection.is_delivered(now) { 0 } else { 3 }, connection.last_activity))
+            }
+            State::Reading if connection.is_idle() => {
+                Some((1 + u8::from(connection.carries_callbacks), connection.last_activity))
+            }
             State::Reading if !connection.buffer.has_output() => {
-                Some((4, connection.begun.unwrap_or(connection.since)))
+                Some((4, connection.request_started.unwrap_or(connection.last_activity)))
             }
             _ => None,
         };
         for _ in 0..=self.connections.len() {
-            let first = self
+            let next = self
                 .connections
                 .iter()
-                .filter_map(|(&token, connection)| Some((order(connection)?, token)))
+                .filter_map(|(&token, connection)| Some((release_order(connection)?, token)))
                 .min();
-            let Some((place, token)) = first else { break };
-            // A request that came in since the poll has been taken: its connection is none to let go of.
+            let Some((order, token)) = next else { break };
+            // A request that arrived since the poll is accepted: its connection must not be closed.
             self.read(ctx, token);
-            let still = self.connections.get(&token).map(|connection| order(connection) == Some(place));
-            if still != Some(false) {
+            let unchanged =
+                self.connections.get(&token).map(|connection| release_order(connection) == Some(order));
+            if unchanged != Some(false) {
                 self.drop_connection(ctx, token);
                 return true;
             }
@@ -541,61 +575,68 @@
 }
 
 impl Connection {
-    /// Its last answer, if it had one, was written so long ago that its client has it.
-    fn over(&self, now: Micros) -> bool {
-        self.state == State::Ending && now >= self.since + TAKEN
+    /// The last response, if any, was written [`DELIVERY_TIME`] ago, so the client has received it.
+    fn is_delivered(&self, now: Micros) -> bool {
+        self.state == State::Closing && now >= self.last_activity + DELIVERY_TIME
     }
 
-    /// Between two requests.
-    fn at_rest(&self) -> bool {
+    /// The connection is between two requests, with no pending input or output.
+    fn is_idle(&self) -> bool {
         self.state == State::Reading && self.buffer.input().is_empty() && !self.buffer.has_output()
     }
 }
 
-/// A request that another process has worked on, as the desk takes it, if its class is known here.
-fn transferred(ctx: &Ctx<'_>, transfer: &Transfer) -> Result<Job<Payload>, Reject> {
+/// Builds the job of a transferred request, if its class is known here.
+fn job_from_transfer(ctx: &Ctx<'_>, transfer: &Transfer) -> Result<Job<Payload>, Reject> {
     let Envelope { target, headers, body, .. } = transfer.envelope.clone();
     let keep_alive = transfer.keep_alive;
-    job_of(ctx, Request { method: "POST".to_owned(), target, headers, body, keep_alive })
+    job_from_request(ctx, Request { method: "POST".to_owned(), target, headers, body, keep_alive })
 }
 
-/// A client's request as the desk takes it, if it is one.
-fn job_of(ctx: &Ctx<'_>, request: Request) -> Result<Job<Payload>, Reject> {
+/// Builds the job of a client's request.
+fn job_from_request(ctx: &Ctx<'_>, request: Request) -> Result<Job<Payload>, Reject> {
     let path = request.path().to_owned();
-    let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
-    let class = ctx.names.class(first).map_err(|_| Reject(404))?;
-    if request.method == "POST" { job(ctx, class, first, request) } else { Err(Reject(405)) }
+    let class_name = path.trim_start_matches('/').split('/').next().unwrap_or("");
+    let class = ctx.names.class(class_name).map_err(|_| Reject(404))?;
+    if request.method == "POST" { parse_job(ctx, class, class_name, request) } else { Err(Reject(405)) }
 }
 
-fn job(ctx: &Ctx<'_>, class: ClassIx, name: &str, request: Request) -> Result<Job<Payload>, Reject> {
-    let bad = Reject(400);
+fn parse_job(
+    ctx: &Ctx<'_>,
+    class: ClassIx,
+    class_name: &str,
+    request: Request,
+) -> Result<Job<Payload>, Reject> {
+    let bad_request = Reject(400);
     let header = |name: &str| request.headers.get(name);
-    if header("request-class").is_some_and(|told| told != name) {
-        return Err(bad);
+    if header("request-class").is_some_and(|class| class != class_name) {
+        return Err(bad_request);
     }
-    let id = header("request-id").filter(|id| sound_id(id)).ok_or(bad)?.to_owned();
-    let figure =
+    let id = header("request-id").filter(|id| is_valid_request_id(id)).ok_or(bad_request)?.to_owned();
+    let parse_number =
         |text: &str| text.trim().parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0);
-    let patience = figure(header("request-timeout").ok_or(bad)?).ok_or(bad)?.min(PATIENCE);
+    let timeout_s = parse_number(header("request-timeout").ok_or(bad_request)?)
+        .ok_or(bad_request)?
+        .min(MAX_CLIENT_TIMEOUT_S);
     let tenant = match header("tenant") {
-        // One that the settings do not know has no share to count against.
+        // A tenant that the settings do not know has no share to count against.
         Some(name) => ctx.names.tenant(name).ok(),
         None => None,
     };
-    let hint = header("work-hint").map(|text| figure(text).ok_or(bad)).transpose()?;
+    let hint = header("work-hint").map(|text| parse_number(text).ok_or(bad_request)).transpose()?;
     let retry = header("client-retry") == Some("1");
     let (mut slots, mut memory) = (None, 0.0);
     for pair in header("request-info").unwrap_or("").split(',').filter(|pair| !pair.trim().is_empty()) {
-        let (key, value) = pair.split_once('=').ok_or(bad)?;
+        let (key, value) = pair.split_once('=').ok_or(bad_request)?;
         match key.trim() {
-            "slots" | "needs" => slots = Some(figure(value).ok_or(bad)?.ceil() as u32),
-            "memory" => memory = figure(value).ok_or(bad)?,
+            "slots" | "needs" => slots = Some(parse_number(value).ok_or(bad_request)?.ceil() as u32),
+            "memory" => memory = parse_number(value).ok_or(bad_request)?,
             _ => {}
         }
     }
     let Request { target, headers, body, .. } = request;
     let key = framing::query_parameter(&target, "obj").map(wire::hash_text);
-    // Its class says what a next hop must be able to do for it.
+    // The class determines which skill a worker must have for the job.
     let skill = class.0 as u32;
     let envelope = Envelope { name: id.clone(), skill, target, headers, body };
     Ok(Job {
@@ -603,7 +644,7 @@
         class,
         tenant,
         hint,
-        patience: (patience * SECOND as f64) as Micros,
+        patience: (timeout_s * SECOND as f64) as Micros,
         slots,
         memory,
         key,
@@ -614,8 +655,9 @@
     })
 }
 
-/// An id is written into the path of a give-up, so it must not hold what means something there.
-fn sound_id(id: &str) -> bool {
+/// The id is part of the path of a cancellation, so it must not contain characters that are special in a
+/// path.
+fn is_valid_request_id(id: &str) -> bool {
     (1..=128).contains(&id.len())
         && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte))
 }
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -1,4 +1,5 @@
-//! What comes between two lines: bytes and ends of a client after the poll and before the deadline that it brought.
+//! Tests of client connections whose input or end arrives after the poll and before a deadline of the same iteration is
+//! handled.
 
 use super::*;
 use crate::net::core::deadlines::Deadlines;
@@ -6,13 +7,13 @@
 use calicolb::wire::Names;
 use mio::Poll;
 use std::io::{Read, Write};
-use std::net::TcpStream as Peer;
+use std::net::TcpStream as ClientStream;
 use std::time::{Duration, Instant};
 
 const REQUEST: &[u8] =
     b"POST /book HTTP/1.1\r\nRequest-Id: a1\r\nRequest-Timeout: 9\r\nContent-Length: 0\r\n\r\n";
 
-struct Table {
+struct Fixture {
     poll: Poll,
     names: Names,
     deadlines: Deadlines,
@@ -21,20 +22,20 @@
     now: Micros,
 }
 
-impl Table {
-    fn new() -> (Table, ClientConnections) {
+impl Fixture {
+    fn new() -> (Fixture, ClientConnections) {
         let info = r#"{"azs":["a"],"kinds":["k"],"ceilings":{"cancelling":true,"most_tries":4},
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
-        let (settings, names) = wire::settings(info).expect("the settings are sound");
+        let (settings, names) = wire::settings(info).expect("the settings are valid");
         let now = 50 * SECOND;
         let desk = Desk::new(settings, 1, now, 100);
-        let poll = Poll::new().expect("a poll can be had");
-        let mut table = Table { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
-        let at = "127.0.0.1:0".parse().expect("it is an address");
-        let mut clients = ClientConnections::new(TcpListener::bind(at).expect("a port is free"), 1);
-        table.with(|ctx| clients.listen(ctx)).expect("it can be watched");
-        table.with(|ctx| clients.set_max_connections(ctx, 10));
-        (table, clients)
+        let poll = Poll::new().expect("creating the poll");
+        let mut fixture = Fixture { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
+        let at = "127.0.0.1:0".parse().expect("parsing the listen address");
+        let mut clients = ClientConnections::new(TcpListener::bind(at).expect("binding a free port"), 1);
+        fixture.with(|ctx| clients.listen(ctx)).expect("registering the listener");
+        fixture.with(|ctx| clients.set_max_connections(ctx, 10));
+        (fixture, clients)
     }
 
     fn with<T>(&mut self, run: impl FnOnce(&mut Ctx<'_>) -> T) -> T {
@@ -51,134 +52,144 @@
         })
     }
 
-    /// A client connects: its end, and the number of the connection here.
-    fn connect(&mut self, clients: &mut ClientConnections) -> (Peer, usize) {
-        let peer = Peer::connect(clients.listener.local_addr().expect("it is bound")).expect("it listens");
+    /// Connects a client. Returns the client's stream and the token of the accepted connection.
+    fn connect(&mut self, clients: &mut ClientConnections) -> (ClientStream, usize) {
+        let client =
+            ClientStream::connect(clients.listener.local_addr().expect("local address of the listener"))
+                .expect("connecting to the listener");
         let before = clients.connections.len();
         until(|| {
             self.with(|ctx| clients.handle_ready(ctx, 1));
             clients.connections.len() > before
         });
-        (peer, clients.connections.keys().copied().max().expect("there is one"))
+        (client, clients.connections.keys().copied().max().expect("an accepted connection"))
     }
 }
 
+/// Repeats a step until it returns true, for at most 20 s.
 fn until(mut done: impl FnMut() -> bool) {
     let limit = Instant::now() + Duration::from_secs(20);
     while !done() {
-        assert!(Instant::now() < limit, "it never comes");
+        assert!(Instant::now() < limit, "condition not met within 20 s");
     }
 }
 
-/// What its client still reads, to the end of the connection.
-fn rest(mut peer: Peer) -> String {
+/// Reads everything that the client still receives, up to the end of the connection.
+fn read_to_end(mut client: ClientStream) -> String {
     let mut text = String::new();
-    peer.read_to_string(&mut text).expect("it ends in order");
+    client.read_to_string(&mut text).expect("reading up to an orderly end of the connection");
     text
 }
 
 #[test]
-fn a_request_that_comes_in_as_its_connection_has_rested_long_enough_is_taken() {
-    for rested in [false, true] {
-        let (mut table, mut clients) = Table::new();
-        let (mut peer, connection) = table.connect(&mut clients);
-        if rested {
-            peer.write_all(b"GET /up HTTP/1.1\r\n\r\n").expect("it is read");
+fn request_that_arrives_as_the_idle_timeout_expires_is_accepted() {
+    for had_request in [false, true] {
+        let (mut fixture, mut clients) = Fixture::new();
+        let (mut client, connection) = fixture.connect(&mut clients);
+        if had_request {
+            client.write_all(b"GET /up HTTP/1.1\r\n\r\n").expect("sending a request");
             until(|| {
-                table.with(|ctx| clients.handle_ready(ctx, connection));
-                !clients.connections[&connection].fresh
+                fixture.with(|ctx| clients.handle_ready(ctx, connection));
+                !clients.connections[&connection].awaits_first_request
             });
         }
-        table.now += IDLE + SECOND;
-        peer.write_all(REQUEST).expect("it is read");
-        table.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
+        fixture.now += IDLE_TIMEOUT + SECOND;
+        client.write_all(REQUEST).expect("sending a request");
+        fixture.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
         assert_eq!(
-            (table.desk.owed(), clients.connections[&connection].state),
-            (1, State::Waiting),
-            "rested: {rested}"
+            (fixture.desk.owed(), clients.connections[&connection].state),
+            (1, State::InProgress),
+            "had_request: {had_request}"
         );
     }
 }
 
 #[test]
-fn a_connection_that_has_rested_long_enough_is_ended_and_what_crosses_that_is_not_reset() {
-    let (mut table, mut clients) = Table::new();
-    let (mut peer, connection) = table.connect(&mut clients);
-    table.now += FIRST;
-    table.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
-    peer.write_all(REQUEST).expect("the way there is open");
-    table.with(|ctx| clients.handle_ready(ctx, connection));
+fn connection_that_times_out_is_shut_down_and_late_input_causes_no_reset() {
+    let (mut fixture, mut clients) = Fixture::new();
+    let (mut client, connection) = fixture.connect(&mut clients);
+    fixture.now += FIRST_REQUEST_TIMEOUT;
+    fixture.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
+    client.write_all(REQUEST).expect("sending a request after the shutdown");
+    fixture.with(|ctx| clients.handle_ready(ctx, connection));
     assert_eq!(
-        (table.desk.owed(), clients.connections[&connection].state),
-        (0, State::Ending),
-        "it came after the end"
+        (fixture.desk.owed(), clients.connections[&connection].state),
+        (0, State::Closing),
+        "the request arrived after the shutdown"
     );
-    table.now += LINGER;
-    peer.write_all(REQUEST).expect("the way there is open");
-    table.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
+    fixture.now += LINGER_TIMEOUT;
+    client.write_all(REQUEST).expect("sending a request after the shutdown");
+    fixture.with(|ctx| clients.handle_deadline(ctx, connection, Alarm::Late));
     assert!(clients.connections.is_empty());
-    assert_eq!(rest(peer), "", "an end, and no reset");
+    assert_eq!(read_to_end(client), "", "the connection ends without a reset");
 }
 
 #[test]
-fn room_is_made_by_a_connection_on_which_nothing_lies_unread() {
-    let (mut table, mut clients) = Table::new();
-    let (mut first, busy) = table.connect(&mut clients);
-    table.now += 1;
-    let (second, idle) = table.connect(&mut clients);
-    first.write_all(REQUEST).expect("it is read");
-    assert!(table.with(|ctx| clients.shed(ctx)), "the second makes room");
+fn connection_without_unread_input_is_released_first() {
+    let (mut fixture, mut clients) = Fixture::new();
+    let (mut first, busy) = fixture.connect(&mut clients);
+    fixture.now += 1;
+    let (second, idle) = fixture.connect(&mut clients);
+    first.write_all(REQUEST).expect("sending a request");
+    assert!(fixture.with(|ctx| clients.shed(ctx)), "the idle second connection is released");
     assert!(
         !clients.owns_token(idle)
-            && table.desk.owed() == 1
-            && clients.connections[&busy].state == State::Waiting
+            && fixture.desk.owed() == 1
+            && clients.connections[&busy].state == State::InProgress
+    );
+    assert_eq!(read_to_end(second), "");
+    assert!(
+        !fixture.with(|ctx| clients.shed(ctx)),
+        "a connection with a request in progress is never released"
     );
-    assert_eq!(rest(second), "");
-    assert!(!table.with(|ctx| clients.shed(ctx)), "a connection with a request in work never does");
 }
 
 #[test]
-fn the_program_does_not_exit_before_a_last_answer_has_had_time_to_be_taken() {
+fn connections_count_as_busy_until_the_client_had_time_to_read_its_last_response() {
     for closes in [true, false] {
-        let (mut table, mut clients) = Table::new();
-        let (mut peer, connection) = table.connect(&mut clients);
-        peer.write_all(REQUEST).expect("it is read");
+        let (mut fixture, mut clients) = Fixture::new();
+        let (mut client, connection) = fixture.connect(&mut clients);
+        client.write_all(REQUEST).expect("sending a request");
         until(|| {
-            table.with(|ctx| clients.handle_ready(ctx, connection));
-            table.desk.owed() == 1
+            fixture.with(|ctx| clients.handle_ready(ctx, connection));
+            fixture.desk.owed() == 1
         });
-        table.with(|ctx| clients.begin_drain(ctx));
-        table.with(|ctx| clients.answer(ctx, connection, Answer::Served(b"r".to_vec())));
-        assert!(!clients.is_idle(table.now), "the answer may be under way");
-        // A client that goes on sending on what stays open must not make the exit reset its answer.
-        peer.write_all(REQUEST).expect("the way there is open");
-        table.with(|ctx| clients.handle_ready(ctx, connection));
+        fixture.with(|ctx| clients.begin_drain(ctx));
+        fixture.with(|ctx| clients.answer(ctx, connection, Answer::Served(b"r".to_vec())));
+        assert!(!clients.is_idle(fixture.now), "the response may still be in flight");
+        // A client that goes on sending must not cause an exit to reset the connection and lose its response.
+        client.write_all(REQUEST).expect("sending a request after the shutdown");
+        fixture.with(|ctx| clients.handle_ready(ctx, connection));
         if closes {
-            drop(peer);
+            drop(client);
             until(|| {
-                table.with(|ctx| clients.handle_ready(ctx, connection));
-                clients.is_idle(table.now)
+                fixture.with(|ctx| clients.handle_ready(ctx, connection));
+                clients.is_idle(fixture.now)
             });
             assert!(clients.connections.is_empty());
         } else {
-            table.now += TAKEN;
-            let due = table.deadlines.next_due(table.now);
-            assert_eq!(due, Some(Due::Conn(connection, Alarm::Owed)), "the loop looks again then");
-            assert!(clients.is_idle(table.now));
+            fixture.now += DELIVERY_TIME;
+            let due = fixture.deadlines.next_due(fixture.now);
+            assert_eq!(
+                due,
+                Some(Due::Conn(connection, Alarm::Owed)),
+                "the event loop checks again at this time"
+            );
+            assert!(clients.is_idle(fixture.now));
         }
     }
 }
 
 #[test]
-fn a_client_that_sends_much_and_leaves_while_it_waits_has_gone() {
-    let (mut table, mut clients) = Table::new();
-    let (mut peer, connection) = table.connect(&mut clients);
+fn client_that_sends_much_input_and_closes_while_it_waits_is_removed() {
+    let (mut fixture, mut clients) = Fixture::new();
+    let (mut client, connection) = fixture.connect(&mut clients);
     let client = std::thread::spawn(move || {
-        peer.write_all(REQUEST).expect("it is read");
-        peer.write_all(&vec![b'x'; 8 << 20]).expect("it is read, to the last byte");
+        client.write_all(REQUEST).expect("sending a request");
+        client.write_all(&vec![b'x'; 8 << 20]).expect("sending 8 MiB of further input");
     });
     until(|| {
-        table.with(|ctx| clients.handle_ready(ctx, connection));
+        fixture.with(|ctx| clients.handle_ready(ctx, connection));
         assert!(
             clients
                 .connections
@@ -187,6 +198,6 @@
         );
         clients.connections.is_empty()
     });
-    assert_eq!(table.desk.owed(), 0);
-    client.join().expect("it could send all");
+    assert_eq!(fixture.desk.owed(), 0);
+    client.join().expect("the client thread sent all input");
 }
