--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -132,7 +132,7 @@
         while self.connections.len() > max_connections && self.shed(ctx) {}
     }
 
-    /// Accepts pending connections, at most [`MAX_ACCEPTS`] per call.
+    /// Accepts pending connections, at most `MAX_ACCEPTS` per call.
     fn accept(&mut self, ctx: &mut Ctx<'_>) {
         if !self.listening {
             return;
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Processes the next request in the buffer. Returns false if there is no complete one.
+    /// Processes the next request in the buffer. Returns false if there is none, or it is malformed.
     fn process_request(&mut self, ctx: &mut Ctx<'_>, token: usize) -> bool {
         let first_request_timeout = self.first_request_timeout();
         let Some(connection) = self.connections.get_mut(&token) else { return false };
@@ -529,7 +529,7 @@
         }
     }
 
-    /// Returns whether no connection has a request in progress and clients have had [`DELIVERY_TIME`] to read
+    /// Returns whether no connection has a request in progress and clients have had `DELIVERY_TIME` to read
     /// their last responses.
     pub fn is_idle(&self, now: Micros) -> bool {
         self.connections.values().all(|connection| connection.is_delivered(now) || connection.is_idle())
@@ -575,7 +575,7 @@
 }
 
 impl Connection {
-    /// The last response, if any, was written [`DELIVERY_TIME`] ago, so the client has received it.
+    /// The last response, if any, was written `DELIVERY_TIME` ago, so the client has received it.
     fn is_delivered(&self, now: Micros) -> bool {
         self.state == State::Closing && now >= self.last_activity + DELIVERY_TIME
     }
--- a/src/net/platform/call.rs
+++ b/src/net/platform/call.rs
@@ -1,25 +1,28 @@
-//! One connection to discovery or a control machine: what goes out on it, and how what comes back is read.
+//! One outgoing HTTP call to discovery or to a control machine: writes the request and reads a status, a list
+//! or a watch.
 
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::http::framing;
 use mio::net::TcpStream;
 use serde::de::DeserializeOwned;
 
-/// What the whole list may take, indented and all.
+/// Maximum size of a list or of a change, in bytes, including indentation.
 pub(super) const LIST_LIMIT: usize = 2 << 20;
 
+/// A connection that carries one call.
 pub(super) struct Call {
     pub(super) token: usize,
     pub(super) stream: TcpStream,
     pub(super) buffer: Buffer,
-    /// The head of the answer has come.
-    pub(super) open: bool,
-    /// What has come and is not yet a whole change.
-    pub(super) text: Vec<u8>,
+    /// The head of the response has been read.
+    pub(super) head_received: bool,
+    /// Input that is not yet a complete change.
+    pub(super) pending: Vec<u8>,
 }
 
-/// Writes and reads; `Ok(None)` while the connection is not up or has not been written to.
-fn pump(call: &mut Call) -> Result<Option<Filled>, &'static str> {
+/// Writes the request and reads input; `Ok(None)` while the connection is not established or the request is
+/// not fully written.
+fn flush_and_fill(call: &mut Call) -> Result<Option<Filled>, &'static str> {
     if !matches!(call.stream.take_error(), Ok(None)) {
         return Err("the connection was refused or reset");
     }
@@ -33,91 +36,91 @@
     }
 }
 
-/// Reads the answer to a call that wants none but a status of success; tells whether it has come.
-pub(super) fn done(call: &mut Call) -> Result<bool, &'static str> {
-    let Some(filled) = pump(call)? else { return Ok(false) };
+/// Reads the response to a call of which only the status matters. Returns whether it has arrived.
+pub(super) fn read_status(call: &mut Call) -> Result<bool, &'static str> {
+    let Some(filled) = flush_and_fill(call)? else { return Ok(false) };
     match framing::parse_response(call.buffer.input()) {
         Ok(Some((response, _))) if (200..300).contains(&response.status) => Ok(true),
-        Ok(Some(_)) => Err("the call failed"),
+        Ok(Some(_)) => Err("the call failed with an unexpected status"),
         Ok(None) if filled == Filled::Dry => Ok(false),
-        Ok(None) => Err("the connection ended"),
-        Err(_) => Err("the answer is malformed"),
+        Ok(None) => Err("the connection was closed before the response was complete"),
+        Err(_) => Err("the response is malformed"),
     }
 }
 
-/// Reads the answer to a call for the whole list.
-pub(super) fn fetched<T: DeserializeOwned>(call: &mut Call) -> Result<Option<T>, &'static str> {
-    let Some(filled) = pump(call)? else { return Ok(None) };
+/// Reads the response to a call for the whole list; `Ok(None)` while it is incomplete.
+pub(super) fn read_list<T: DeserializeOwned>(call: &mut Call) -> Result<Option<T>, &'static str> {
+    let Some(filled) = flush_and_fill(call)? else { return Ok(None) };
     match framing::parse_response_with_limit(call.buffer.input(), LIST_LIMIT) {
         Ok(Some((response, _))) if response.status == 200 => {
             serde_json::from_slice(&response.body).map(Some).map_err(|_| "the list is malformed")
         }
-        Ok(Some(_)) => Err("the call failed"),
+        Ok(Some(_)) => Err("the call failed with an unexpected status"),
         Ok(None) if filled == Filled::Dry => Ok(None),
-        Ok(None) => Err("the connection ended"),
-        Err(_) => Err("the answer is malformed"),
+        Ok(None) => Err("the connection was closed before the response was complete"),
+        Err(_) => Err("the response is malformed"),
     }
 }
 
-/// How much of a word a watch has brought.
+/// The input that a read of a watch brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Word {
-    /// Nothing, or the head of its answer.
+pub(super) enum WatchInput {
+    /// No input, or only the head of the response.
     None,
-    /// Bytes of a change that is not whole yet.
+    /// Input that ends within a change.
     Partial,
-    /// Whole changes or an empty line, and no part of a further change.
-    Whole,
+    /// Complete changes or an empty line, and no part of a further change.
+    Complete,
 }
 
-/// What a watch has brought, and why it ended if it did.
-pub(super) struct Heard {
-    pub(super) word: Word,
+/// The result of reading a watch, with the reason for its end if it ended.
+pub(super) struct WatchRead {
+    pub(super) input: WatchInput,
     pub(super) end: Option<&'static str>,
 }
 
-/// Reads what the watch has brought. Whole changes that came before its end count.
-pub(super) fn watched<T: DeserializeOwned>(call: &mut Call, updates: &mut Vec<T>) -> Heard {
+/// Reads a watch and appends the complete changes to `updates`, also those that arrived before its end.
+pub(super) fn read_watch<T: DeserializeOwned>(call: &mut Call, updates: &mut Vec<T>) -> WatchRead {
     let mut chunks = 0_u32;
-    let end = read_watch(call, updates, &mut chunks).err();
-    let word = match chunks {
-        0 => Word::None,
-        _ if call.text.is_empty() => Word::Whole,
-        _ => Word::Partial,
+    let end = read_chunks(call, updates, &mut chunks).err();
+    let input = match chunks {
+        0 => WatchInput::None,
+        _ if call.pending.is_empty() => WatchInput::Complete,
+        _ => WatchInput::Partial,
     };
-    Heard { word, end }
+    WatchRead { input, end }
 }
 
-/// Reads until nothing is left, and counts the chunks that could be read.
-fn read_watch<T: DeserializeOwned>(
+/// Reads until no input is left, and counts the chunks.
+fn read_chunks<T: DeserializeOwned>(
     call: &mut Call,
     updates: &mut Vec<T>,
     chunks: &mut u32,
 ) -> Result<(), &'static str> {
-    let Some(mut filled) = pump(call)? else { return Ok(()) };
+    let Some(mut filled) = flush_and_fill(call)? else { return Ok(()) };
     loop {
-        if !call.open {
+        if !call.head_received {
             match framing::parse_response_head(call.buffer.input()) {
                 Ok(Some((response, _))) if response.status != 200 => return Err("the watch was refused"),
                 Ok(Some((_, length))) => {
-                    call.open = true;
+                    call.head_received = true;
                     call.buffer.consume(length);
                 }
                 Ok(None) => {}
-                Err(_) => return Err("the answer is malformed"),
+                Err(_) => return Err("the response is malformed"),
             }
         }
-        while call.open {
-            let found = framing::parse_chunk(call.buffer.input(), LIST_LIMIT);
-            let Ok(found) = found else { return Err("the watch is malformed") };
-            let Some((part, length)) = found else { break };
-            // The last chunk of an answer is empty, and says only that nothing more comes.
-            if part.is_empty() {
+        while call.head_received {
+            let chunk = framing::parse_chunk(call.buffer.input(), LIST_LIMIT);
+            let Ok(chunk) = chunk else { return Err("the watch is malformed") };
+            let Some((data, length)) = chunk else { break };
+            // The last chunk of a response is empty.
+            if data.is_empty() {
                 return Err("the watch ended");
             }
-            call.text.extend_from_slice(part);
+            call.pending.extend_from_slice(data);
             call.buffer.consume(length);
-            read_changes(&mut call.text, updates)?;
+            read_changes(&mut call.pending, updates)?;
             *chunks = chunks.saturating_add(1);
         }
         match filled {
@@ -131,30 +134,32 @@
     }
 }
 
-/// Takes whole changes off the beginning of what has come. One may stand on a line or be indented over many; it is
-/// whole when its last brace has come, wherever the lines and the pieces that it came in end.
+/// Removes complete changes from the start of `text` and appends them to `updates`. A change may stand on one
+/// line or be indented over several. It is complete with its last brace, wherever the lines and the chunks
+/// end.
 fn read_changes<T: DeserializeOwned>(text: &mut Vec<u8>, updates: &mut Vec<T>) -> Result<(), &'static str> {
-    // Only what ends like a change can be whole: a long one that comes in many pieces is not read over and over.
+    // Input that does not end in a brace cannot end in a complete change. This avoids parsing a long change
+    // again with each of its chunks.
     if text.trim_ascii_end().ends_with(b"}") {
-        let mut found = serde_json::Deserializer::from_slice(text).into_iter::<T>();
-        let mut whole = 0;
-        while let Some(next) = found.next() {
+        let mut values = serde_json::Deserializer::from_slice(text).into_iter::<T>();
+        let mut complete = 0;
+        while let Some(next) = values.next() {
             match next {
                 Ok(update) => {
-                    whole = found.byte_offset();
+                    complete = values.byte_offset();
                     updates.push(update);
                 }
                 Err(error) if error.is_eof() => break,
-                // A change that cannot be read is a gap: the watch is begun anew from the last good one.
+                // An unreadable change is a gap: the watch is opened again from the last applied version.
                 Err(_) => return Err("a change is malformed"),
             }
         }
-        text.drain(..whole);
+        text.drain(..complete);
     }
     if text.trim_ascii().is_empty() {
         text.clear();
     }
-    if text.len() > LIST_LIMIT { Err("a change is too long") } else { Ok(()) }
+    if text.len() > LIST_LIMIT { Err("a change exceeds the size limit") } else { Ok(()) }
 }
 
 #[cfg(test)]
@@ -162,42 +167,42 @@
     use super::*;
     use crate::config::list::Update;
 
-    fn seen(updates: &[Update]) -> Vec<(u64, bool, usize)> {
+    fn summarize(updates: &[Update]) -> Vec<(u64, bool, usize)> {
         updates.iter().map(|update| (update.seq, update.whole, update.hosts.len())).collect()
     }
 
     #[test]
-    fn changes_are_read_as_they_come_and_a_bad_one_is_a_gap() {
+    fn changes_split_over_chunks_are_read_and_a_malformed_one_is_an_error() {
         let mut updates = Vec::new();
         let mut text = b"\n{\"seq\":5}\r\n{\"seq\":6,\"who".to_vec();
         assert_eq!(read_changes(&mut text, &mut updates), Ok(()));
         text.extend_from_slice(b"le\":true}\n\n");
         assert_eq!(read_changes(&mut text, &mut updates), Ok(()));
-        assert_eq!(seen(&updates), [(5, false, 0), (6, true, 0)]);
+        assert_eq!(summarize(&updates), [(5, false, 0), (6, true, 0)]);
         assert!(text.is_empty());
         assert!(read_changes(&mut b"{\"seq\":\n}".to_vec(), &mut updates).is_err());
-        let mut endless = vec![b' '; LIST_LIMIT];
-        endless.extend_from_slice(b"{\"seq");
-        assert!(read_changes(&mut endless, &mut updates).is_err());
+        let mut too_long = vec![b' '; LIST_LIMIT];
+        too_long.extend_from_slice(b"{\"seq");
+        assert!(read_changes(&mut too_long, &mut updates).is_err());
     }
 
     #[test]
-    fn an_indented_list_is_read_whatever_pieces_it_comes_in() {
+    fn indented_list_is_read_regardless_of_how_it_is_split() {
         let hosts: Vec<_> = (0..40)
             .map(|nr| serde_json::json!({"host": format!("s-{nr}"), "note": "a } in text\n"}))
             .collect();
-        let one = serde_json::json!({"seq": 7, "whole": true, "hosts": hosts});
-        let two = serde_json::json!({"seq": 8, "whole": false, "hosts": []});
-        let pretty = |value| serde_json::to_string_pretty(value).expect("it can be written");
-        let all = format!("{}\n\n{}\n", pretty(&one), pretty(&two));
+        let full = serde_json::json!({"seq": 7, "whole": true, "hosts": hosts});
+        let change = serde_json::json!({"seq": 8, "whole": false, "hosts": []});
+        let pretty = |value| serde_json::to_string_pretty(value).expect("serializing a list");
+        let all = format!("{}\n\n{}\n", pretty(&full), pretty(&change));
         for size in [1, 2, 7, 64, 1_000, all.len()] {
             let (mut text, mut updates) = (Vec::new(), Vec::new());
-            for piece in all.as_bytes().chunks(size) {
-                text.extend_from_slice(piece);
-                assert_eq!(read_changes(&mut text, &mut updates), Ok(()), "in pieces of {size}");
+            for part in all.as_bytes().chunks(size) {
+                text.extend_from_slice(part);
+                assert_eq!(read_changes(&mut text, &mut updates), Ok(()), "in parts of {size} bytes");
             }
-            assert_eq!(seen(&updates), [(7, true, 40), (8, false, 0)], "in pieces of {size}");
-            assert!(text.is_empty(), "in pieces of {size}");
+            assert_eq!(summarize(&updates), [(7, true, 40), (8, false, 0)], "in parts of {size} bytes");
+            assert!(text.is_empty(), "in parts of {size} bytes");
         }
     }
 }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -11,7 +11,7 @@
 use crate::net::core::buffer::Buffer;
 use crate::net::core::deadlines::Due;
 use crate::net::http::framing;
-use crate::net::platform::call::{Call, Heard, Word, done, watched};
+use crate::net::platform::call::{Call, WatchInput, WatchRead, read_status, read_watch};
 use calicolb::api::Micros;
 use calicolb_agreed::{Change, Delta, InForce, Learner, Message, Taken, Version};
 use mio::net::TcpStream;
@@ -47,14 +47,14 @@
     opened: Micros,
     heard: Option<Micros>,
     majority: Micros,
-    /// The version that the machine watched has, as far as it told.
+    /// The version that the machine read_watch has, as far as it told.
     seq: u64,
     /// When the next machine is asked.
     again: Option<Micros>,
     failed: u32,
     tell: Option<Call>,
     tell_by: Micros,
-    /// The version that the machine watched was told to be in force.
+    /// The version that the machine read_watch was told to be in force.
     told: Option<u64>,
     random: fastrand::Rng,
     /// What the loop took up last, and what it was given last, whether it could be taken up or not.
@@ -142,7 +142,7 @@
             Ok(stream) => {
                 let mut buffer = Buffer::default();
                 buffer.put(request);
-                Some(Call { token, stream, buffer, open: false, text: Vec::new() })
+                Some(Call { token, stream, buffer, head_received: false, pending: Vec::new() })
             }
             Err(error) => {
                 note!(debug: "calling a control machine: {error}");
@@ -181,7 +181,7 @@
     /// Something can be read or written on one of these connections.
     pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         if let Some(mut call) = self.tell.take_if(|call| call.token == token) {
-            match done(&mut call) {
+            match read_status(&mut call) {
                 Ok(false) => self.tell = Some(call),
                 Ok(true) => hang_up(ctx, call),
                 Err(_) => {
@@ -192,13 +192,13 @@
             }
         } else if let Some(mut call) = self.watch.take_if(|call| call.token == token) {
             let mut lines: Vec<Line> = Vec::new();
-            let Heard { word, end } = watched(&mut call, &mut lines);
+            let WatchRead { input, end } = read_watch(&mut call, &mut lines);
             self.watch = Some(call);
-            if word != Word::None {
+            if input != WatchInput::None {
                 self.heard = Some(ctx.now);
                 // An empty line says that there is nothing new, and is sent only with a majority. A part of a line that
                 // is not whole yet says nothing.
-                if word == Word::Whole && lines.is_empty() {
+                if input == WatchInput::Complete && lines.is_empty() {
                     lines.push(Line { seq: self.seq, majority: true, ..Line::default() });
                 }
             }
--- a/src/net/platform/discovery/digest.rs
+++ b/src/net/platform/discovery/digest.rs
@@ -1,21 +1,22 @@
-//! The digest of a list: alike at all schedulers that have the same list, in whatever order and steps it came to them.
+//! Digest of the worker list: equal at all schedulers that have the same list, whatever the order or number
+//! of updates in which they received it.
 
-use super::entry::Line;
+use super::entry::Entry;
 use sha2::{Digest, Sha256};
 
-/// The digest of these lines. Addresses do not count: they may differ between schedulers.
-pub(super) fn digest<'a>(lines: impl Iterator<Item = &'a Line>) -> u64 {
-    let mut lines: Vec<&Line> = lines.collect();
-    lines.sort_unstable_by(|one, other| one.host.cmp(&other.host));
+/// Computes the digest of the entries. Addresses are left out because they may differ between schedulers.
+pub(super) fn list_digest<'a>(entries: impl Iterator<Item = &'a Entry>) -> u64 {
+    let mut entries: Vec<&Entry> = entries.collect();
+    entries.sort_unstable_by(|one, other| one.host.cmp(&other.host));
     let mut hash = Sha256::new();
-    for line in lines {
-        for text in [&line.host, &line.site, &line.class, &line.health] {
+    for entry in entries {
+        for text in [&entry.host, &entry.site, &entry.class, &entry.health] {
             hash.update((text.len() as u64).to_le_bytes());
             hash.update(text);
         }
-        hash.update(line.block.to_le_bytes());
-        hash.update(line.share.to_bits().to_le_bytes());
-        hash.update(line.born_ms.to_le_bytes());
+        hash.update(entry.block.to_le_bytes());
+        hash.update(entry.share.to_bits().to_le_bytes());
+        hash.update(entry.born_ms.to_le_bytes());
     }
     let hash: [u8; 32] = hash.finalize().into();
     let [a, b, c, d, e, f, g, h, ..] = hash;
@@ -26,24 +27,27 @@
 mod tests {
     use super::*;
 
-    fn line(host: &str, dial: &str, health: &str) -> Line {
+    fn entry(host: &str, dial: &str, health: &str) -> Entry {
         let (site, class) = ("north".to_owned(), "big".to_owned());
         let (host, dial, health) = (host.to_owned(), dial.to_owned(), health.to_owned());
-        Line { host, dial, site, class, block: 0, health, share: 1.0, born_ms: 7 }
+        Entry { host, dial, site, class, block: 0, health, share: 1.0, born_ms: 7 }
     }
 
     #[test]
-    fn order_and_addresses_do_not_count_and_all_else_does() {
-        let of = |lines: &[Line]| digest(lines.iter());
-        let base = of(&[line("a", "10.0.0.1:1", "in_service"), line("b", "10.0.0.2:1", "in_service")]);
-        assert_eq!(base, of(&[line("b", "10.9.0.2:1", "in_service"), line("a", "10.9.0.1:1", "in_service")]));
-        assert_ne!(base, of(&[line("a", "10.0.0.1:1", "in_service")]));
+    fn digest_ignores_order_and_addresses_and_covers_all_other_fields() {
+        let digest = |entries: &[Entry]| list_digest(entries.iter());
+        let base = digest(&[entry("a", "10.0.0.1:1", "in_service"), entry("b", "10.0.0.2:1", "in_service")]);
+        assert_eq!(
+            base,
+            digest(&[entry("b", "10.9.0.2:1", "in_service"), entry("a", "10.9.0.1:1", "in_service")])
+        );
+        assert_ne!(base, digest(&[entry("a", "10.0.0.1:1", "in_service")]));
         assert_ne!(
             base,
-            of(&[line("a", "10.0.0.1:1", "in_service"), line("b", "10.0.0.2:1", "terminating")])
+            digest(&[entry("a", "10.0.0.1:1", "in_service"), entry("b", "10.0.0.2:1", "terminating")])
         );
-        let restarted = Line { born_ms: 8, ..line("b", "10.0.0.2:1", "in_service") };
-        assert_ne!(base, of(&[line("a", "10.0.0.1:1", "in_service"), restarted]));
-        assert_ne!(of(&[line("ab", "", "c")]), of(&[line("a", "", "bc")]));
+        let restarted = Entry { born_ms: 8, ..entry("b", "10.0.0.2:1", "in_service") };
+        assert_ne!(base, digest(&[entry("a", "10.0.0.1:1", "in_service"), restarted]));
+        assert_ne!(digest(&[entry("ab", "", "c")]), digest(&[entry("a", "", "bc")]));
     }
 }
--- a/src/net/platform/discovery/entry.rs
+++ b/src/net/platform/discovery/entry.rs
@@ -1,12 +1,12 @@
-//! The lines of the list, as discovery writes them.
+//! Entries of the worker list as discovery sends them.
 
 use calicolb::api::{Member, Standing};
 use calicolb::wire::{Names, WireError, hop_id};
 use serde::{Deserialize, Serialize};
 
-/// One line of the list.
+/// One worker in the list.
 #[derive(Serialize, Deserialize)]
-pub(super) struct Line {
+pub(super) struct Entry {
     pub(super) host: String,
     pub(super) dial: String,
     pub(super) site: String,
@@ -14,33 +14,33 @@
     #[serde(default)]
     pub(super) block: u32,
     pub(super) health: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     pub(super) share: f64,
     #[serde(default)]
     pub(super) born_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
-/// What the decision module is told of a line.
-pub(super) fn read_member(names: &Names, line: &Line) -> Result<Member, WireError> {
-    let standing = match line.health.as_str() {
+/// Converts an entry to the member that the dispatcher is given.
+pub(super) fn read_member(names: &Names, entry: &Entry) -> Result<Member, WireError> {
+    let standing = match entry.health.as_str() {
         "in_service" => Standing::On,
         "terminating" => Standing::Draining,
         "terminated" => Standing::Gone,
         other => return Err(WireError(format!("unknown health '{other}'"))),
     };
     Ok(Member {
-        worker: hop_id(&line.host),
-        zone: names.zone(&line.site)?,
-        kind: names.kind(&line.class)?,
-        cell: line.block,
+        worker: hop_id(&entry.host),
+        zone: names.zone(&entry.site)?,
+        kind: names.kind(&entry.class)?,
+        cell: entry.block,
         standing,
-        weight: line.share,
-        // The module's clock is Unix time, in its unit; 0 stands for long ago.
-        started: line.born_ms.checked_mul(1_000).filter(|&at| at > 0),
+        weight: entry.share,
+        // The dispatcher's clock is Unix time in microseconds; 0 stands for an unknown start long ago.
+        started: entry.born_ms.checked_mul(1_000).filter(|&at| at > 0),
         lanes: None,
         refuses: 0,
     })
@@ -53,23 +53,23 @@
 
     fn member(born_ms: u64, health: &str) -> Result<Member, WireError> {
         let info = r#"{"azs":["a","b"],"kinds":["m1","m2"]}"#;
-        let (_, names) = calicolb::wire::settings(info).expect("the settings are sound");
-        let line = json!({"host":"s-1","dial":"127.0.0.1:1","site":"b","class":"m2","block":3,"health":health,
+        let (_, names) = calicolb::wire::settings(info).expect("the settings are valid");
+        let entry = json!({"host":"s-1","dial":"127.0.0.1:1","site":"b","class":"m2","block":3,"health":health,
             "share":1.5,"born_ms":born_ms});
-        read_member(&names, &serde_json::from_value(line).expect("the line is sound"))
+        read_member(&names, &serde_json::from_value(entry).expect("the entry is valid"))
     }
 
     #[test]
-    fn a_line_becomes_a_member_on_the_modules_clock() {
-        let old = member(0, "in_service").expect("it is sound");
+    fn entry_becomes_a_member_with_its_start_in_unix_microseconds() {
+        let old = member(0, "in_service").expect("the member is valid");
         assert_eq!((old.zone.0, old.kind.0, old.cell, old.weight, old.started), (1, 1, 3, 1.5, None));
-        // A start before ours is as good as a later one: both are Unix time.
-        let young = member(1_700_000_000_123, "terminating").expect("it is sound");
+        // A start before that of this process is as valid as a later one: both are Unix time.
+        let young = member(1_700_000_000_123, "terminating").expect("the member is valid");
         assert_eq!(young.started, Some(1_700_000_000_123_000));
         assert_eq!((young.standing, young.worker), (Standing::Draining, hop_id("s-1")));
         assert_eq!(member(0, "terminated").map(|member| member.standing), Ok(Standing::Gone));
         assert!(member(0, "resting").is_err());
-        // No time at all must come of a figure that does not fit.
+        // A start time that overflows must be left out.
         assert_eq!(member(u64::MAX, "in_service").map(|member| member.started), Ok(None));
     }
 }
--- a/src/net/platform/discovery/mod.rs
+++ b/src/net/platform/discovery/mod.rs
@@ -1,13 +1,13 @@
-//! The route set: discovery's list of next hops, fetched and watched. When to ask a service that all share is the module's
-//! decision; an agent of the own machine is asked whenever the list's clock ([`calicolb_freshness`]) wants it. What comes
-//! back, and that nothing did, is told to the module.
+//! Client of discovery: fetches and watches the list of workers. The dispatcher decides when to query a
+//! discovery service that is shared by the fleet; an agent on the same machine is queried whenever the list's
+//! clock ([`calicolb_freshness`]) requests it. Received lists and lost calls are reported to the dispatcher.
 
 mod digest;
 mod entry;
 mod peer_queries;
 mod versions;
 
-use self::entry::Line;
+use self::entry::Entry;
 use crate::config::list::Update;
 use crate::log::note;
 use crate::net::Ctx;
@@ -16,7 +16,7 @@
 use crate::net::core::roster::Source;
 use crate::net::http::framing;
 use crate::net::http::upstream::UpstreamConnections;
-use crate::net::platform::call::{Call, Heard, Word, fetched, watched};
+use crate::net::platform::call::{Call, WatchInput, WatchRead, read_list, read_watch};
 use crate::net::protocol::Spare;
 use calicolb::api::{ListKind, Micros, WorkerId};
 use calicolb_freshness::witness::Inquiry;
@@ -26,58 +26,60 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Hops that are remembered at most: a list that names ever new ones must not fill the memory.
-const HOPS_LIMIT: usize = 4096;
+/// Maximum number of workers kept: a list that keeps naming new workers must not fill the memory.
+const MAX_WORKERS: usize = 4096;
 
-/// A process counts as ready so long after its start even if discovery has not spoken: one that is down for long must not
-/// keep a fleet from starting.
-const READY_PATIENCE: Micros = 3_000_000;
+/// Time after the start at which the process counts as ready even without a confirmed list, in microseconds:
+/// a discovery outage must not prevent the fleet from starting.
+const READY_TIMEOUT: Micros = 3_000_000;
 
-/// See the head of this file.
+/// The connections to discovery and the list that came from it.
 pub struct DiscoveryClient {
-    /// Where discovery is, if there is any.
+    /// Address of discovery, if there is one.
     discovery: Option<SocketAddr>,
-    /// How fresh the list is.
+    /// Freshness of the list.
     clock: ListClock,
     seq: u64,
-    listed: HashMap<WorkerId, Line>,
+    listed: HashMap<WorkerId, Entry>,
     fetch: Option<Call>,
     watch: Option<Call>,
-    /// The watch before this one: it serves on until this one is open, so that no change falls in between.
-    before: Option<Call>,
-    /// What the module was last told of until when the list may be acted on.
-    until: Option<Micros>,
-    /// The list could be acted on when that was last looked at.
-    in_force: bool,
+    /// The watch before the current one. It is read until the current one has received its response head, so
+    /// that no change is missed in between.
+    previous_watch: Option<Call>,
+    /// End of the list's lease as the dispatcher was last told, in microseconds.
+    lease_end: Option<Micros>,
+    /// The list could be acted on at the last check.
+    usable: bool,
     counters: Counters,
-    /// What is asked of other schedulers while discovery does not speak.
+    /// Queries to other schedulers about their lists while discovery does not respond.
     inquiry: Inquiry,
-    /// The digest of the list, once it was needed.
+    /// Digest of the list, computed on first use.
     digest: Option<u64>,
 }
 
-/// What has happened to the list since the start of the process.
+/// Events of the list since the start of the process.
 #[derive(Default)]
 struct Counters {
     /// Calls for the list or for a watch.
     calls: u64,
-    /// Calls and watches that were refused, reset, fell silent or could not be read.
+    /// Calls and watches that were refused, reset, timed out or could not be parsed.
     lost: u64,
-    /// Versions that were taken in.
+    /// Versions of the list that were applied.
     versions: u64,
-    /// Versions older than the known one, which were not taken in.
+    /// Versions that were ignored because they are older than the known one.
     outdated: u64,
-    /// Answers of other schedulers that confirmed the list, and those that showed a newer one.
-    vouched: u64,
-    behind: u64,
+    /// Answers of other schedulers that confirmed the list, and answers that showed a newer one.
+    confirmed_by_peer: u64,
+    newer_at_peer: u64,
 }
 
 impl DiscoveryClient {
-    /// The list of this discovery. `grace`: how long after it was told of a change a scheduler may go on as before.
-    pub fn new(discovery: Option<SocketAddr>, asked: bool, grace: Micros, now: Micros) -> Self {
+    /// Creates a client without a list. `grace`: time after notification of a change during which a scheduler
+    /// may still act on the old list, in microseconds.
+    pub fn new(discovery: Option<SocketAddr>, on_request: bool, grace: Micros, now: Micros) -> Self {
         let mode = match discovery {
             None => Mode::Fixed,
-            Some(_) if asked => Mode::Asked,
+            Some(_) if on_request => Mode::Asked,
             Some(_) => Mode::Pushed,
         };
         DiscoveryClient {
@@ -87,53 +89,54 @@
             listed: HashMap::new(),
             fetch: None,
             watch: None,
-            before: None,
-            until: None,
-            in_force: false,
+            previous_watch: None,
+            lease_end: None,
+            usable: false,
             counters: Counters::default(),
             inquiry: Inquiry::default(),
             digest: None,
         }
     }
 
-    /// Takes in the copy of the list that came with the configuration, or from the process before this one.
-    /// `confirmed_ago`: how long before the start of this process discovery had confirmed it, if that is known.
+    /// Applies the list from the configuration or from the predecessor. `since_confirmation`: time between
+    /// the last confirmation by discovery and the start of this process, in microseconds, if known.
     pub fn load_initial_list(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut UpstreamConnections,
-        known: Option<Update>,
-        confirmed_ago: Option<Micros>,
+        workers: &mut UpstreamConnections,
+        initial: Option<Update>,
+        since_confirmation: Option<Micros>,
     ) {
-        // What an agent holds counts from the first moment of a process, whatever the one before it was told.
-        if let Some(ago) = confirmed_ago.filter(|_| self.clock.mode() == Mode::Asked) {
-            self.clock.confirm(self.clock.started().saturating_sub(ago));
+        // With a local agent the lease starts with the process, whatever the predecessor was notified of.
+        if let Some(elapsed) = since_confirmation.filter(|_| self.clock.mode() == Mode::Asked) {
+            self.clock.confirm(self.clock.started().saturating_sub(elapsed));
         }
-        let update = known.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
-        self.take(ctx, hops, update, ListKind::Saved);
-        ctx.deadlines.set(Due::Ready, self.clock.started() + READY_PATIENCE);
-        self.keep_time(ctx);
+        let update = initial.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
+        self.apply(ctx, workers, update, ListKind::Saved);
+        ctx.deadlines.set(Due::Ready, self.clock.started() + READY_TIMEOUT);
+        self.update_deadlines(ctx);
     }
 
-    /// After it was told of a change a scheduler may go on as before for so long from now on.
+    /// Sets the time after notification of a change during which a scheduler may still act on the old list,
+    /// in microseconds.
     pub fn set_grace(&mut self, ctx: &mut Ctx<'_>, grace: Micros) {
         if self.clock.set_grace(grace) {
-            self.keep_time(ctx);
+            self.update_deadlines(ctx);
         }
     }
 
-    /// How long ago the list was last confirmed, for another process to begin with.
+    /// Time since the list was last confirmed, in microseconds, for the handover to a successor.
     pub fn time_since_confirmation(&self, now: Micros) -> Option<Micros> {
         self.clock.confirmed().map(|confirmed| now.saturating_sub(confirmed))
     }
 
-    /// Clients may come: the list can be acted on, or has not been confirmed for so long that they are refused rather than
-    /// kept waiting.
+    /// Returns whether clients may be served: the list can be acted on, or it has been unconfirmed for
+    /// `READY_TIMEOUT`, so that clients are refused instead of being kept waiting.
     pub fn is_ready(&self, now: Micros) -> bool {
-        !self.stale(now) || now >= self.clock.started() + READY_PATIENCE
+        !self.stale(now) || now >= self.clock.started() + READY_TIMEOUT
     }
 
-    /// The state of the list for operators: by name and value.
+    /// Metrics of the list by name.
     pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 9] {
         [
             ("list.version", self.seq),
@@ -143,54 +146,54 @@
             ("list.lost", self.counters.lost),
             ("list.versions_taken", self.counters.versions),
             ("list.versions_outdated", self.counters.outdated),
-            ("list.vouched", self.counters.vouched),
-            ("list.behind", self.counters.behind),
+            ("list.vouched", self.counters.confirmed_by_peer),
+            ("list.behind", self.counters.newer_at_peer),
         ]
     }
 
-    /// The list as it is known, for another process to begin with.
+    /// The known list, for the handover to a successor.
     pub fn known_list(&self) -> Update {
-        let hosts = self.listed.values().filter_map(|line| serde_json::to_value(line).ok()).collect();
+        let hosts = self.listed.values().filter_map(|entry| serde_json::to_value(entry).ok()).collect();
         Update { seq: self.seq, whole: true, hosts }
     }
 
-    /// Asks for the whole list once.
-    pub fn fetch_list(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare) {
-        // One that is under way brings the same.
+    /// Requests the whole list once.
+    pub fn fetch_list(&mut self, ctx: &mut Ctx<'_>, idle_clients: &mut dyn Spare) {
+        // A call in progress brings the same list.
         if self.fetch.is_none() {
-            self.fetch = self.call(ctx, spare, "/discovery/hosts");
+            self.fetch = self.open_call(ctx, idle_clients, "/discovery/hosts");
             if self.fetch.is_some() {
                 ctx.deadlines.set(Due::Fetch, ctx.now + TURN);
             }
         }
     }
 
-    /// Begins the watch, or ends it.
-    pub fn set_watch(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, want: bool) {
+    /// Opens or closes the watch.
+    pub fn set_watch(&mut self, ctx: &mut Ctx<'_>, idle_clients: &mut dyn Spare, enabled: bool) {
         if let Some(call) = self.watch.take() {
-            if want && call.open {
-                self.leave_before(ctx);
-                self.before = Some(call);
+            if enabled && call.head_received {
+                self.close_previous_watch(ctx);
+                self.previous_watch = Some(call);
             } else {
-                hang_up(ctx, call);
+                close_call(ctx, call);
             }
         }
-        if want {
+        if enabled {
             let target = format!("/discovery/hosts?watch=1&from={}", self.seq);
             self.clock.opened(ctx.now);
-            self.watch = self.call(ctx, spare, &target);
+            self.watch = self.open_call(ctx, idle_clients, &target);
             if self.watch.is_none() {
                 self.clock.closed(ctx.now);
             }
         } else {
-            self.leave_before(ctx);
+            self.close_previous_watch(ctx);
             self.clock.closed(ctx.now);
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// Sees to it that the clock is looked at when it wants to be, and that the module knows until when the list holds.
-    fn keep_time(&mut self, ctx: &mut Ctx<'_>) {
+    /// Sets the deadlines that the clock asks for, and tells the dispatcher when the lease of the list ends.
+    fn update_deadlines(&mut self, ctx: &mut Ctx<'_>) {
         match self.clock.due() {
             Some(due) => ctx.deadlines.set(Due::Watch, due),
             None => ctx.deadlines.clear(Due::Watch),
@@ -199,188 +202,195 @@
             Some(due) => ctx.deadlines.set(Due::Witness, due),
             None => ctx.deadlines.clear(Due::Witness),
         }
-        let until = self.clock.until();
-        if until != self.until {
-            self.until = until;
-            ctx.desk.list_until(until);
-            match until {
-                Some(until) if until > ctx.now => ctx.deadlines.set(Due::Stale, until),
+        let lease_end = self.clock.until();
+        if lease_end != self.lease_end {
+            self.lease_end = lease_end;
+            ctx.desk.list_until(lease_end);
+            match lease_end {
+                Some(lease_end) if lease_end > ctx.now => ctx.deadlines.set(Due::Stale, lease_end),
                 _ => ctx.deadlines.clear(Due::Stale),
             }
         }
-        let in_force = !self.stale(ctx.now);
-        if in_force && !self.in_force && self.discovery.is_some() {
+        let usable = !self.stale(ctx.now);
+        if usable && !self.usable && self.discovery.is_some() {
             note!(seq = self.seq, "discovery: the list is confirmed");
         }
-        self.in_force = in_force;
+        self.usable = usable;
     }
 
-    /// The list has not been confirmed for so long, or at all, that nothing new may be sent by it.
+    /// Returns whether the lease of the list has ended or never started, so that nothing new may be sent
+    /// based on it.
     fn stale(&self, now: Micros) -> bool {
-        self.clock.until().is_some_and(|until| now >= until)
+        self.clock.until().is_some_and(|lease_end| now >= lease_end)
     }
 
-    /// The list has grown too old to be acted on.
+    /// Handles the end of the lease of the list.
     pub fn handle_expiry(&mut self, now: Micros) {
         if self.stale(now) {
-            self.in_force = false;
+            self.usable = false;
             note!(warn: seq = self.seq, "discovery: the list is too old: nothing new is sent until it is confirmed");
         }
     }
 
-    fn leave_before(&mut self, ctx: &mut Ctx<'_>) {
-        if let Some(call) = self.before.take() {
-            hang_up(ctx, call);
+    fn close_previous_watch(&mut self, ctx: &mut Ctx<'_>) {
+        if let Some(call) = self.previous_watch.take() {
+            close_call(ctx, call);
         }
     }
 
-    /// Discovery is at this address from now on; what to ask of it, and when, is the module's to say.
+    /// Sets the address of discovery. The dispatcher decides which calls to make there, and when.
     pub fn set_address(&mut self, ctx: &mut Ctx<'_>, discovery: Option<SocketAddr>) {
         if self.discovery != discovery {
             self.discovery = discovery;
             self.clock.moved(ctx.now);
             ctx.desk.list_moved();
-            self.keep_time(ctx);
+            self.update_deadlines(ctx);
         }
     }
 
-    fn call(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, target: &str) -> Option<Call> {
+    fn open_call(&mut self, ctx: &mut Ctx<'_>, idle_clients: &mut dyn Spare, target: &str) -> Option<Call> {
         let discovery = self.discovery?;
         self.counters.calls += 1;
-        note!(seq = self.seq, %discovery, target, "discovery: a call");
-        let mut made = TcpStream::connect(discovery);
-        // Out of descriptors, say: without the list nothing can be sent at all, so that clients at rest make room.
-        if made.is_err() && spare.shed(ctx) {
-            made = TcpStream::connect(discovery);
+        note!(seq = self.seq, %discovery, target, "discovery: opening a call");
+        let mut connect_result = TcpStream::connect(discovery);
+        // The connect fails when the process is out of descriptors, for example. Nothing can be sent without
+        // the list, so an idle client connection is closed to free one.
+        if connect_result.is_err() && idle_clients.shed(ctx) {
+            connect_result = TcpStream::connect(discovery);
         }
         let token = ctx.next_token();
-        if let Ok(stream) = &mut made
+        if let Ok(stream) = &mut connect_result
             && let Err(error) =
                 ctx.registry.register(stream, Token(token), Interest::READABLE | Interest::WRITABLE)
         {
-            made = Err(error);
+            connect_result = Err(error);
         }
-        match made {
+        match connect_result {
             Ok(stream) => {
                 let mut buffer = Buffer::default();
                 buffer.put(&framing::write_request("GET", target, &[("Host", "discovery")], b""));
-                Some(Call { token, stream, buffer, open: false, text: Vec::new() })
+                Some(Call { token, stream, buffer, head_received: false, pending: Vec::new() })
             }
             Err(error) => {
-                note!("calling discovery: {error}");
-                self.tell_lost(ctx);
+                note!("failed to call discovery: {error}");
+                self.report_loss(ctx);
                 None
             }
         }
     }
 
-    /// The connection is one of these.
+    /// Returns whether the token belongs to one of the calls.
     pub fn owns_token(&self, token: usize) -> bool {
-        [&self.fetch, &self.watch, &self.before].into_iter().flatten().any(|call| call.token == token)
+        [&self.fetch, &self.watch, &self.previous_watch].into_iter().flatten().any(|call| call.token == token)
     }
 
-    /// Something can be read or written on one of these connections.
-    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut UpstreamConnections, token: usize) {
+    /// Handles a readable or writable call.
+    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, workers: &mut UpstreamConnections, token: usize) {
         if self.fetch.as_ref().is_some_and(|call| call.token == token) {
             let Some(mut call) = self.fetch.take() else { return };
-            match fetched(&mut call) {
+            match read_list(&mut call) {
                 Ok(None) => self.fetch = Some(call),
                 Ok(Some(update)) => {
-                    hang_up(ctx, call);
+                    close_call(ctx, call);
                     ctx.deadlines.clear(Due::Fetch);
-                    // A watch may have brought what is newer: then this list is one of the past, and tells nothing.
-                    if self.update(ctx, hops, update).is_err() {
+                    // A watch may have brought a newer version. This list is then outdated and contains
+                    // nothing new.
+                    if self.apply_if_current(ctx, workers, update).is_err() {
                         ctx.desk.members(Source::Listed, ListKind::Changes, Vec::new());
                     }
                 }
-                Err(why) => self.lose(ctx, call, Due::Fetch, why),
+                Err(why) => self.handle_loss(ctx, call, Due::Fetch, why),
             }
         } else if self.watch.as_ref().is_some_and(|call| call.token == token) {
-            self.watch_ready(ctx, hops);
-        } else if let Some(mut call) = self.before.take_if(|call| call.token == token) {
+            self.handle_watch_ready(ctx, workers);
+        } else if let Some(mut call) = self.previous_watch.take_if(|call| call.token == token) {
             let mut updates = Vec::new();
-            let Heard { end, .. } = watched(&mut call, &mut updates);
-            let taken = updates.into_iter().try_for_each(|update| self.update(ctx, hops, update));
-            if taken.is_ok() && end.is_none() {
-                self.before = Some(call);
+            let WatchRead { end, .. } = read_watch(&mut call, &mut updates);
+            let applied =
+                updates.into_iter().try_for_each(|update| self.apply_if_current(ctx, workers, update));
+            if applied.is_ok() && end.is_none() {
+                self.previous_watch = Some(call);
             } else {
-                // Nothing to tell the module: the call that takes its place has an outcome of its own.
-                hang_up(ctx, call);
+                // The dispatcher is not informed: the watch that replaces this one reports its own outcome.
+                close_call(ctx, call);
             }
         }
     }
 
-    /// The watch has brought something, or has ended.
-    fn watch_ready(&mut self, ctx: &mut Ctx<'_>, hops: &mut UpstreamConnections) {
+    /// Handles input on the watch, or its end.
+    fn handle_watch_ready(&mut self, ctx: &mut Ctx<'_>, workers: &mut UpstreamConnections) {
         let Some(mut call) = self.watch.take() else { return };
-        // What lay unread while this process stood still may be of any time since, and confirms nothing now. The watch
-        // counts as silent later in this turn.
+        // Input that stayed unread while this process was stopped may be old, so it confirms nothing. The
+        // watch times out later in this iteration.
         let overdue = self.clock.due().is_some_and(|due| due <= ctx.now);
         let mut updates = Vec::new();
-        let Heard { word, end } = watched(&mut call, &mut updates);
-        let taken = updates.into_iter().try_for_each(|update| self.update(ctx, hops, update));
-        match word {
-            Word::None => {}
-            // An older list than the known one says nothing of that one.
-            _ if taken.is_err() => {}
-            _ if overdue => note!("discovery: what was not read for too long confirms nothing"),
-            Word::Partial => self.clock.received(ctx.now),
-            Word::Whole => {
+        let WatchRead { input, end } = read_watch(&mut call, &mut updates);
+        let applied = updates.into_iter().try_for_each(|update| self.apply_if_current(ctx, workers, update));
+        match input {
+            WatchInput::None => {}
+            // A list older than the known one confirms nothing about the known one.
+            _ if applied.is_err() => {}
+            _ if overdue => {
+                note!("discovery: input that stayed unread past its deadline does not confirm the list")
+            }
+            WatchInput::Partial => self.clock.received(ctx.now),
+            WatchInput::Complete => {
                 self.clock.heard(ctx.now);
                 self.inquiry.rest();
             }
         }
-        if let Some(why) = taken.err().or(end) {
-            return self.lose(ctx, call, Due::Watch, why);
+        if let Some(why) = applied.err().or(end) {
+            return self.handle_loss(ctx, call, Due::Watch, why);
         }
-        if call.open {
-            self.leave_before(ctx);
+        if call.head_received {
+            self.close_previous_watch(ctx);
         }
         self.watch = Some(call);
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// Nothing has come for too long, or it is time for another call.
-    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, due: Due) {
+    /// Handles the timeout of a call, or opens the next watch.
+    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, idle_clients: &mut dyn Spare, due: Due) {
         if due == Due::Fetch {
             if let Some(call) = self.fetch.take() {
-                self.lose(ctx, call, due, "nothing came for too long");
+                self.handle_loss(ctx, call, due, "timed out waiting for data");
             }
             return;
         }
         match self.clock.act(ctx.now) {
-            Some(Act::Open) => return self.set_watch(ctx, spare, true),
+            Some(Act::Open) => return self.set_watch(ctx, idle_clients, true),
             Some(Act::Lose) => {
                 if let Some(call) = self.watch.take() {
-                    self.lose(ctx, call, due, "nothing came for too long");
+                    self.handle_loss(ctx, call, due, "timed out waiting for data");
                 }
             }
             None => {}
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    fn lose(&mut self, ctx: &mut Ctx<'_>, call: Call, due: Due, why: &str) {
+    fn handle_loss(&mut self, ctx: &mut Ctx<'_>, call: Call, due: Due, why: &str) {
         self.counters.lost += 1;
         note!(seq = self.seq, "discovery: {why}");
-        hang_up(ctx, call);
+        close_call(ctx, call);
         if due == Due::Fetch {
             ctx.deadlines.clear(due);
         } else {
             self.clock.broke(ctx.now);
-            self.keep_time(ctx);
+            self.update_deadlines(ctx);
         }
-        self.tell_lost(ctx);
+        self.report_loss(ctx);
     }
 
-    /// The module says when a service that all share is asked again. An agent is asked without it.
-    fn tell_lost(&self, ctx: &mut Ctx<'_>) {
+    /// The dispatcher decides when a shared discovery service is queried again. An agent is queried without
+    /// it.
+    fn report_loss(&self, ctx: &mut Ctx<'_>) {
         if self.clock.mode() == Mode::Asked {
             ctx.desk.members(Source::Listed, ListKind::Lost, Vec::new());
         }
     }
 }
 
-fn hang_up(ctx: &mut Ctx<'_>, mut call: Call) {
+fn close_call(ctx: &mut Ctx<'_>, mut call: Call) {
     let _ = ctx.registry.deregister(&mut call.stream);
 }
--- a/src/net/platform/discovery/peer_queries.rs
+++ b/src/net/platform/discovery/peer_queries.rs
@@ -1,24 +1,25 @@
-//! What schedulers ask each other of the freshness of their lists, as [`calicolb_freshness::witness`] has it.
+//! Queries between schedulers about the freshness of their lists, by the protocol in
+//! [`calicolb_freshness::witness`].
 
 use super::DiscoveryClient;
-use super::digest::digest;
+use super::digest::list_digest;
 use crate::log::note;
 use crate::net::{Audience, Ctx};
 use calicolb_freshness::witness::{AUDIENCE, Inquiry, Message, Verdict};
 
 impl DiscoveryClient {
-    /// It is time to ask some other schedulers how fresh their lists are.
+    /// Queries some other schedulers about their lists if a query is due.
     pub fn query_peers(&mut self, ctx: &mut Ctx<'_>) {
         if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
             ctx.tell(Audience::Some(AUDIENCE), question.encode());
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// Another scheduler asks how fresh this one's list is, or answers.
+    /// Answers the query of another scheduler, or processes its answer.
     pub fn handle_peer_message(&mut self, ctx: &mut Ctx<'_>, from: u32, message: Message) {
-        let own = *self.digest.get_or_insert_with(|| digest(self.listed.values()));
+        let own = *self.digest.get_or_insert_with(|| list_digest(self.listed.values()));
         match message {
             Message::Question { number } => {
                 if let Some(answer) = Inquiry::answer(number, &self.clock, own, ctx.now) {
@@ -29,17 +30,17 @@
                 let verdict = self.inquiry.answered(&mut self.clock, own, (number, digest, age_ms));
                 match verdict {
                     Verdict::Nothing => return,
-                    Verdict::Confirmed => self.counters.vouched += 1,
-                    Verdict::Behind => self.counters.behind += 1,
+                    Verdict::Confirmed => self.counters.confirmed_by_peer += 1,
+                    Verdict::Behind => self.counters.newer_at_peer += 1,
                 }
                 note!(
                     seq = self.seq,
                     from,
                     age_ms,
                     ?verdict,
-                    "discovery: another scheduler had a word of it"
+                    "discovery: received another scheduler's answer about its list"
                 );
-                self.keep_time(ctx);
+                self.update_deadlines(ctx);
             }
         }
     }
--- a/src/net/platform/discovery/versions.rs
+++ b/src/net/platform/discovery/versions.rs
@@ -1,7 +1,7 @@
-//! Versions of the list: what is taken in, and what becomes of workers that come and go with it.
+//! Applies versions of the worker list and adds or removes workers accordingly.
 
-use super::entry::{Line, read_member};
-use super::{DiscoveryClient, HOPS_LIMIT};
+use super::entry::{Entry, read_member};
+use super::{DiscoveryClient, MAX_WORKERS};
 use crate::config::list::Update;
 use crate::log::note;
 use crate::net::Ctx;
@@ -14,13 +14,13 @@
 use std::net::SocketAddr;
 
 impl DiscoveryClient {
-    /// Takes in a version or changes. One older than what is known is not taken: it would bring back what has gone
-    /// since. Should the known one not be confirmed for as long as discovery may take to tell, it has begun anew, and is
-    /// believed.
-    pub(super) fn update(
+    /// Applies a full list or changes. An update older than the known version is rejected because it would
+    /// bring back removed workers. If the known version has not been confirmed for as long as discovery may
+    /// take to notify, discovery has restarted its numbering and the update is accepted.
+    pub(super) fn apply_if_current(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut UpstreamConnections,
+        workers: &mut UpstreamConnections,
         update: Update,
     ) -> Result<(), &'static str> {
         let confirmed = self.clock.confirmed().unwrap_or(self.clock.started());
@@ -29,23 +29,25 @@
             return Err("the list is older than the one that is known");
         }
         let kind = if update.whole { ListKind::Full } else { ListKind::Changes };
-        self.take(ctx, hops, update, kind);
+        self.apply(ctx, workers, update, kind);
         Ok(())
     }
 
-    pub(super) fn take(
+    /// Applies a full list or changes without checking the version, and reports the members to the
+    /// dispatcher.
+    pub(super) fn apply(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut UpstreamConnections,
+        workers: &mut UpstreamConnections,
         update: Update,
         kind: ListKind,
     ) {
-        let (before, lines) = (self.seq, update.hosts.len());
+        let (before, entry_count) = (self.seq, update.hosts.len());
         self.seq = update.seq;
         self.digest = None;
         let mut members = Vec::with_capacity(update.hosts.len());
         for value in update.hosts {
-            match self.read_line(ctx, hops, value) {
+            match self.read_entry(ctx, workers, value) {
                 Ok(member) => members.push(member),
                 Err(error) => note!("a line of the list is dropped: {error}"),
             }
@@ -59,44 +61,58 @@
                 .collect();
             for id in gone {
                 self.listed.remove(&id);
-                hops.remove_worker(ctx, id);
+                workers.remove_worker(ctx, id);
             }
         }
         for member in members.iter().filter(|member| member.standing == Standing::Gone) {
             self.listed.remove(&member.worker);
-            hops.remove_worker(ctx, member.worker);
+            workers.remove_worker(ctx, member.worker);
         }
         let count = |standing| members.iter().filter(|member| member.standing == standing).count();
         let (draining, gone) = (count(Standing::Draining), count(Standing::Gone));
         self.counters.versions += 1;
         if self.discovery.is_some() {
-            note!(seq = self.seq, before, ?kind, lines, draining, gone, "discovery: a version is taken in");
+            note!(
+                seq = self.seq,
+                before,
+                ?kind,
+                lines = entry_count,
+                draining,
+                gone,
+                "discovery: applied a version of the list"
+            );
         }
         ctx.desk.members(Source::Listed, kind, members);
     }
 
-    fn read_line(
+    /// Parses one entry and records its worker. Rejects an entry whose worker number is already taken.
+    fn read_entry(
         &mut self,
         ctx: &mut Ctx<'_>,
-        hops: &mut UpstreamConnections,
+        workers: &mut UpstreamConnections,
         value: Value,
     ) -> Result<Member, WireError> {
-        let line: Line = serde_json::from_value(value).map_err(|error| WireError(error.to_string()))?;
+        let entry: Entry = serde_json::from_value(value).map_err(|error| WireError(error.to_string()))?;
         let dial: SocketAddr =
-            line.dial.parse().map_err(|_| WireError(format!("'{}' is no address", line.dial)))?;
-        let member = read_member(ctx.names, &line)?;
+            entry.dial.parse().map_err(|_| WireError(format!("'{}' is not an address", entry.dial)))?;
+        let member = read_member(ctx.names, &entry)?;
         if ctx.desk.foreign(member.worker, Source::Listed) {
-            return Err(WireError(format!("'{}' has the number of a hop that is no host", line.host)));
+            return Err(WireError(format!(
+                "'{}' has the number of a worker that is not a host of the list",
+                entry.host
+            )));
         }
         match self.listed.get(&member.worker) {
-            Some(known) if known.host != line.host => {
-                return Err(WireError(format!("'{}' and '{}' have the same number", line.host, known.host)));
+            Some(known) if known.host != entry.host => {
+                return Err(WireError(format!("'{}' and '{}' have the same number", entry.host, known.host)));
+            }
+            None if self.listed.len() >= MAX_WORKERS => {
+                return Err(WireError("the list has too many hosts".to_owned()));
             }
-            None if self.listed.len() >= HOPS_LIMIT => return Err(WireError("too many hosts".to_owned())),
             _ => {}
         }
-        hops.update_worker(ctx, member.worker, dial, line.born_ms);
-        self.listed.insert(member.worker, line);
+        workers.update_worker(ctx, member.worker, dial, entry.born_ms);
+        self.listed.insert(member.worker, entry);
         Ok(member)
     }
 }
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -467,7 +467,7 @@
         send d chunk \n
         until 4000
         send program CONT
-        expect program what was not read for too long confirms nothing
+        expect program input that stayed unread past its deadline does not confirm the list
         expect d.2 GET /discovery/hosts?watch=1&from=41
         until 7000
         send c1 POST /look Request-Id:a1 Request-Timeout:20
