--- a/src/net/platform/discovery/digest.rs
+++ b/src/net/platform/discovery/digest.rs
@@ -10,13 +10,13 @@
     entries.sort_unstable_by(|one, other| one.host.cmp(&other.host));
     let mut hash = Sha256::new();
     for entry in entries {
-        for text in [&entry.host, &entry.site, &entry.class, &entry.health] {
+        for text in [&entry.host, &entry.zone, &entry.kind, &entry.health] {
             hash.update((text.len() as u64).to_le_bytes());
             hash.update(text);
         }
-        hash.update(entry.block.to_le_bytes());
-        hash.update(entry.share.to_bits().to_le_bytes());
-        hash.update(entry.born_ms.to_le_bytes());
+        hash.update(entry.cell.to_le_bytes());
+        hash.update(entry.weight.to_bits().to_le_bytes());
+        hash.update(entry.started_ms.to_le_bytes());
     }
     let hash: [u8; 32] = hash.finalize().into();
     let [a, b, c, d, e, f, g, h, ..] = hash;
@@ -27,10 +27,10 @@
 mod tests {
     use super::*;
 
-    fn entry(host: &str, dial: &str, health: &str) -> Entry {
-        let (site, class) = ("north".to_owned(), "big".to_owned());
-        let (host, dial, health) = (host.to_owned(), dial.to_owned(), health.to_owned());
-        Entry { host, dial, site, class, block: 0, health, share: 1.0, born_ms: 7 }
+    fn entry(host: &str, address: &str, health: &str) -> Entry {
+        let (zone, kind) = ("north".to_owned(), "big".to_owned());
+        let (host, address, health) = (host.to_owned(), address.to_owned(), health.to_owned());
+        Entry { host, address, zone, kind, cell: 0, health, weight: 1.0, started_ms: 7 }
     }
 
     #[test]
@@ -46,7 +46,7 @@
             base,
             digest(&[entry("a", "10.0.0.1:1", "in_service"), entry("b", "10.0.0.2:1", "terminating")])
         );
-        let restarted = Entry { born_ms: 8, ..entry("b", "10.0.0.2:1", "in_service") };
+        let restarted = Entry { started_ms: 8, ..entry("b", "10.0.0.2:1", "in_service") };
         assert_ne!(base, digest(&[entry("a", "10.0.0.1:1", "in_service"), restarted]));
         assert_ne!(digest(&[entry("ab", "", "c")]), digest(&[entry("a", "", "bc")]));
     }
--- a/src/net/platform/discovery/entry.rs
+++ b/src/net/platform/discovery/entry.rs
@@ -8,19 +8,22 @@
 #[derive(Serialize, Deserialize)]
 pub(super) struct Entry {
     pub(super) host: String,
-    pub(super) dial: String,
-    pub(super) site: String,
-    pub(super) class: String,
-    #[serde(default)]
-    pub(super) block: u32,
+    #[serde(rename = "dial")]
+    pub(super) address: String,
+    #[serde(rename = "site")]
+    pub(super) zone: String,
+    #[serde(rename = "class")]
+    pub(super) kind: String,
+    #[serde(default, rename = "block")]
+    pub(super) cell: u32,
     pub(super) health: String,
-    #[serde(default = "default_share")]
-    pub(super) share: f64,
-    #[serde(default)]
-    pub(super) born_ms: u64,
+    #[serde(default = "default_weight", rename = "share")]
+    pub(super) weight: f64,
+    #[serde(default, rename = "born_ms")]
+    pub(super) started_ms: u64,
 }
 
-fn default_share() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -34,13 +37,13 @@
     };
     Ok(Member {
         worker: hop_id(&entry.host),
-        zone: names.zone(&entry.site)?,
-        kind: names.kind(&entry.class)?,
-        cell: entry.block,
+        zone: names.zone(&entry.zone)?,
+        kind: names.kind(&entry.kind)?,
+        cell: entry.cell,
         standing,
-        weight: entry.share,
+        weight: entry.weight,
         // The dispatcher's clock is Unix time in microseconds; 0 stands for an unknown start long ago.
-        started: entry.born_ms.checked_mul(1_000).filter(|&at| at > 0),
+        started: entry.started_ms.checked_mul(1_000).filter(|&at| at > 0),
         lanes: None,
         refuses: 0,
     })
--- a/src/net/platform/discovery/versions.rs
+++ b/src/net/platform/discovery/versions.rs
@@ -93,8 +93,8 @@
         value: Value,
     ) -> Result<Member, WireError> {
         let entry: Entry = serde_json::from_value(value).map_err(|error| WireError(error.to_string()))?;
-        let dial: SocketAddr =
-            entry.dial.parse().map_err(|_| WireError(format!("'{}' is not an address", entry.dial)))?;
+        let address: SocketAddr =
+            entry.address.parse().map_err(|_| WireError(format!("'{}' is not an address", entry.address)))?;
         let member = read_member(ctx.names, &entry)?;
         if ctx.desk.foreign(member.worker, Source::Listed) {
             return Err(WireError(format!(
@@ -111,7 +111,7 @@
             }
             _ => {}
         }
-        workers.update_worker(ctx, member.worker, dial, entry.born_ms);
+        workers.update_worker(ctx, member.worker, address, entry.started_ms);
         self.listed.insert(member.worker, entry);
         Ok(member)
     }
