--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -1,13 +1,13 @@
-//! The agreed configuration, as a scheduler learns it: one watch at one of the control machines, and a call that tells
-//! which version is in force. It only calls out. What counts of what is heard is [`calicolb_agreed::Learner`]'s to say; the
-//! loop takes it up between two turns.
+//! Client of the control machines: learns the agreed configuration over a watch at one of them, and reports
+//! which version is in force here. It opens connections but accepts none. [`calicolb_agreed::Learner`]
+//! decides which messages count; the event loop applies a new version between two iterations.
 
 use crate::config::agreed::{Here, whole};
 use crate::config::document::{self, Document};
 use crate::config::{Fault, LearnerConfig, Renewal};
 use crate::log::note;
 use crate::net::Ctx;
-use crate::net::control::form::{InForce as Told, Line};
+use crate::net::control::form::{InForce as InForceReport, Line};
 use crate::net::core::buffer::Buffer;
 use crate::net::core::deadlines::Due;
 use crate::net::http::framing;
@@ -21,173 +21,181 @@
 use std::sync::Arc;
 
 const MILLI: Micros = 1_000;
-/// A machine says this often at least that there is nothing new, ...
-const LINE: Micros = 1_500 * MILLI;
-/// ... and a watch on which nothing came for longer than this is broken.
-const SILENT: Micros = LINE * 5 / 2;
-/// A connection and the first line on it, or an answer, are owed by then.
-const OWED: Micros = 1_000 * MILLI;
-/// The next machine is asked after this time at first, ...
-const FIRST_WAIT: Micros = 50 * MILLI;
-/// ... and after this at most, give or take a half: when regions come back, those that ask anew are spread over it.
-const LONGEST_WAIT: Micros = 1_000 * MILLI;
+/// Longest interval at which a control machine sends an empty line while nothing changes, in microseconds.
+const HEARTBEAT_INTERVAL: Micros = 1_500 * MILLI;
+/// A watch without input for longer than this is broken, in microseconds.
+const WATCH_TIMEOUT: Micros = HEARTBEAT_INTERVAL * 5 / 2;
+/// Time in which a connection must be established and bring the first line or the response, in microseconds.
+const RESPONSE_TIMEOUT: Micros = 1_000 * MILLI;
+/// Delay before the next machine is tried after the first failure, in microseconds. It doubles with each
+/// failure.
+const MIN_RETRY_DELAY: Micros = 50 * MILLI;
+/// Upper bound of that delay, in microseconds. A random factor of 0.5 to 1.5 spreads the schedulers that
+/// reconnect when regions come back.
+const MAX_RETRY_DELAY: Micros = 1_000 * MILLI;
 
-/// See the head of this file.
+/// The watch at a control machine and the version of the configuration that is in force.
 pub struct ControlClient {
-    /// The machines, in the order in which this scheduler asks them.
+    /// The machines, in the order in which this scheduler tries them.
     machines: Vec<SocketAddr>,
-    at: usize,
+    /// Index of the machine in use.
+    current: usize,
     name: String,
-    silence: Micros,
+    /// Time without a message from a majority after which a machine is left, in microseconds.
+    majority_timeout: Micros,
     learner: Learner,
-    /// The keys that are this scheduler's own.
-    own: Document,
+    /// Settings that belong to this scheduler alone and are never agreed.
+    local_settings: Document,
     watch: Option<Call>,
-    /// When the watch was asked for, when something came on it last, and when that was a majority's word.
-    opened: Micros,
-    heard: Option<Micros>,
-    majority: Micros,
-    /// The version that the machine read_watch has, as far as it told.
-    seq: u64,
-    /// When the next machine is asked.
-    again: Option<Micros>,
-    failed: u32,
-    tell: Option<Call>,
-    tell_by: Micros,
-    /// The version that the machine read_watch was told to be in force.
-    told: Option<u64>,
+    /// When the watch was opened, when it last brought input, and when a machine with a majority last
+    /// confirmed it, in microseconds.
+    opened_at: Micros,
+    last_input: Option<Micros>,
+    last_majority: Micros,
+    /// The last version that the watched machine reported.
+    machine_seq: u64,
+    /// When the next machine is tried, in microseconds.
+    retry_at: Option<Micros>,
+    failures: u32,
+    report_call: Option<Call>,
+    report_deadline: Micros,
+    /// The version that was reported to the watched machine as being in force here.
+    reported_seq: Option<u64>,
     random: fastrand::Rng,
-    /// What the loop took up last, and what it was given last, whether it could be taken up or not.
-    taken: Arc<InForce>,
-    given: Arc<InForce>,
-    /// It was logged that this scheduler is behind.
+    /// The version that the event loop applied last, and the one that was last offered to it, whether it
+    /// could be applied or not.
+    in_force: Arc<InForce>,
+    offered: Arc<InForce>,
+    /// The last log line said that this scheduler is behind.
     behind: bool,
 }
 
 impl ControlClient {
-    /// Learns from these machines. Which is asked first is drawn from the name, and so is each that follows: those that
-    /// a machine leaves behind are spread over all others.
+    /// Creates a client of these machines. The order in which they are tried is derived from the scheduler's
+    /// name, so that the schedulers that lose one machine spread over all others.
     pub fn new(config: LearnerConfig, name: &str, seed: u64) -> ControlClient {
-        let machines = in_order(config.machines, name);
-        // The settings of the own configuration are in force until a version is.
-        let first = Version::new(0, config.settings);
-        let here = Here { own: config.own.clone() };
-        let learner = Learner::with(config.silence, Box::new(here), first);
-        let taken = learner.in_force(0);
+        let machines = shuffled_machines(config.machines, name);
+        // The settings of the local configuration are in force until a version is agreed.
+        let initial = Version::new(0, config.settings);
+        let rules = Here { own: config.own.clone() };
+        let learner = Learner::with(config.silence, Box::new(rules), initial);
+        let in_force = learner.in_force(0);
         ControlClient {
             machines,
-            at: 0,
+            current: 0,
             name: name.to_owned(),
-            silence: config.silence,
+            majority_timeout: config.silence,
             learner,
-            own: config.own,
+            local_settings: config.own,
             watch: None,
-            opened: 0,
-            heard: None,
-            majority: 0,
-            seq: 0,
-            again: None,
-            failed: 0,
-            tell: None,
-            tell_by: 0,
-            told: None,
-            random: fastrand::Rng::with_seed(seed ^ hash(name)),
-            given: Arc::clone(&taken),
-            taken,
+            opened_at: 0,
+            last_input: None,
+            last_majority: 0,
+            machine_seq: 0,
+            retry_at: None,
+            failures: 0,
+            report_call: None,
+            report_deadline: 0,
+            reported_seq: None,
+            random: fastrand::Rng::with_seed(seed ^ name_hash(name)),
+            offered: Arc::clone(&in_force),
+            in_force,
             behind: true,
         }
     }
 
-    /// Begins to learn.
+    /// Opens the watch.
     pub fn start(&mut self, ctx: &mut Ctx<'_>) {
         note!(
-            "settings are agreed by {} control machines: {} is asked first",
+            "settings are agreed by {} control machines; connecting to {} first",
             self.machines.len(),
             self.machines[0]
         );
-        // It is no news that nothing was heard yet: that is logged once it has lasted.
+        // At the start nothing has been received yet. Being behind is logged only after it has lasted for the
+        // timeout.
         self.behind = false;
-        self.majority = ctx.now;
-        self.open(ctx);
-        self.keep_time(ctx);
+        self.last_majority = ctx.now;
+        self.open_watch(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// The machines are at these addresses from now on.
+    /// Sets the addresses of the control machines.
     pub fn set_machines(&mut self, ctx: &mut Ctx<'_>, machines: Vec<SocketAddr>) {
-        let here = self.machines[self.at];
-        self.machines = in_order(machines, &self.name);
-        match self.machines.iter().position(|at| *at == here) {
-            Some(at) => self.at = at,
+        let current = self.machines[self.current];
+        self.machines = shuffled_machines(machines, &self.name);
+        match self.machines.iter().position(|at| *at == current) {
+            Some(at) => self.current = at,
             None => {
-                self.at = 0;
-                self.lose(ctx, "it is no control machine any more");
+                self.current = 0;
+                self.handle_loss(ctx, "no longer a control machine");
             }
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// The connection is one of these.
+    /// Returns whether the token belongs to one of the calls.
     pub fn owns_token(&self, token: usize) -> bool {
-        [&self.watch, &self.tell].into_iter().flatten().any(|call| call.token == token)
+        [&self.watch, &self.report_call].into_iter().flatten().any(|call| call.token == token)
     }
 
-    fn call(&self, ctx: &mut Ctx<'_>, request: &[u8]) -> Option<Call> {
+    fn open_call(&self, ctx: &mut Ctx<'_>, request: &[u8]) -> Option<Call> {
         let token = ctx.next_token();
-        let made = TcpStream::connect(self.machines[self.at]).and_then(|mut stream| {
-            let both = Interest::READABLE | Interest::WRITABLE;
-            ctx.registry.register(&mut stream, Token(token), both)?;
+        let connect_result = TcpStream::connect(self.machines[self.current]).and_then(|mut stream| {
+            let interest = Interest::READABLE | Interest::WRITABLE;
+            ctx.registry.register(&mut stream, Token(token), interest)?;
             Ok(stream)
         });
-        match made {
+        match connect_result {
             Ok(stream) => {
                 let mut buffer = Buffer::default();
                 buffer.put(request);
                 Some(Call { token, stream, buffer, head_received: false, pending: Vec::new() })
             }
             Err(error) => {
-                note!(debug: "calling a control machine: {error}");
+                note!(debug: "failed to call a control machine: {error}");
                 None
             }
         }
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>) {
+    fn open_watch(&mut self, ctx: &mut Ctx<'_>) {
         let held = self.learner.holds();
         let target =
             format!("/control/versions?watch=1&from={}&digest={}&name={}", held.seq, held.digest, self.name);
-        (self.opened, self.heard, self.told, self.again) = (ctx.now, None, None, None);
-        self.watch = self.call(ctx, &framing::write_request("GET", &target, &[("Host", "control")], b""));
+        (self.opened_at, self.last_input, self.reported_seq, self.retry_at) = (ctx.now, None, None, None);
+        self.watch =
+            self.open_call(ctx, &framing::write_request("GET", &target, &[("Host", "control")], b""));
         if self.watch.is_none() {
-            self.wait(ctx);
+            self.schedule_retry(ctx);
         }
     }
 
-    /// The next machine is asked after some time.
-    fn wait(&mut self, ctx: &mut Ctx<'_>) {
-        self.at = (self.at + 1) % self.machines.len();
-        let wait = (FIRST_WAIT << self.failed.min(8)).min(LONGEST_WAIT);
-        self.failed += 1;
-        self.again = Some(ctx.now + wait / 2 + self.random.u64(0..=wait));
+    /// Selects the next machine and sets the time at which it is tried.
+    fn schedule_retry(&mut self, ctx: &mut Ctx<'_>) {
+        self.current = (self.current + 1) % self.machines.len();
+        let delay = (MIN_RETRY_DELAY << self.failures.min(8)).min(MAX_RETRY_DELAY);
+        self.failures += 1;
+        self.retry_at = Some(ctx.now + delay / 2 + self.random.u64(0..=delay));
     }
 
-    fn lose(&mut self, ctx: &mut Ctx<'_>, why: &str) {
-        note!(debug: "control machine {}: {why}", self.machines[self.at]);
-        for call in [self.watch.take(), self.tell.take()].into_iter().flatten() {
-            hang_up(ctx, call);
+    fn handle_loss(&mut self, ctx: &mut Ctx<'_>, why: &str) {
+        note!(debug: "control machine {}: {why}", self.machines[self.current]);
+        for call in [self.watch.take(), self.report_call.take()].into_iter().flatten() {
+            close_call(ctx, call);
         }
-        self.wait(ctx);
+        self.schedule_retry(ctx);
     }
 
-    /// Something can be read or written on one of these connections.
+    /// Handles a readable or writable call.
     pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        if let Some(mut call) = self.tell.take_if(|call| call.token == token) {
+        if let Some(mut call) = self.report_call.take_if(|call| call.token == token) {
             match read_status(&mut call) {
-                Ok(false) => self.tell = Some(call),
-                Ok(true) => hang_up(ctx, call),
+                Ok(false) => self.report_call = Some(call),
+                Ok(true) => close_call(ctx, call),
                 Err(_) => {
-                    // It is told again with the next line.
-                    hang_up(ctx, call);
-                    self.told = None;
+                    // The report is repeated after the next line of the watch.
+                    close_call(ctx, call);
+                    self.reported_seq = None;
                 }
             }
         } else if let Some(mut call) = self.watch.take_if(|call| call.token == token) {
@@ -195,30 +203,30 @@
             let WatchRead { input, end } = read_watch(&mut call, &mut lines);
             self.watch = Some(call);
             if input != WatchInput::None {
-                self.heard = Some(ctx.now);
-                // An empty line says that there is nothing new, and is sent only with a majority. A part of a line that
-                // is not whole yet says nothing.
+                self.last_input = Some(ctx.now);
+                // An empty line means that nothing is new and is sent only by a machine with a majority. An
+                // incomplete line means nothing.
                 if input == WatchInput::Complete && lines.is_empty() {
-                    lines.push(Line { seq: self.seq, majority: true, ..Line::default() });
+                    lines.push(Line { seq: self.machine_seq, majority: true, ..Line::default() });
                 }
             }
-            let sound = lines.into_iter().try_for_each(|line| self.hear(ctx, line));
-            match sound.and(end.map_or(Ok(()), Err)) {
-                Ok(()) => self.say(ctx),
-                Err(why) => self.lose(ctx, why),
+            let result = lines.into_iter().try_for_each(|line| self.apply_line(ctx, line));
+            match result.and(end.map_or(Ok(()), Err)) {
+                Ok(()) => self.report_in_force(ctx),
+                Err(why) => self.handle_loss(ctx, why),
             }
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    fn hear(&mut self, ctx: &mut Ctx<'_>, line: Line) -> Result<(), &'static str> {
-        self.failed = 0;
-        self.seq = line.seq;
+    fn apply_line(&mut self, ctx: &mut Ctx<'_>, line: Line) -> Result<(), &'static str> {
+        self.failures = 0;
+        self.machine_seq = line.seq;
         let (seq, majority) = (line.seq, line.majority);
         if majority {
-            self.majority = ctx.now;
+            self.last_majority = ctx.now;
         }
-        let digest = |text: &str| text.parse().map_err(|_| "a digest is malformed");
+        let digest = |text: &str| text.parse().map_err(|_| "received a malformed digest");
         let message = if line.whole {
             let version = Version { seq, digest: digest(&line.digest)?, document: Arc::new(line.settings) };
             Message::Whole { version, majority }
@@ -230,156 +238,162 @@
             Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
         };
         match self.learner.hear(ctx.now, message) {
-            Taken::Gap => Err("a change is missing in between"),
+            Taken::Gap => Err("received a change that does not follow the known version"),
             Taken::Refused(fault) => {
-                note!(warn: "version {seq} cannot be taken up: '{}' {}", fault.key, fault.why);
+                note!(warn: "version {seq} cannot be applied: '{}' {}", fault.key, fault.why);
                 Ok(())
             }
             Taken::Nothing | Taken::InForce | Taken::Tightened => Ok(()),
         }
     }
 
-    /// What is to come into force, once.
+    /// Returns a version that has not been offered to the event loop yet, with its checked settings.
     pub fn next_version(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, Fault>)> {
-        let wanted = self.learner.in_force(now);
-        if Arc::ptr_eq(&wanted, &self.given) {
+        let latest = self.learner.in_force(now);
+        if Arc::ptr_eq(&latest, &self.offered) {
             return None;
         }
-        self.given = Arc::clone(&wanted);
-        let checked = document::check(&whole(&wanted.document, &self.own));
-        Some((wanted, checked))
+        self.offered = Arc::clone(&latest);
+        let checked = document::check(&whole(&latest.document, &self.local_settings));
+        Some((latest, checked))
     }
 
-    /// What became of it.
-    pub fn record_result(&mut self, ctx: &mut Ctx<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
-        match (outcome, news.tightened_to) {
-            (Ok(()), None) => note!(seq = news.seq, "version {} is in force", news.seq),
+    /// Records whether the event loop could apply a version.
+    pub fn record_result(&mut self, ctx: &mut Ctx<'_>, version: Arc<InForce>, outcome: Result<(), Fault>) {
+        match (outcome, version.tightened_to) {
+            (Ok(()), None) => note!(seq = version.seq, "version {} is in force", version.seq),
             (Ok(()), Some(seq)) => {
                 note!(
                     seq,
-                    "of version {seq} only what tightens is in force: it was heard of without a majority"
+                    "applied only the tightening settings of version {seq}: the control machine had no majority"
                 );
             }
             (Err(fault), _) => {
-                let seq = news.tightened_to.unwrap_or(news.seq);
-                note!(warn: "version {seq} cannot be taken up: '{}' {}; version {} stays in force", fault.key, fault.why,
-                    self.taken.seq);
+                let seq = version.tightened_to.unwrap_or(version.seq);
+                note!(warn: "version {seq} cannot be applied: '{}' {}; version {} stays in force", fault.key, fault.why,
+                    self.in_force.seq);
                 return;
             }
         }
-        self.taken = news;
-        self.say(ctx);
-        self.keep_time(ctx);
+        self.in_force = version;
+        self.report_in_force(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// Tells the machine which version is in force, unless it knows.
-    fn say(&mut self, ctx: &mut Ctx<'_>) {
-        let seq = self.taken.seq;
-        if self.heard.is_none() || self.tell.is_some() || seq == 0 || self.told == Some(seq) {
+    /// Reports the version in force to the watched machine, unless it was reported already.
+    fn report_in_force(&mut self, ctx: &mut Ctx<'_>) {
+        let seq = self.in_force.seq;
+        if self.last_input.is_none()
+            || self.report_call.is_some()
+            || seq == 0
+            || self.reported_seq == Some(seq)
+        {
             return;
         }
-        let body = serde_json::to_vec(&Told { name: self.name.clone(), seq }).unwrap_or_default();
+        let body = serde_json::to_vec(&InForceReport { name: self.name.clone(), seq }).unwrap_or_default();
         let extra = [("Host", "control"), ("Connection", "close")];
         let request = framing::write_request("POST", "/control/in-force", &extra, &body);
-        self.tell = self.call(ctx, &request);
-        self.tell_by = ctx.now + OWED;
-        // Where it could not be told, the next line is the next occasion.
-        self.told = self.tell.as_ref().map(|_| seq);
+        self.report_call = self.open_call(ctx, &request);
+        self.report_deadline = ctx.now + RESPONSE_TIMEOUT;
+        // If the call could not be opened, the report is repeated after the next line of the watch.
+        self.reported_seq = self.report_call.as_ref().map(|_| seq);
     }
 
-    /// A time that was set has come.
+    /// Handles timeouts of the calls, and the time at which the next machine is tried.
     pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>) {
         let now = ctx.now;
-        if let Some(call) = self.tell.take_if(|_| self.tell_by <= now) {
-            hang_up(ctx, call);
-            self.told = None;
+        if let Some(call) = self.report_call.take_if(|_| self.report_deadline <= now) {
+            close_call(ctx, call);
+            self.reported_seq = None;
         }
         if self.watch.is_some() {
-            if self.broken_at() <= now {
-                self.lose(ctx, "nothing came for too long");
-            } else if self.majority.max(self.opened) + self.silence <= now {
-                self.lose(ctx, "it has no majority");
+            if self.watch_deadline() <= now {
+                self.handle_loss(ctx, "timed out waiting for data");
+            } else if self.last_majority.max(self.opened_at) + self.majority_timeout <= now {
+                self.handle_loss(ctx, "no majority");
             }
         }
-        if self.again.is_some_and(|again| again <= now) {
-            self.open(ctx);
+        if self.retry_at.is_some_and(|retry_at| retry_at <= now) {
+            self.open_watch(ctx);
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// When the watch counts as broken unless something comes.
-    fn broken_at(&self) -> Micros {
-        self.heard.map_or(self.opened + OWED, |heard| heard + SILENT)
+    /// When the watch counts as broken unless it brings input, in microseconds.
+    fn watch_deadline(&self) -> Micros {
+        self.last_input.map_or(self.opened_at + RESPONSE_TIMEOUT, |last_input| last_input + WATCH_TIMEOUT)
     }
 
-    /// Sees to it that all of this is looked at again when it must be, and that it is logged once who falls behind.
-    fn keep_time(&mut self, ctx: &mut Ctx<'_>) {
+    /// Sets the next deadline, and logs once when this scheduler falls behind or catches up.
+    fn update_deadlines(&mut self, ctx: &mut Ctx<'_>) {
         let now = ctx.now;
         let behind = self.behind(now);
-        // In the first moments nothing can have been heard.
-        let settled = behind && now >= self.majority + self.silence || self.taken.seq > 0;
-        if behind != self.behind && (settled || !behind) {
+        // Nothing can have been received in the first moments.
+        let past_start = behind && now >= self.last_majority + self.majority_timeout || self.in_force.seq > 0;
+        if behind != self.behind && (past_start || !behind) {
             self.behind = behind;
             if behind {
-                note!(warn: "behind: no majority of the control machines was heard of late, or what they agreed cannot be \
-                    taken up; version {} stays in force", self.taken.seq);
+                note!(warn: "behind: no recent message from a majority of the control machines, or the agreed version cannot \
+                    be applied; version {} stays in force", self.in_force.seq);
             } else {
-                note!("level with the control machines at version {}", self.taken.seq);
+                note!("up to date with the control machines at version {}", self.in_force.seq);
             }
         }
-        let mut at = self.again;
-        let mut sooner = |due: Micros| at = Some(at.map_or(due, |at| at.min(due)));
+        let mut deadline = self.retry_at;
+        let mut set_earlier =
+            |due: Micros| deadline = Some(deadline.map_or(due, |deadline| deadline.min(due)));
         if self.watch.is_some() {
-            sooner(self.broken_at());
-            sooner(self.majority.max(self.opened) + self.silence);
+            set_earlier(self.watch_deadline());
+            set_earlier(self.last_majority.max(self.opened_at) + self.majority_timeout);
         }
-        if self.tell.is_some() {
-            sooner(self.tell_by);
+        if self.report_call.is_some() {
+            set_earlier(self.report_deadline);
         }
         if !self.behind {
-            sooner((self.majority + self.silence + MILLI).max(now + MILLI));
+            set_earlier((self.last_majority + self.majority_timeout + MILLI).max(now + MILLI));
         }
-        match at {
-            Some(at) => ctx.deadlines.set(Due::Control, at),
+        match deadline {
+            Some(deadline) => ctx.deadlines.set(Due::Control, deadline),
             None => ctx.deadlines.clear(Due::Control),
         }
     }
 
-    /// Something later than what is in force here may be in force elsewhere.
+    /// Returns whether a later version than the one in force here may be in force elsewhere.
     fn behind(&self, now: Micros) -> bool {
-        self.learner.behind(now) || *self.taken != *self.given
+        self.learner.behind(now) || *self.in_force != *self.offered
     }
 
-    /// A version has come into force since the start: the settings of the own configuration count no more.
+    /// Returns whether a version has come into force since the start, so that the settings of the local
+    /// configuration no longer apply.
     pub fn has_agreed_version(&self) -> bool {
-        self.taken.seq > 0
+        self.in_force.seq > 0
     }
 
-    /// What operators are shown.
+    /// Metrics of the agreed configuration by name.
     pub fn metrics(&self, now: Micros) -> Vec<(&'static str, String)> {
         vec![
-            ("control.seq", self.taken.seq.to_string()),
-            ("control.digest", self.taken.digest.to_string()),
+            ("control.seq", self.in_force.seq.to_string()),
+            ("control.digest", self.in_force.digest.to_string()),
             ("control.behind", u8::from(self.behind(now)).to_string()),
-            ("control.tightened_to", self.taken.tightened_to.unwrap_or(0).to_string()),
+            ("control.tightened_to", self.in_force.tightened_to.unwrap_or(0).to_string()),
         ]
     }
 }
 
-fn hash(name: &str) -> u64 {
+fn name_hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The machines in the order in which the scheduler of this name asks them.
-fn in_order(mut machines: Vec<SocketAddr>, name: &str) -> Vec<SocketAddr> {
+/// Returns the machines in the order in which the scheduler of this name tries them.
+fn shuffled_machines(mut machines: Vec<SocketAddr>, name: &str) -> Vec<SocketAddr> {
     machines.sort_unstable();
     machines.dedup();
-    fastrand::Rng::with_seed(hash(name)).shuffle(&mut machines);
+    fastrand::Rng::with_seed(name_hash(name)).shuffle(&mut machines);
     machines
 }
 
-fn hang_up(ctx: &mut Ctx<'_>, mut call: Call) {
+fn close_call(ctx: &mut Ctx<'_>, mut call: Call) {
     let _ = ctx.registry.deregister(&mut call.stream);
 }
