--- a/src/net/http/callback.rs
+++ b/src/net/http/callback.rs
@@ -1,4 +1,5 @@
-//! What next hops tell of jobs that they took: call-backs, and the load reports that come along.
+//! Callbacks in which workers report the state of jobs that they accepted, and the load reports that come
+//! with them.
 
 use crate::log::note;
 use crate::net::Ctx;
@@ -9,9 +10,9 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A call-back, as far as it is read.
+/// The fields of a callback that are read.
 #[derive(Deserialize)]
-struct CallBack {
+struct Callback {
     id: String,
     from: String,
     state: String,
@@ -20,34 +21,36 @@
     load: Option<Value>,
 }
 
-/// Takes a call-back. One that fits nothing is taken all the same, or it would come again and again.
+/// Processes a callback. A callback that matches no request is accepted too, because the worker would
+/// otherwise send it again and again.
 pub fn handle_callback(ctx: &mut Ctx<'_>, body: &[u8]) -> Result<(), Reject> {
-    let call: CallBack = serde_json::from_slice(body).map_err(|_| Reject(400))?;
-    // Next hops call whoever takes the connection: it may be for the other process on this socket.
-    if !ctx.desk.knows(&call.id) {
+    let callback: Callback = serde_json::from_slice(body).map_err(|_| Reject(400))?;
+    // Workers call whichever process accepts the connection, so the callback may be for the other process
+    // that shares the listening socket.
+    if !ctx.desk.knows(&callback.id) {
         ctx.strays.push(String::from_utf8_lossy(body).into_owned());
         return Ok(());
     }
-    let news = match (call.state.as_str(), call.result) {
+    let update = match (callback.state.as_str(), callback.result) {
         ("started", _) => News::Note(Note::Started),
-        ("running", _) => News::Note(Note::Progress(call.share.unwrap_or(0.0))),
+        ("running", _) => News::Note(Note::Progress(callback.share.unwrap_or(0.0))),
         ("done", Some(Value::String(text))) => News::Served(text.into_bytes()),
         ("done", Some(other)) => News::Served(other.to_string().into_bytes()),
-        // It ran, but there is no result to serve.
+        // The job ran, but there is no result to return.
         ("done", None) | ("failed", _) => News::Over(Ending::Error),
         ("returned", _) => News::Over(Ending::Full),
         ("lost", _) => News::Over(Ending::Broken),
         (other, _) => {
-            note!("a call-back of unknown state '{}'", other.escape_debug());
+            note!("ignored a callback with unknown state '{}'", other.escape_debug());
             return Ok(());
         }
     };
-    let report = call.load.and_then(|value| parse_load_report(ctx.names, &value));
-    ctx.desk.news(ctx.now, &call.id, hop_id(&call.from), news, report);
+    let report = callback.load.and_then(|value| parse_load_report(ctx.names, &value));
+    ctx.desk.news(ctx.now, &callback.id, hop_id(&callback.from), update, report);
     Ok(())
 }
 
-/// A load report as a next hop writes it.
+/// Parses a load report of a worker.
 pub fn parse_load_report(names: &Names, value: &Value) -> Option<Report> {
     let fields = value.as_object()?;
     Some(names.report(fields.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_f64()?)))))
--- a/src/net/http/framing.rs
+++ b/src/net/http/framing.rs
@@ -1,53 +1,56 @@
-//! Framing of HTTP/1.1: whole messages out of bytes and back. What they mean is the business of others.
+//! Framing of HTTP/1.1: parses complete messages from bytes and writes them. It does not interpret their
+//! content.
 
 use crate::net::core::envelope::Headers;
 use std::fmt::Write;
 
-/// The largest body that is taken.
+/// Largest accepted body, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// The largest head that is taken.
+/// Largest accepted head, in bytes.
 pub const HEAD_LIMIT: usize = 16 * 1024;
-/// Bytes that a connection may hold unread: a whole message, chunked in small pieces.
+/// Unread bytes that a connection may hold: a complete message in chunks that are small enough to double its
+/// size.
 pub const MESSAGE_LIMIT: usize = HEAD_LIMIT + 2 * BODY_LIMIT;
-const HEADERS: usize = 64;
+/// Largest accepted number of headers.
+const MAX_HEADERS: usize = 64;
 
-/// Why a message cannot be taken, as the status that says so.
+/// The HTTP status that explains why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reject(pub u16);
 
 const MALFORMED: Reject = Reject(400);
 
-fn read_headers(raw: &[httparse::Header<'_>]) -> Result<Headers, Reject> {
-    let line = |header: &httparse::Header<'_>| {
+fn read_headers(parsed_headers: &[httparse::Header<'_>]) -> Result<Headers, Reject> {
+    let to_pair = |header: &httparse::Header<'_>| {
         let value = std::str::from_utf8(header.value).map_err(|_| MALFORMED)?;
         Ok((header.name.to_owned(), value.trim().to_owned()))
     };
-    raw.iter().map(line).collect()
+    parsed_headers.iter().map(to_pair).collect()
 }
 
-fn lists(headers: &Headers, name: &str, word: &str) -> bool {
+fn has_token(headers: &Headers, name: &str, token: &str) -> bool {
     let mut values = headers.iter().filter(|(key, _)| key.eq_ignore_ascii_case(name));
-    values.any(|(_, value)| value.split(',').any(|part| part.trim().eq_ignore_ascii_case(word)))
+    values.any(|(_, value)| value.split(',').any(|part| part.trim().eq_ignore_ascii_case(token)))
 }
 
-fn keep_alive(headers: &Headers, version: u8) -> bool {
+fn is_keep_alive(headers: &Headers, version: u8) -> bool {
     if version == 0 {
-        lists(headers, "connection", "keep-alive")
+        has_token(headers, "connection", "keep-alive")
     } else {
-        !lists(headers, "connection", "close")
+        !has_token(headers, "connection", "close")
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
     pub method: String,
-    /// Path and query, as they came.
+    /// Path and query as received.
     pub target: String,
     /// The headers.
     pub headers: Headers,
-    /// The body, without its framing.
+    /// The body without its framing.
     pub body: Vec<u8>,
     /// Another request may follow on this connection.
     pub keep_alive: bool,
@@ -60,34 +63,35 @@
     }
 }
 
-/// The value of a query parameter of a target.
+/// Returns the value of a query parameter of a request target.
 pub fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name)).map(|pair| pair.1)
 }
 
-/// A response: its head, and its body if the framing told where that ends.
+/// A response with its head, and with its body if the framing delimits one.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: Headers,
-    /// The body, without its framing.
+    /// The body without its framing.
     pub body: Vec<u8>,
     /// Another request may follow on this connection.
     pub keep_alive: bool,
 }
 
-/// Reads a request from the beginning of these bytes; gives it with its length, or `None` while it is not whole.
+/// Parses a request at the start of `bytes`. Returns it with its length, or `None` while it is incomplete.
+/// The body is limited to [`BODY_LIMIT`].
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(Request, usize)>, Reject> {
     parse_request_with_limit(bytes, BODY_LIMIT)
 }
 
-/// The same, with a body of this size at most.
+/// Parses a request like [`parse_request`], with a body of at most `limit` bytes.
 pub fn parse_request_with_limit(bytes: &[u8], limit: usize) -> Result<Option<(Request, usize)>, Reject> {
-    let mut raw = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Request::new(&mut raw);
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut header_slots);
     let head = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(head)) if head <= HEAD_LIMIT => head,
         Ok(httparse::Status::Partial) if bytes.len() <= HEAD_LIMIT => return Ok(None),
@@ -95,65 +99,65 @@
         Err(_) => return Err(MALFORMED),
     };
     let headers = read_headers(parsed.headers)?;
-    let Some((body, length)) = body(&bytes[head..], &headers, limit)? else { return Ok(None) };
+    let Some((body, length)) = parse_body(&bytes[head..], &headers, limit)? else { return Ok(None) };
     let request = Request {
         method: parsed.method.unwrap_or("").to_owned(),
         target: parsed.path.unwrap_or("").to_owned(),
-        keep_alive: keep_alive(&headers, parsed.version.unwrap_or(0)),
+        keep_alive: is_keep_alive(&headers, parsed.version.unwrap_or(0)),
         headers,
         body,
     };
     Ok(Some((request, head + length)))
 }
 
-/// Reads the head of a response; gives it with its length.
+/// Parses the head of a response. Returns it with its length, or `None` while it is incomplete.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<(Response, usize)>, Reject> {
-    let mut raw = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Response::new(&mut raw);
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut header_slots);
     let head = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(head)) if head <= HEAD_LIMIT => head,
         Ok(httparse::Status::Partial) if bytes.len() <= HEAD_LIMIT => return Ok(None),
         Ok(_) | Err(_) => return Err(MALFORMED),
     };
     let headers = read_headers(parsed.headers)?;
-    let keep_alive = keep_alive(&headers, parsed.version.unwrap_or(0));
+    let keep_alive = is_keep_alive(&headers, parsed.version.unwrap_or(0));
     Ok(Some((Response { status: parsed.code.unwrap_or(0), headers, body: Vec::new(), keep_alive }, head)))
 }
 
-/// Reads a whole response; gives it with its length. One whose framing does not tell where its body ends is
-/// whole with its head, and its connection is used no more.
+/// Parses a complete response. Returns it with its length, or `None` while it is incomplete. A response whose
+/// framing does not delimit the body is complete with its head, and its connection is not used again.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, Reject> {
     parse_response_with_limit(bytes, BODY_LIMIT)
 }
 
-/// The same, with a body of this size at most.
+/// Parses a response like [`parse_response`], with a body of at most `limit` bytes.
 pub fn parse_response_with_limit(bytes: &[u8], limit: usize) -> Result<Option<(Response, usize)>, Reject> {
     let Some((mut response, head)) = parse_response_head(bytes)? else { return Ok(None) };
     if (100..200).contains(&response.status) {
-        // Only news that an answer will come: that one follows.
+        // An informational response: the final response follows it.
         let rest = parse_response_with_limit(&bytes[head..], limit)?;
         return Ok(rest.map(|(response, length)| (response, head + length)));
     }
-    let framed = response.headers.get("content-length").is_some() || chunked(&response.headers);
+    let framed = response.headers.get("content-length").is_some() || has_transfer_encoding(&response.headers);
     if !framed || matches!(response.status, 204 | 304) {
         response.keep_alive &= matches!(response.status, 204 | 304);
         return Ok(Some((response, head)));
     }
-    let Some((body, length)) = body(&bytes[head..], &response.headers, limit)? else { return Ok(None) };
+    let Some((body, length)) = parse_body(&bytes[head..], &response.headers, limit)? else { return Ok(None) };
     response.body = body;
     Ok(Some((response, head + length)))
 }
 
-fn chunked(headers: &Headers) -> bool {
+fn has_transfer_encoding(headers: &Headers) -> bool {
     headers.get("transfer-encoding").is_some()
 }
 
-fn body(bytes: &[u8], headers: &Headers, limit: usize) -> Result<Option<(Vec<u8>, usize)>, Reject> {
+fn parse_body(bytes: &[u8], headers: &Headers, limit: usize) -> Result<Option<(Vec<u8>, usize)>, Reject> {
     let lengths: Vec<&str> =
         headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length")).map(|h| h.1).collect();
-    if chunked(headers) {
-        // Two framings in one message are how requests are smuggled past a front.
-        if !lengths.is_empty() || !lists(headers, "transfer-encoding", "chunked") {
+    if has_transfer_encoding(headers) {
+        // Messages with two framings are a means of request smuggling.
+        if !lengths.is_empty() || !has_token(headers, "transfer-encoding", "chunked") {
             return Err(MALFORMED);
         }
         let mut body = Vec::new();
@@ -181,7 +185,8 @@
     Ok(bytes.get(..length).map(|body| (body.to_vec(), length)))
 }
 
-/// Reads one chunk of this size at most; gives what it holds and its length with the framing. An empty one is the last.
+/// Parses one chunk of at most `limit` bytes. Returns its data and its length including the framing. The last
+/// chunk is empty.
 pub fn parse_chunk(bytes: &[u8], limit: usize) -> Result<Option<(&[u8], usize)>, Reject> {
     let (head, size) = match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete(found)) => found,
@@ -192,7 +197,7 @@
         return Err(Reject(413));
     }
     if size == 0 {
-        // Trailers, if any, up to an empty line.
+        // Optional trailers end with an empty line.
         let mut at = head;
         loop {
             let Some(end) = bytes[at..].windows(2).position(|pair| pair == b"\r\n") else {
@@ -212,7 +217,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         204 => "No Content",
@@ -229,10 +234,10 @@
     }
 }
 
-/// Writes a response.
+/// Encodes a response.
 pub fn write_response(status: u16, extra: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Vec<u8> {
-    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason(status));
-    // 204 says by itself that no body follows.
+    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
+    // A 204 response has no body and no length.
     if status != 204 {
         let _ = write!(head, "Content-Length: {}\r\n", body.len());
     }
@@ -240,17 +245,17 @@
     if !keep_alive {
         head.push_str("Connection: close\r\n");
     }
-    finish(head, body)
+    assemble(head, body)
 }
 
-/// Writes a request.
+/// Encodes a request.
 pub fn write_request(method: &str, target: &str, extra: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!("{method} {target} HTTP/1.1\r\n");
     write_headers(&mut head, extra);
     if !body.is_empty() || method == "POST" {
         let _ = write!(head, "Content-Length: {}\r\n", body.len());
     }
-    finish(head, body)
+    assemble(head, body)
 }
 
 fn write_headers(head: &mut String, extra: &[(&str, &str)]) {
@@ -259,7 +264,7 @@
     }
 }
 
-fn finish(mut head: String, body: &[u8]) -> Vec<u8> {
+fn assemble(mut head: String, body: &[u8]) -> Vec<u8> {
     head.push_str("\r\n");
     let mut bytes = head.into_bytes();
     bytes.extend_from_slice(body);
@@ -271,27 +276,33 @@
     use super::*;
 
     #[test]
-    fn a_request_is_whole_only_with_its_last_byte() {
+    fn request_is_complete_only_with_its_last_byte() {
         let text = b"POST /render?obj=7f HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbodyGET";
         for cut in 0..text.len() - 3 {
-            assert!(parse_request(&text[..cut]).expect("nothing is wrong with it").is_none(), "cut at {cut}");
+            assert!(
+                parse_request(&text[..cut]).expect("a truncated request is not malformed").is_none(),
+                "cut at {cut}"
+            );
         }
-        let (whole, length) = parse_request(text).expect("well formed").expect("whole");
+        let (request, length) =
+            parse_request(text).expect("the request is well formed").expect("the request is complete");
         assert_eq!(
-            (whole.path(), query_parameter(&whole.target, "obj"), whole.body.as_slice()),
+            (request.path(), query_parameter(&request.target, "obj"), request.body.as_slice()),
             ("/render", Some("7f"), &b"body"[..])
         );
         assert_eq!(length, text.len() - 3);
-        assert!(whole.keep_alive);
+        assert!(request.keep_alive);
     }
 
     #[test]
-    fn chunks_are_put_together_and_bad_framing_is_turned_away() {
+    fn chunked_body_is_reassembled_and_malformed_framing_is_rejected() {
         let head = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         let text = format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-        let (whole, length) = parse_request(text.as_bytes()).expect("well formed").expect("whole");
-        assert_eq!((whole.body.as_slice(), length), (&b"abcde"[..], text.len()));
-        let status = |text: &str| parse_request(text.as_bytes()).expect_err("it is bad").0;
+        let (request, length) = parse_request(text.as_bytes())
+            .expect("the request is well formed")
+            .expect("the request is complete");
+        assert_eq!((request.body.as_slice(), length), (&b"abcde"[..], text.len()));
+        let status = |text: &str| parse_request(text.as_bytes()).expect_err("the request is malformed").0;
         assert_eq!(status(&format!("{head}3\r\nabcde\r\n")), 400);
         assert_eq!(status(&format!("{head}fffff\r\n")), 413);
         assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"), 413);
@@ -303,11 +314,14 @@
     }
 
     #[test]
-    fn a_response_without_framing_ends_its_connection() {
-        let (plain, _) = parse_response(b"HTTP/1.1 202 Accepted\r\n\r\n").expect("fine").expect("whole");
-        assert!(!plain.keep_alive);
+    fn response_without_framing_closes_its_connection() {
+        let (unframed, _) = parse_response(b"HTTP/1.1 202 Accepted\r\n\r\n")
+            .expect("the response is well formed")
+            .expect("the response is complete");
+        assert!(!unframed.keep_alive);
         let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-        let (framed, length) = parse_response(text).expect("fine").expect("whole");
+        let (framed, length) =
+            parse_response(text).expect("the response is well formed").expect("the response is complete");
         assert_eq!((framed.status, framed.keep_alive, length), (202, true, text.len()));
     }
 }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: the clients' connections with the call-backs that come by them, and the connections to next hops.
+//! HTTP/1.1: connections of clients and of workers that send callbacks, and connections to workers.
 
 pub mod callback;
 pub mod client;
@@ -15,9 +15,11 @@
 use std::io;
 use upstream::UpstreamConnections;
 
-/// Both sides of it.
+/// The HTTP/1.1 protocol as seen by the event loop.
 pub struct Http {
+    /// Connections that clients and workers opened.
     pub clients: ClientConnections,
+    /// Connections that were opened to workers.
     pub upstream: UpstreamConnections,
 }
 
@@ -56,35 +58,35 @@
         self.clients.answer(ctx, client, answer);
     }
 
-    fn drives(&self, hop: WorkerId) -> bool {
-        self.upstream.has_worker(hop)
+    fn drives(&self, worker: WorkerId) -> bool {
+        self.upstream.has_worker(worker)
     }
 
     fn send(
         &mut self,
         ctx: &mut Ctx<'_>,
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         payload: &Payload,
         wait: Micros,
     ) {
-        self.upstream.send_attempt(ctx, &mut self.clients, attempt, hop, payload, wait);
+        self.upstream.send_attempt(ctx, &mut self.clients, attempt, worker, payload, wait);
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
-        self.upstream.cancel_attempt(ctx, &mut self.clients, attempt, hop, name);
+    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, worker: WorkerId, name: &str) {
+        self.upstream.cancel_attempt(ctx, &mut self.clients, attempt, worker, name);
     }
 
     fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
         self.upstream.release_attempt(ctx, attempt);
     }
 
-    fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
-        self.upstream.probe(ctx, &mut self.clients, hop);
+    fn probe(&mut self, ctx: &mut Ctx<'_>, worker: WorkerId) {
+        self.upstream.probe(ctx, &mut self.clients, worker);
     }
 
-    fn close_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
-        self.upstream.close_idle(ctx, hop);
+    fn close_idle(&mut self, ctx: &mut Ctx<'_>, worker: WorkerId) {
+        self.upstream.close_idle(ctx, worker);
     }
 
     fn settled(&mut self, ctx: &mut Ctx<'_>) {
--- a/src/net/platform/inherited_socket.rs
+++ b/src/net/platform/inherited_socket.rs
@@ -1,4 +1,4 @@
-//! The clients' socket as the platform may hold it: a descriptor that this process was started with.
+//! The clients' listening socket, which may be a file descriptor that this process was started with.
 
 use crate::log::note;
 use listenfd::ListenFd;
@@ -9,40 +9,40 @@
 use std::os::unix::process::CommandExt;
 use std::process::Command;
 
-/// What `listenfd` goes by: how many sockets were passed, and from which descriptor on.
-const COUNT: &str = "LISTEN_FDS";
-const FIRST: &str = "LISTEN_FDS_FIRST_FD";
+/// Environment variables of the `listenfd` protocol: the number of passed sockets, and the first descriptor.
+const LISTEN_FDS: &str = "LISTEN_FDS";
+const LISTEN_FDS_FIRST_FD: &str = "LISTEN_FDS_FIRST_FD";
 
-/// Starts the program again in its own place, with the passed descriptor named as `listenfd` wants it: that is
-/// the way to adopt a bare number without unsafe code. Comes back only if there is nothing to do, or if it
-/// cannot be done.
-pub fn restart_with_listen_fds(passed: Option<i32>, env: impl Fn(&str) -> Option<OsString>) {
-    let Some(number) = passed.map(|number| OsString::from(number.to_string())) else { return };
-    // Without this it would start itself for ever.
-    if env(COUNT).is_some() && env(FIRST).as_ref() == Some(&number) {
+/// Restarts the program in place with the environment variables that `listenfd` needs to adopt the
+/// descriptor. This avoids adopting a raw descriptor number with unsafe code. Returns only if there is
+/// nothing to do or the restart failed.
+pub fn restart_with_listen_fds(descriptor: Option<i32>, env: impl Fn(&str) -> Option<OsString>) {
+    let Some(number) = descriptor.map(|number| OsString::from(number.to_string())) else { return };
+    // Prevents an endless loop of restarts.
+    if env(LISTEN_FDS).is_some() && env(LISTEN_FDS_FIRST_FD).as_ref() == Some(&number) {
         return;
     }
     let error = match std::env::current_exe() {
         Ok(program) => {
-            let mut again = Command::new(program);
-            again.args(std::env::args_os().skip(1));
-            again.env(COUNT, "1").env(FIRST, number).env_remove("LISTEN_PID").exec()
+            let mut command = Command::new(program);
+            command.args(std::env::args_os().skip(1));
+            command.env(LISTEN_FDS, "1").env(LISTEN_FDS_FIRST_FD, number).env_remove("LISTEN_PID").exec()
         }
         Err(error) => error,
     };
-    note!("the passed socket cannot be taken: {error}");
+    note!("failed to use the passed socket: {error}");
 }
 
-/// The socket that was passed, or else one of our own. Tells whether it was passed.
-pub fn open_listener(passed: Option<i32>, listen: SocketAddr) -> io::Result<(TcpListener, bool)> {
-    if passed.is_some() {
+/// Returns the passed socket, or else a newly bound one, and whether it was passed.
+pub fn open_listener(descriptor: Option<i32>, listen: SocketAddr) -> io::Result<(TcpListener, bool)> {
+    if descriptor.is_some() {
         match ListenFd::from_env().take_tcp_listener(0) {
             Ok(Some(listener)) => {
                 listener.set_nonblocking(true)?;
                 return Ok((TcpListener::from_std(listener), true));
             }
-            Ok(None) => note!("no socket was passed"),
-            Err(error) => note!("the passed socket cannot be taken: {error}"),
+            Ok(None) => note!("the configured descriptor holds no passed socket"),
+            Err(error) => note!("failed to use the passed socket: {error}"),
         }
     }
     Ok((TcpListener::bind(listen)?, false))
--- a/src/net/platform/peer_socket.rs
+++ b/src/net/platform/peer_socket.rs
@@ -1,4 +1,4 @@
-//! Messages between schedulers: datagrams to and from the addresses that the configuration names, no others.
+//! Datagrams between schedulers. Only datagrams from the configured addresses are accepted.
 
 use crate::log::note;
 use crate::net::core::deadlines::Due;
@@ -8,74 +8,83 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// The longest message.
-const LIMIT: usize = 256;
-/// Datagrams taken in one turn at most; the rest come in the next.
-const BATCH: usize = 256;
+/// Longest message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Maximum number of datagrams received in one iteration of the event loop; the rest is received in the next
+/// one.
+const MAX_DATAGRAMS: usize = 256;
 
-/// See the head of this file.
+/// The UDP socket to the other schedulers and their addresses.
 pub struct PeerSocket {
     socket: UdpSocket,
     /// Addresses by rank.
-    peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    addresses: Vec<SocketAddr>,
+    /// Address that reaches all schedulers at once, if there is one.
+    broadcast: Option<SocketAddr>,
     /// The rank of this scheduler.
-    own: u32,
+    own_rank: u32,
     rng: fastrand::Rng,
 }
 
 impl PeerSocket {
+    /// Creates a socket for the scheduler of rank `own_rank`. `seed` selects the random recipients of
+    /// [`Audience::Some`].
     pub fn new(
         socket: UdpSocket,
-        peers: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
-        own: u32,
+        addresses: Vec<SocketAddr>,
+        broadcast: Option<SocketAddr>,
+        own_rank: u32,
         seed: u64,
     ) -> Self {
-        PeerSocket { socket, peers, all, own, rng: fastrand::Rng::with_seed(seed) }
+        PeerSocket { socket, addresses, broadcast, own_rank, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// The schedulers are at these addresses from now on.
-    pub fn set_addresses(&mut self, peers: Vec<SocketAddr>, all: Option<SocketAddr>) {
-        (self.peers, self.all) = (peers, all);
+    /// Sets the addresses of the schedulers.
+    pub fn set_addresses(&mut self, addresses: Vec<SocketAddr>, broadcast: Option<SocketAddr>) {
+        (self.addresses, self.broadcast) = (addresses, broadcast);
     }
 
-    /// Takes what has come, as much as is one turn's share: a flood must not stop the loop. Gives what concerns the list,
-    /// with the rank of its sender.
+    /// Receives pending datagrams, up to `MAX_DATAGRAMS`, so that a flood does not block the event loop.
+    /// Messages of the dispatcher go to the request table; messages about the worker list are returned with
+    /// the rank of their sender.
     pub fn receive(&mut self, ctx: &mut Ctx<'_>) -> Vec<(u32, Message)> {
-        let mut bytes = [0; LIMIT + 1];
-        let mut of_the_list = Vec::new();
-        for _ in 0..BATCH {
+        let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
+        let mut list_messages = Vec::new();
+        for _ in 0..MAX_DATAGRAMS {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, from)) => {
-                    let rank = self.peers.iter().position(|peer| *peer == from);
+                    let rank = self.addresses.iter().position(|peer| *peer == from);
                     match rank {
-                        // What was sent to all; by its own rank the module knows its other process.
-                        Some(rank) if rank as u32 == self.own => {}
-                        Some(rank) if length <= LIMIT && bytes[0] == witness::VERSION => {
-                            of_the_list
-                                .extend(Message::decode(&bytes[..length]).map(|told| (rank as u32, told)));
+                        // A message of this rank that was sent to all. The other process of this rank is
+                        // reached over the upgrade link.
+                        Some(rank) if rank as u32 == self.own_rank => {}
+                        Some(rank) if length <= MAX_MESSAGE_BYTES && bytes[0] == witness::VERSION => {
+                            list_messages.extend(
+                                Message::decode(&bytes[..length]).map(|message| (rank as u32, message)),
+                            );
                         }
-                        Some(rank) if length <= LIMIT => ctx.desk.peer(rank as u32, bytes[..length].to_vec()),
-                        Some(_) => note!("a datagram from {from} is too long"),
-                        None => note!("a datagram from {from}, which is no peer"),
+                        Some(rank) if length <= MAX_MESSAGE_BYTES => {
+                            ctx.desk.peer(rank as u32, bytes[..length].to_vec())
+                        }
+                        Some(_) => note!("ignored a datagram from {from}: it is too long"),
+                        None => note!("ignored a datagram from {from}, which is not a peer"),
                     }
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return of_the_list,
-                // An earlier datagram met a closed port; the next may be fine.
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return list_messages,
+                // An earlier datagram was rejected by a closed port; the next receive may succeed.
                 Err(_) => {}
             }
         }
         ctx.deadlines.set(Due::Peers, ctx.now + 1);
-        of_the_list
+        list_messages
     }
 
-    /// Sends a datagram to this audience.
+    /// Sends a datagram to the schedulers of an audience.
     pub fn send_to_audience(&mut self, audience: Audience, body: &[u8]) {
         match audience {
             Audience::One(rank) => self.send(Some(rank), body),
             Audience::Some(count) => {
-                let others = (0..self.peers.len() as u32).filter(|&rank| rank != self.own);
+                let others = (0..self.addresses.len() as u32).filter(|&rank| rank != self.own_rank);
                 for rank in self.rng.choose_multiple(others, count) {
                     self.send(Some(rank), body);
                 }
@@ -83,21 +92,24 @@
         }
     }
 
-    /// Sends a message to one scheduler, or to all.
+    /// Sends a message to the scheduler of rank `to`, or to all if it is `None`.
     pub fn send(&self, to: Option<u32>, body: &[u8]) {
         let address = match to {
-            Some(rank) => self.peers.get(rank as usize).copied(),
-            None if self.all.is_none() => {
-                // Each in turn; the module passes over what it hears from itself.
-                return (0..self.peers.len()).for_each(|rank| self.send(Some(rank as u32), body));
+            Some(rank) => self.addresses.get(rank as usize).copied(),
+            None if self.broadcast.is_none() => {
+                // Without a common address, each scheduler gets its own datagram. The receiver ignores
+                // messages from its own rank.
+                return (0..self.addresses.len()).for_each(|rank| self.send(Some(rank as u32), body));
             }
-            None => self.all,
+            None => self.broadcast,
         };
         match address {
-            Some(_) if body.len() > LIMIT => note!("a message of {} bytes is too long to send", body.len()),
-            // It may be lost on the way in any case.
+            Some(_) if body.len() > MAX_MESSAGE_BYTES => {
+                note!("cannot send a message of {} bytes: it is too long", body.len())
+            }
+            // Datagrams may be lost on the network anyway, so send errors are ignored.
             Some(address) => drop(self.socket.send_to(body, address)),
-            None => note!("a message to {to:?}, which is no peer"),
+            None => note!("cannot send a message to {to:?}, which is not a peer"),
         }
     }
 }
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -1,8 +1,8 @@
-//! The link between the two processes of a scheduler while one is upgraded to the next. They share the clients'
-//! socket and `$TMPDIR`, and talk over a Unix socket there, one line of JSON a message. The process that was
-//! there before is the predecessor, the one that takes its place the successor.
+//! The link between the two processes of a scheduler during an upgrade. The processes share the clients'
+//! listening socket and `$TMPDIR`, and exchange messages over a Unix socket there, one line of JSON per
+//! message. The process that was running before is the predecessor, the one that replaces it the successor.
 //!
-//! Nothing here decides anything: what a message means is the turn's business.
+//! This module only carries messages. The event loop acts on them.
 
 use crate::config::list::Update;
 use crate::log::note;
@@ -27,97 +27,105 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::path::PathBuf;
 
-/// The predecessor has this long to hand over. One that is dead or silent must not keep the successor from serving.
+/// Time in which the predecessor must hand over, in microseconds. A dead or unresponsive predecessor must not
+/// keep the successor from serving.
 pub const HANDOVER_TIMEOUT: Micros = 1_000_000;
-/// Where a link that brings more than this in one message, or leaves so much unread, is cut.
-const LIMIT: usize = 4 << 20;
+/// Size of one message, or of the unsent output, above which a link is closed, in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// What the two processes say to each other.
+/// Messages between the two processes.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Message {
-    /// The first word of a successor.
+    /// The first message of a successor.
     #[serde(rename = "heir")]
     HandoverRequest,
-    /// The predecessor's answer: from now on the successor takes what comes.
+    /// The predecessor's response: from now on the successor takes new requests.
     Handover(Box<Handover>),
-    /// A request of this name is open here.
+    /// A request with this name was opened in the sending process.
     #[serde(rename = "opened")]
     RequestOpened(String),
-    /// It is open no more.
+    /// The request with this name has ended.
     #[serde(rename = "closed")]
     RequestClosed(String),
-    /// A call-back that fits nothing here, as it came.
+    /// The body of a callback that matches no request of the sending process.
     #[serde(rename = "news")]
     Callback(String),
-    /// What the module tells itself on the other side.
+    /// A message of the dispatcher to its own rank, for the dispatcher of the successor.
     #[serde(rename = "load")]
     PeerMessage(Vec<u8>),
-    /// A request that goes on at the successor. Its client's connection comes along with this word.
+    /// A request that continues at the successor. The connection of its client is passed along with this
+    /// message.
     #[serde(rename = "bequest")]
     Transfer(Box<AnyTransfer>),
-    /// The successor goes on with the request of this name, and answers it.
+    /// The successor continues the request with this name and will answer it.
     #[serde(rename = "adopted")]
     TransferAccepted(String),
-    /// The successor cannot go on with the request of this name: it stays where it was.
+    /// The successor cannot continue the request with this name, so it stays at the predecessor.
     #[serde(rename = "declined")]
     TransferDeclined(String),
-    /// An operator wants clients sent away (`true`), or welcomed again.
+    /// An operator wants clients to be drained (`true`) or accepted again.
     Drain(bool),
 }
 
-/// What a successor gets.
+/// The state that a successor receives.
 #[derive(Serialize, Deserialize)]
 pub struct Handover {
-    /// The list of next hops, and its version.
+    /// The list of workers and its version.
     #[serde(rename = "routes")]
     pub worker_list: Update,
-    /// The predecessor's clock as this was written; a predecessor of before does not tell it.
+    /// The predecessor's clock when this message was written, in microseconds. Older versions do not send it.
     #[serde(default)]
     pub clock: Option<Micros>,
-    /// How long ago discovery confirmed that list; `None`: never, or the process is one that does not tell.
+    /// Time since discovery last confirmed that list, in microseconds; `None` if it never did, or if the
+    /// predecessor is an older version that does not send it.
     #[serde(default)]
     pub confirmed_us_ago: Option<u64>,
-    /// What the module has learned, in its own words.
+    /// The state that the dispatcher has learned, in the dispatcher's own format.
     #[serde(rename = "knowledge")]
     pub dispatcher_state: Value,
-    /// The names that its places stand for; a predecessor of before does not tell them.
+    /// The names behind the class and tenant indices in `dispatcher_state`. Older versions do not send them.
     #[serde(default)]
     pub names: Option<IndexedNames>,
-    /// The names of the requests that are open.
+    /// The names of the open requests.
     #[serde(rename = "open")]
     pub open_requests: Vec<String>,
-    /// Clients are being sent away, as an operator asked.
+    /// Clients are being drained on an operator's request.
     #[serde(rename = "drained")]
     pub draining: bool,
 }
 
-/// Classes and tenants in the order of their places.
+/// Names of classes and tenants in the order of their indices.
 #[derive(Serialize, Deserialize)]
 pub struct IndexedNames {
+    /// Class names by index.
     pub classes: Vec<String>,
+    /// Tenant names by index.
     pub tenants: Vec<String>,
 }
 
 impl IndexedNames {
+    /// Collects the names of the settings in the order of their indices.
     pub fn new(names: &Names) -> Self {
-        let texts = |name: &str| name.to_owned();
+        let to_owned = |name: &str| name.to_owned();
         IndexedNames {
-            classes: names.classes().map(texts).collect(),
-            tenants: names.tenants().map(texts).collect(),
+            classes: names.classes().map(to_owned).collect(),
+            tenants: names.tenants().map(to_owned).collect(),
         }
     }
 }
 
-/// Which of the two others is meant.
+/// The role of the process at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// The process that ran before.
     Predecessor,
+    /// The process that replaces the other one.
     Successor,
 }
 
 impl Role {
-    /// The other one.
+    /// Returns the opposite role.
     pub fn other(self) -> Self {
         if self == Role::Predecessor { Role::Successor } else { Role::Predecessor }
     }
@@ -129,63 +137,64 @@
     buffer: Buffer,
 }
 
-/// Reads what comes on a link, and the descriptors that come along: a plain read would drop them.
-struct Mail<'a>(&'a UnixStream, &'a mut VecDeque<Option<OwnedFd>>);
+/// Reads a link together with the passed file descriptors, which a plain read would drop.
+struct DescriptorReader<'a>(&'a UnixStream, &'a mut VecDeque<Option<OwnedFd>>);
 
-impl Read for Mail<'_> {
-    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
+impl Read for DescriptorReader<'_> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut along = RecvAncillaryBuffer::new(&mut space);
-        let mut into = [IoSliceMut::new(into)];
-        let got = recvmsg(self.0, &mut into, &mut along, RecvFlags::CMSG_CLOEXEC)?;
-        for message in along.drain() {
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut slices = [IoSliceMut::new(buffer)];
+        let received = recvmsg(self.0, &mut slices, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        for message in control.drain() {
             if let RecvAncillaryMessage::ScmRights(descriptors) = message {
                 self.1.extend(descriptors.map(Some));
             }
         }
-        if got.flags.contains(ReturnFlags::CTRUNC) {
-            // One came for which this process had no room: its word comes with none, and not with the next one's.
+        if received.flags.contains(ReturnFlags::CTRUNC) {
+            // A descriptor arrived for which this process had no free slot. Its message gets none, instead of
+            // the descriptor of the next message.
             self.1.push_back(None);
         }
-        Ok(got.bytes)
+        Ok(received.bytes)
     }
 }
 
-/// See the head of this file.
+/// The listener for a successor and the links to a predecessor and a successor.
 #[derive(Default)]
 pub struct UpgradeLink {
     path: Option<PathBuf>,
     listener: Option<UnixListener>,
     predecessor: Option<Link>,
     successor: Option<Link>,
-    /// Connections that have come along, in the order of their words. Kept apart from the link: its last words may
-    /// come together with its end.
-    passed: VecDeque<Option<OwnedFd>>,
-    /// By how much the predecessor's clock is ahead of this one's: the most that its words have shown, since each of them was
-    /// under way for some time.
-    ahead: Option<i64>,
+    /// Passed connections in the order of their messages. They are kept apart from the link, whose last
+    /// messages may arrive together with its end.
+    received_descriptors: VecDeque<Option<OwnedFd>>,
+    /// How far the predecessor's clock is ahead of this process's clock, in microseconds. This is the largest
+    /// value that its messages have shown, since each message spent some time in transit.
+    clock_offset: Option<i64>,
 }
 
 impl UpgradeLink {
-    /// `path`: where the two meet; without one there is no other process.
+    /// `path`: the Unix socket where the two processes meet; `None` if there is no other process.
     pub fn new(path: Option<PathBuf>) -> Self {
         UpgradeLink { path, ..UpgradeLink::default() }
     }
 
-    /// Asks the predecessor, if there is one, to hand over; tells whether there is.
+    /// Asks the predecessor to hand over. Returns whether there is one.
     pub fn connect_to_predecessor(&mut self, ctx: &mut Ctx<'_>) -> bool {
         let Some(path) = &self.path else { return false };
-        // A socket that nobody listens at any more was left by a process that has gone.
+        // A socket without a listener was left behind by a process that has exited.
         let Ok(stream) = UnixStream::connect(path) else { return false };
-        self.predecessor = link(ctx, stream);
+        self.predecessor = register_link(ctx, stream);
         self.send(Role::Predecessor, &Message::HandoverRequest);
         self.predecessor.is_some()
     }
 
-    /// Begins to wait for a successor, in the place of whoever waited there before.
+    /// Starts listening for a successor, replacing the socket of any process that listened there before.
     pub fn listen(&mut self, registry: &Registry, token: Token) {
         let Some(path) = &self.path else { return };
-        let bound = || {
+        let bind = || {
             if let Err(error) = fs::remove_file(path)
                 && error.kind() != io::ErrorKind::NotFound
             {
@@ -195,95 +204,102 @@
             registry.register(&mut listener, token, Interest::READABLE)?;
             Ok(listener)
         };
-        match bound() {
+        match bind() {
             Ok(listener) => self.listener = Some(listener),
-            // Serving comes first; the next upgrade will find nobody to hand over.
-            Err(error) => note!("no successor can find this process: {}: {error}", path.display()),
+            // Serving takes precedence: without the listener only the next upgrade fails to hand over.
+            Err(error) => note!("failed to listen for a successor at {}: {error}", path.display()),
         }
     }
 
-    /// A successor has been found: the next one will turn to it.
+    /// Stops listening for a successor, because this process has one: the next successor connects to that
+    /// one.
     pub fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    /// Somebody connects, a successor perhaps. One at a time: there is one place to hand over.
+    /// Accepts connections of successors. A later one replaces an earlier one, since there is only one role
+    /// to hand over.
     pub fn accept(&mut self, ctx: &mut Ctx<'_>) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
-            self.successor = link(ctx, stream);
+            self.successor = register_link(ctx, stream);
         }
     }
 
-    /// The connection is one of these.
+    /// Returns whether the token belongs to one of the links.
     pub fn owns_token(&self, token: usize) -> bool {
         [&self.predecessor, &self.successor].into_iter().flatten().any(|link| link.token == token)
     }
 
-    /// There is another process.
+    /// Returns whether there is a link to another process.
     pub fn is_connected(&self) -> bool {
         self.predecessor.is_some() || self.successor.is_some()
     }
 
-    /// Something can be read or written; gives what was said, and whether the link has ended.
+    /// Handles a readable or writable link. Returns the role of the other process, its messages, and whether
+    /// the link has ended.
     pub fn receive(&mut self, ctx: &mut Ctx<'_>, token: usize) -> (Role, Vec<Message>, bool) {
-        let side = if self.predecessor.as_ref().is_some_and(|link| link.token == token) {
+        let role = if self.predecessor.as_ref().is_some_and(|link| link.token == token) {
             Role::Predecessor
         } else {
             Role::Successor
         };
-        let mut words = Vec::new();
-        let link = if side == Role::Predecessor { &mut self.predecessor } else { &mut self.successor };
-        let Some(link) = link else { return (side, words, false) };
-        let mut sound = link.buffer.flush(&mut link.stream).is_ok();
-        let filled = link.buffer.fill(&mut Mail(&link.stream, &mut self.passed), LIMIT);
+        let mut messages = Vec::new();
+        let link = if role == Role::Predecessor { &mut self.predecessor } else { &mut self.successor };
+        let Some(link) = link else { return (role, messages, false) };
+        let mut intact = link.buffer.flush(&mut link.stream).is_ok();
+        let filled = link
+            .buffer
+            .fill(&mut DescriptorReader(&link.stream, &mut self.received_descriptors), MAX_MESSAGE_BYTES);
         while let Some(end) = link.buffer.input().iter().position(|&byte| byte == b'\n') {
             match serde_json::from_slice(&link.buffer.input()[..end]) {
-                Ok(word) => words.push(word),
+                Ok(message) => messages.push(message),
                 Err(error) => {
-                    note!("the {side:?} is not understood: {error}");
-                    sound = false;
+                    note!("malformed message from the {role:?}: {error}");
+                    intact = false;
                 }
             }
             link.buffer.consume(end + 1);
         }
-        sound &= link.buffer.input().len() < LIMIT && filled != Filled::Ended;
-        if !sound {
-            self.cut(ctx, side);
+        intact &= link.buffer.input().len() < MAX_MESSAGE_BYTES && filled != Filled::Ended;
+        if !intact {
+            self.close_link(ctx, role);
         }
-        (side, words, !sound)
+        (role, messages, !intact)
     }
 
-    /// Says something, if there is anybody to hear it.
-    pub fn send(&mut self, side: Role, word: &Message) {
-        let Some(link) = self.link(side) else { return };
-        let Ok(mut line) = serde_json::to_vec(word) else {
-            return note!("a word to the {side:?} cannot be written");
+    /// Sends a message if there is a link to a process in this role.
+    pub fn send(&mut self, role: Role, message: &Message) {
+        let Some(link) = self.link(role) else { return };
+        let Ok(mut line) = serde_json::to_vec(message) else {
+            return note!("failed to serialize a message to the {role:?}");
         };
         line.push(b'\n');
         link.buffer.put(&line);
-        // That a link has broken is told by the poll as well, and dealt with there.
+        // A broken link is also reported by the poll and handled there.
         let _ = link.buffer.flush(&mut link.stream);
-        if link.buffer.waiting() > LIMIT {
-            note!("the {side:?} does not listen");
+        if link.buffer.waiting() > MAX_MESSAGE_BYTES {
+            note!("the {role:?} does not read its messages");
             let _ = link.stream.shutdown(Shutdown::Both);
             link.buffer = Buffer::default();
         }
     }
 
-    /// The next connection that came along with a word.
+    /// Returns the next passed connection; `None` if its descriptor could not be received.
     pub fn take_received_connection(&mut self) -> Option<TcpStream> {
-        let descriptor = self.passed.pop_front()??;
+        let descriptor = self.received_descriptors.pop_front()??;
         Some(TcpStream::from_std(descriptor.into()))
     }
 
-    /// The successor has taken all that was written to it, so that a request can be sent to it with its client's connection.
+    /// Returns whether all output to the successor is written, so that a request can be sent with its
+    /// client's connection.
     pub fn ready_for_transfer(&mut self) -> bool {
         let Some(link) = &mut self.successor else { return false };
-        // What waits goes first, or the connection would come along with another word.
+        // Pending output must be written first, or the connection would be attached to another message.
         matches!(link.buffer.flush(&mut link.stream), Ok(true))
     }
 
-    /// Sends a request to the successor, with its client's connection; tells whether that could be done.
+    /// Sends a request to the successor together with its client's connection. Returns whether that was
+    /// possible.
     pub fn send_transfer(&mut self, stream: &TcpStream, transfer: &Transfer) -> bool {
         let transfer = AnyTransfer::Whole(transfer.clone());
         let Ok(mut line) = serde_json::to_vec(&Message::Transfer(Box::new(transfer))) else { return false };
@@ -293,12 +309,12 @@
         }
         let Some(link) = &mut self.successor else { return false };
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut along = SendAncillaryBuffer::new(&mut space);
+        let mut control = SendAncillaryBuffer::new(&mut space);
         let descriptors = [stream.as_fd()];
-        if !along.push(SendAncillaryMessage::ScmRights(&descriptors)) {
+        if !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
             return false;
         }
-        match sendmsg(&link.stream, &[IoSlice::new(&line)], &mut along, SendFlags::NOSIGNAL) {
+        match sendmsg(&link.stream, &[IoSlice::new(&line)], &mut control, SendFlags::NOSIGNAL) {
             Ok(sent) => {
                 link.buffer.put(&line[sent..]);
                 let _ = link.buffer.flush(&mut link.stream);
@@ -308,21 +324,22 @@
         }
     }
 
-    /// The predecessor's clock showed this as it spoke; gives by how much it is ahead of this one's.
-    pub fn record_clock_offset(&mut self, now: Micros, told: Micros) -> i64 {
-        let shown = told.cast_signed() - now.cast_signed();
-        *self.ahead.insert(self.ahead.map_or(shown, |ahead| ahead.max(shown)))
+    /// Updates the clock offset from a message in which the predecessor's clock showed `remote` microseconds.
+    /// Returns by how many microseconds that clock is ahead.
+    pub fn record_clock_offset(&mut self, now: Micros, remote: Micros) -> i64 {
+        let observed = remote.cast_signed() - now.cast_signed();
+        *self.clock_offset.insert(self.clock_offset.map_or(observed, |offset| offset.max(observed)))
     }
 
-    fn link(&mut self, side: Role) -> Option<&mut Link> {
-        match side {
+    fn link(&mut self, role: Role) -> Option<&mut Link> {
+        match role {
             Role::Predecessor => self.predecessor.as_mut(),
             Role::Successor => self.successor.as_mut(),
         }
     }
 
-    fn cut(&mut self, ctx: &mut Ctx<'_>, side: Role) {
-        let link = match side {
+    fn close_link(&mut self, ctx: &mut Ctx<'_>, role: Role) {
+        let link = match role {
             Role::Predecessor => self.predecessor.take(),
             Role::Successor => self.successor.take(),
         };
@@ -332,12 +349,12 @@
     }
 }
 
-fn link(ctx: &mut Ctx<'_>, mut stream: UnixStream) -> Option<Link> {
+fn register_link(ctx: &mut Ctx<'_>, mut stream: UnixStream) -> Option<Link> {
     let token = ctx.next_token();
     match ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE) {
         Ok(()) => Some(Link { token, stream, buffer: Buffer::default() }),
         Err(error) => {
-            note!("watching the link to another process: {error}");
+            note!("failed to register the link to another process: {error}");
             None
         }
     }
