--- a/src/net/platform/discovery/mod.rs
+++ b/src/net/platform/discovery/mod.rs
@@ -382,8 +382,8 @@
         self.report_loss(ctx);
     }
 
-    /// The dispatcher decides when a shared discovery service is queried again. An agent is queried without
-    /// it.
+    /// Reports a lost call to the dispatcher, which decides when a shared discovery service is queried again.
+    /// An agent is queried without the dispatcher.
     fn report_loss(&self, ctx: &mut Ctx<'_>) {
         if self.clock.mode() == Mode::Asked {
             ctx.desk.members(Source::Listed, ListKind::Lost, Vec::new());
