--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -53,7 +53,7 @@
     Callback(String),
     /// A message of the dispatcher to its own rank, for the dispatcher of the successor.
     #[serde(rename = "load")]
-    PeerMessage(Vec<u8>),
+    DispatcherData(Vec<u8>),
     /// A request that continues at the successor. The connection of its client is passed along with this
     /// message.
     #[serde(rename = "bequest")]
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -475,7 +475,7 @@
             Work::Probe(hop) => parts.driver(hop).probe(&mut ctx, hop),
             // To the own rank: the process that took over counts it with its own.
             Work::Tell { to, body } if to == Some(rank) => {
-                self.upgrade.send(Role::Successor, &Message::PeerMessage(body));
+                self.upgrade.send(Role::Successor, &Message::DispatcherData(body));
             }
             Work::Tell { to, body } => {
                 if let Some(peers) = parts.peers {
--- a/src/net/turn/upgrade.rs
+++ b/src/net/turn/upgrade.rs
@@ -160,7 +160,7 @@
                     self.upgrade.send(side.other(), &Message::Callback(body));
                 }
             }
-            (Message::PeerMessage(body), Role::Predecessor) => self.desk.peer(self.rank, body),
+            (Message::DispatcherData(body), Role::Predecessor) => self.desk.peer(self.rank, body),
             (Message::Transfer(transfer), Role::Predecessor) => self.take_over(now, *transfer),
             (Message::TransferAccepted(name), Role::Successor) => {
                 if let Some(pending) = self.transfers.adopted(&name) {
@@ -178,7 +178,7 @@
             (
                 Message::HandoverRequest
                 | Message::Handover(_)
-                | Message::PeerMessage(_)
+                | Message::DispatcherData(_)
                 | Message::Transfer(_)
                 | Message::TransferAccepted(_)
                 | Message::TransferDeclined(_),
