--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -126,7 +126,8 @@
         ctx.deadlines.clear(Due::Conn(self.listener_token, Alarm::Accept));
     }
 
-    /// Sets the limit on open connections and closes connections above it where that loses no request.
+    /// Sets the limit on open connections and closes connections above it, except those with a request in
+    /// progress.
     pub fn set_max_connections(&mut self, ctx: &mut Ctx<'_>, max_connections: usize) {
         self.max_connections = max_connections;
         while self.connections.len() > max_connections && self.shed(ctx) {}
@@ -241,9 +242,9 @@
             let Some(connection) = self.connections.get_mut(&token) else { return };
             let full = connection.buffer.input().len() >= framing::MESSAGE_LIMIT;
             if connection.state == State::InProgress && full {
-                // The end of a client that sends this much while it waits shows only behind that input. The
-                // input is read and discarded in parts, one per iteration, and the response is the last on
-                // this connection.
+                // The end of a client that sends `MESSAGE_LIMIT` bytes while its request is in progress shows only
+                // behind that input. The input is read and discarded in parts, one per iteration, and the
+                // response is the last on this connection.
                 connection.close_after_response = true;
                 connection.buffer.consume(usize::MAX / 2);
                 return ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now + 1);
