--- a/src/net/core/request_table/attempts.rs
+++ b/src/net/core/request_table/attempts.rs
@@ -72,7 +72,11 @@
         let (request, attempt) = (RequestId(id.request), id.number);
         let is_result = matches!(part, PartialResult::Data(_) | PartialResult::Warning(_));
         if let PartialResult::Progress(numerator, denominator) = part {
-            let note = AttemptNote::Progress(if denominator > 0 { numerator as f64 / denominator as f64 } else { 0.0 });
+            let note = AttemptNote::Progress(if denominator > 0 {
+                numerator as f64 / denominator as f64
+            } else {
+                0.0
+            });
             self.events.push_back(Event::Note { request, attempt, note });
         }
         if entry.concluded {
--- a/src/net/core/request_table/tests.rs
+++ b/src/net/core/request_table/tests.rs
@@ -301,7 +301,10 @@
         let update =
             if served { AttemptUpdate::Served(b"r".to_vec()) } else { AttemptUpdate::Ended(Ending::Broken) };
         assert!(!fixture.callback(update));
-        assert!(matches!(fixture.table.events.pop_front(), Some(Event::Note { note: AttemptNote::Over, .. })));
+        assert!(matches!(
+            fixture.table.events.pop_front(),
+            Some(Event::Note { note: AttemptNote::Over, .. })
+        ));
     }
 }
 
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -12,16 +12,16 @@
 use crate::net::core::worker_registry::WorkerSource;
 use crate::net::gearman::Gearman;
 use crate::net::http::Http;
-use crate::net::http::call_back::call_back;
-use crate::net::http::client::Clients;
-use crate::net::http::next_hop::NextHops;
+use crate::net::http::callback::handle_callback;
+use crate::net::http::client::ClientConnections;
+use crate::net::http::upstream::UpstreamConnections;
 use crate::net::operators::door::{CALLS, Door, Order};
 use crate::net::operators::drain::{Drain, PARTING, Why};
-use crate::net::platform::control::Control;
-use crate::net::platform::inherit;
-use crate::net::platform::peers::Peers;
-use crate::net::platform::route_set::RouteSet;
-use crate::net::platform::upgrade::{Handover, Listed, PATIENCE, Side, UpgradeLink, Word};
+use crate::net::platform::control::ControlClient;
+use crate::net::platform::discovery::DiscoveryClient;
+use crate::net::platform::inherited_socket;
+use crate::net::platform::peer_socket::PeerSocket;
+use crate::net::platform::upgrade::{HANDOVER_TIMEOUT, Handover, IndexedNames, Message, Role, UpgradeLink};
 use crate::net::protocol::{DescriptorLimits, Protocol, ProtocolRequest};
 use crate::net::{Context, PeerTarget};
 use calicolb::api::{Class, ListKind, Micros, WorkerId};
@@ -68,12 +68,12 @@
     /// The protocols other than HTTP.
     other_protocols: Vec<Box<dyn Protocol>>,
     protocol_requests: Vec<ProtocolRequest>,
-    discovery: RouteSet,
+    discovery: DiscoveryClient,
     /// Workers that the operator file names.
     static_workers: Vec<Fixed>,
-    peers: Option<Peers>,
+    peers: Option<PeerSocket>,
     /// Client of the control machines, if the configuration names any.
-    control: Option<Control>,
+    control: Option<ControlClient>,
     management: Option<Door>,
     drain: Drain,
     upgrade_link: UpgradeLink,
@@ -131,7 +131,7 @@
         let poll = Poll::new()?;
         let registry = poll.registry().try_clone()?;
         let clock = Clock::new();
-        let (listener, socket_inherited) = inherit::listener(config.passed, config.listen)?;
+        let (listener, socket_inherited) = inherited_socket::open_listener(config.passed, config.listen)?;
         let listen_address = listener.local_addr()?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
         let management = match config.mgmt {
@@ -144,8 +144,8 @@
             None => None,
         };
         let (on_request, drain_grace) = (config.settings.list_on_request, config.settings.rules.drain_grace);
-        let discovery = RouteSet::new(config.discovery, on_request, drain_grace, clock.now());
-        let hops = NextHops::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
+        let discovery = DiscoveryClient::new(config.discovery, on_request, drain_grace, clock.now());
+        let upstream = UpstreamConnections::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
         let mut event_loop = EventLoop {
             grace: grace_period(&config.settings.classes),
             termination: None,
@@ -159,13 +159,13 @@
             deadlines: Deadlines::default(),
             last_token: LAST_RESERVED_TOKEN,
             signals,
-            http: Http { clients: Clients::new(listener, CLIENT_LISTENER), hops },
+            http: Http { clients: ClientConnections::new(listener, CLIENT_LISTENER), upstream },
             other_protocols: Vec::new(),
             protocol_requests: Vec::new(),
             discovery,
             static_workers: config.fixed,
             peers: None,
-            control: config.control.map(|control| Control::new(control, &config.name, config.seed)),
+            control: config.control.map(|control| ControlClient::new(control, &config.name, config.seed)),
             management,
             drain: Drain::default(),
             upgrade_link: UpgradeLink::new(config.meeting.filter(|_| socket_inherited)),
@@ -192,8 +192,8 @@
             components.other_protocols.push(Box::new(Gearman::new(&mut ctx, gearman)?));
         }
         let (mut ctx, components) = event_loop.split(now);
-        if components.upgrade_link.call(&mut ctx) {
-            ctx.deadlines.set(Deadline::PredecessorHandover, now + PATIENCE);
+        if components.upgrade_link.connect_to_predecessor(&mut ctx) {
+            ctx.deadlines.set(Deadline::PredecessorHandover, now + HANDOVER_TIMEOUT);
             event_loop.distribute_descriptors(now);
         } else {
             event_loop.start_serving(now, None)?;
@@ -206,9 +206,12 @@
     fn start_serving(&mut self, now: Micros, handover: Option<Handover>) -> io::Result<()> {
         if let Some(handover) = &handover {
             // This applies also to a predecessor that missed the time limit: it still answers its open requests.
-            note!("{} requests are open at the predecessor", handover.open.len());
+            note!("{} requests are open at the predecessor", handover.open_requests.len());
             self.request_table.track_open_names();
-            handover.open.iter().for_each(|name| self.request_table.set_open_elsewhere(name.clone(), true));
+            handover
+                .open_requests
+                .iter()
+                .for_each(|name| self.request_table.set_open_elsewhere(name.clone(), true));
         }
         let Some(initial_list) = self.initial_list.take() else { return Ok(()) };
         self.open_peer_socket(now)?;
@@ -219,22 +222,32 @@
         let confirmed_ago = handover.as_ref().and_then(|handover| handover.confirmed_us_ago);
         let (initial_list, draining) = match handover {
             Some(handover) => {
-                let ahead = handover.clock.map_or(0, |clock| components.upgrade_link.hear_clock(now, clock));
-                let knowledge =
-                    settings_update::remap_knowledge(handover.knowledge, &handover.names, ctx.names, now);
+                let ahead =
+                    handover.clock.map_or(0, |clock| components.upgrade_link.record_clock_offset(now, clock));
+                let knowledge = settings_update::remap_knowledge(
+                    handover.dispatcher_state,
+                    &handover.names,
+                    ctx.names,
+                    now,
+                );
                 ctx.request_table.import_knowledge(settings_update::adjust_clock(knowledge, ahead));
-                (Some(handover.routes), handover.drained)
+                (Some(handover.worker_list), handover.draining)
             }
             None => (initial_list, false),
         };
         if !components.static_workers.is_empty() {
             components.static_workers.iter().for_each(|worker| {
-                components.http.hops.learn(&mut ctx, worker.member.worker, worker.dial, 0)
+                components.http.upstream.update_worker(&mut ctx, worker.member.worker, worker.dial, 0)
             });
             let members = components.static_workers.iter().map(|worker| worker.member.clone()).collect();
             ctx.request_table.update_workers(WorkerSource::OperatorFile, ListKind::Changes, members);
         }
-        components.discovery.warm(&mut ctx, &mut components.http.hops, initial_list, confirmed_ago);
+        components.discovery.load_initial_list(
+            &mut ctx,
+            &mut components.http.upstream,
+            initial_list,
+            confirmed_ago,
+        );
         components.http.listen(&mut ctx)?;
         components.other_protocols.iter_mut().try_for_each(|other| other.listen(&mut ctx))?;
         components.upgrade_link.listen(ctx.registry, UPGRADE_LISTENER);
@@ -261,7 +274,7 @@
                 self.registry.register(&mut socket, PEERS, Interest::READABLE)?;
                 note!("{} listens for schedulers on {}", self.name, socket.local_addr()?);
                 let seed = self.clock.now() ^ u64::from(self.rank);
-                self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
+                self.peers = Some(PeerSocket::new(socket, config.each.clone(), config.all, self.rank, seed));
             }
             // A predecessor that has not handed over still uses the address. Requests are served without datagrams; the
             // socket is bound when the predecessor has ended.
@@ -275,7 +288,7 @@
 
     /// Distributes the file descriptors among the protocols. While two processes share the limit, each uses half of it.
     fn distribute_descriptors(&mut self, now: Micros) {
-        let descriptors = self.max_descriptors / if self.upgrade_link.any() { 2 } else { 1 };
+        let descriptors = self.max_descriptors / if self.upgrade_link.is_connected() { 2 } else { 1 };
         let reserved = RESERVED_DESCRIPTORS + if self.management.is_some() { CALLS } else { 0 };
         let (limits, max_open) = descriptor_limits(descriptors, reserved);
         let max_open = max_open.min(self.max_open);
@@ -330,8 +343,8 @@
                 self.handle_protocol_request(now, request);
             }
             self.apply_agreed_settings(now);
-            self.ready_to_serve |= self.request_table.worker_count() > 0 && self.discovery.serviceable(now);
-            self.http.clients.open = self.ready_to_serve && self.accepts_clients();
+            self.ready_to_serve |= self.request_table.worker_count() > 0 && self.discovery.is_ready(now);
+            self.http.clients.accepts_clients = self.ready_to_serve && self.accepts_clients();
             self.notify_other_process();
             self.send_peer_datagrams();
             finished_iterations = if self.is_finished(now) { finished_iterations + 1 } else { 0 };
@@ -343,7 +356,7 @@
     fn send_peer_datagrams(&mut self) {
         for (target, body) in std::mem::take(&mut self.peer_outbox) {
             if let Some(peers) = &mut self.peers {
-                peers.address(target, &body);
+                peers.send_to_audience(target, &body);
             }
         }
     }
@@ -402,13 +415,13 @@
             PEERS => components.receive_peers(&mut ctx),
             MANAGEMENT => self.accept_management(now),
             UPGRADE_LISTENER => components.upgrade_link.accept(&mut ctx),
-            Token(token) if components.upgrade_link.has(token) => self.handle_link_ready(now, token),
-            Token(token) if components.discovery.has(token) => {
-                components.discovery.ready(&mut ctx, &mut components.http.hops, token);
+            Token(token) if components.upgrade_link.owns_token(token) => self.handle_link_ready(now, token),
+            Token(token) if components.discovery.owns_token(token) => {
+                components.discovery.handle_ready(&mut ctx, &mut components.http.upstream, token);
             }
-            Token(token) if components.control.as_ref().is_some_and(|control| control.has(token)) => {
+            Token(token) if components.control.as_ref().is_some_and(|control| control.owns_token(token)) => {
                 if let Some(control) = components.control {
-                    control.ready(&mut ctx, token);
+                    control.handle_ready(&mut ctx, token);
                 }
             }
             Token(token) => match components.management {
@@ -450,16 +463,16 @@
                 }
             }
             Deadline::ReceivePeers => components.receive_peers(&mut ctx),
-            Deadline::PeerListCheck => components.discovery.ask_witnesses(&mut ctx),
+            Deadline::PeerListCheck => components.discovery.query_peers(&mut ctx),
             Deadline::DiscoveryFetch | Deadline::DiscoveryWatch => {
-                components.discovery.late(&mut ctx, components.http, deadline)
+                components.discovery.handle_timeout(&mut ctx, components.http, deadline)
             }
             Deadline::ControlClient => {
                 if let Some(control) = components.control {
-                    control.late(&mut ctx);
+                    control.handle_timeout(&mut ctx);
                 }
             }
-            Deadline::ListExpiry => components.discovery.expire(now),
+            Deadline::ListExpiry => components.discovery.handle_expiry(now),
             // Readiness is evaluated at the end of the iteration.
             Deadline::Readiness => {}
             // Deadlines of control machines, which have an event loop of their own.
@@ -513,15 +526,15 @@
             Command::Probe(worker) => components.protocol_for_worker(worker).probe(&mut ctx, worker),
             // A message to the own rank goes to the successor process, which adds the reported load to its own.
             Command::SendPeerMessage { to, body } if to == Some(rank) => {
-                self.upgrade_link.say(Side::Successor, &Word::Load(body));
+                self.upgrade_link.send(Role::Successor, &Message::DispatcherData(body));
             }
             Command::SendPeerMessage { to, body } => {
                 if let Some(peers) = components.peers {
-                    peers.tell(to, &body);
+                    peers.send(to, &body);
                 }
             }
-            Command::FetchList => components.discovery.fetch(&mut ctx, components.http),
-            Command::SetWatch(open) => components.discovery.watch(&mut ctx, components.http, open),
+            Command::FetchList => components.discovery.fetch_list(&mut ctx, components.http),
+            Command::SetWatch(open) => components.discovery.set_watch(&mut ctx, components.http, open),
             Command::CloseIdle(worker) => components.protocol_for_worker(worker).close_idle(&mut ctx, worker),
         }
     }
@@ -570,9 +583,9 @@
     http: &'a mut Http,
     other_protocols: &'a mut Vec<Box<dyn Protocol>>,
     static_workers: &'a [Fixed],
-    discovery: &'a mut RouteSet,
-    peers: &'a mut Option<Peers>,
-    control: &'a mut Option<Control>,
+    discovery: &'a mut DiscoveryClient,
+    peers: &'a mut Option<PeerSocket>,
+    control: &'a mut Option<ControlClient>,
     management: &'a mut Option<Door>,
     drain: &'a mut Drain,
     upgrade_link: &'a mut UpgradeLink,
@@ -583,8 +596,8 @@
     /// gone to the decision module already.
     fn receive_peers(&mut self, ctx: &mut Context<'_>) {
         let Some(peers) = self.peers else { return };
-        for (from, message) in peers.ready(ctx) {
-            self.discovery.witness(ctx, from, message);
+        for (from, message) in peers.receive(ctx) {
+            self.discovery.handle_peer_message(ctx, from, message);
         }
     }
 
--- a/src/net/event_loop/settings_update.rs
+++ b/src/net/event_loop/settings_update.rs
@@ -1,9 +1,9 @@
 //! Settings updates at run time. Either all new settings come into force, between two batches of events, or none does.
 
-use super::{Control, EventLoop};
+use super::{ControlClient, EventLoop};
 use crate::config::{Config, Renewal, SettingsError};
 use crate::log::note;
-use crate::net::platform::upgrade::Listed;
+use crate::net::platform::upgrade::IndexedNames;
 use calicolb::api::Micros;
 use calicolb::rules::Dispatcher;
 use calicolb::settings_update::merge;
@@ -38,9 +38,9 @@
             note!("SIGHUP: the address of discovery is {discovery}");
         }
         let (mut ctx, components) = self.split(now);
-        components.discovery.move_to(&mut ctx, config.discovery);
+        components.discovery.set_address(&mut ctx, config.discovery);
         if let (Some(peers), Some(new)) = (components.peers, &config.peers) {
-            peers.learn(new.each.clone(), new.all);
+            peers.set_addresses(new.each.clone(), new.all);
         }
         if let (Some(old), Some(new)) = (&mut self.peer_config, &config.peers) {
             (old.each, old.all) = (new.each.clone(), new.all);
@@ -48,10 +48,10 @@
         if let Some(machines) = config.control.as_ref().map(|control| control.machines.clone()) {
             let (mut ctx, components) = self.split(now);
             if let Some(control) = components.control {
-                control.move_to(&mut ctx, machines);
+                control.set_machines(&mut ctx, machines);
             }
         }
-        if self.control.as_ref().is_some_and(Control::leads) {
+        if self.control.as_ref().is_some_and(ControlClient::has_agreed_version) {
             return note!(
                 "SIGHUP: the settings are agreed with the control machines; those of the file are ignored"
             );
@@ -65,11 +65,11 @@
     /// them.
     pub(super) fn apply_agreed_settings(&mut self, now: Micros) {
         let Some(control) = &mut self.control else { return };
-        let Some((version, checked)) = control.news(now) else { return };
+        let Some((version, checked)) = control.next_version(now) else { return };
         let outcome = checked.and_then(|update| self.apply_settings(now, update));
         let (mut ctx, components) = self.split(now);
         if let Some(control) = components.control {
-            control.taken(&mut ctx, version, outcome);
+            control.record_result(&mut ctx, version, outcome);
         }
     }
 
@@ -105,8 +105,8 @@
             self.grace = super::grace_period(&classes);
         }
         let (mut ctx, components) = self.split(now);
-        components.discovery.take_up(&mut ctx, grace);
-        components.http.hops.take_up(limits.connect_timeout, conn_idle);
+        components.discovery.set_grace(&mut ctx, grace);
+        components.http.upstream.update_settings(limits.connect_timeout, conn_idle);
         components.other_protocols.iter_mut().for_each(|other| other.apply_settings(&classes));
         self.distribute_descriptors(now);
         self.settings_updates += 1;
@@ -122,14 +122,18 @@
 /// Converts the knowledge of the predecessor's decision module to the clock of this process. `ahead`: microseconds by
 /// which the predecessor's clock is ahead.
 pub(super) fn adjust_clock(knowledge: Value, ahead: i64) -> Value {
-    if ahead.unsigned_abs() < CLOCK_TOLERANCE { knowledge } else { Dispatcher::shift_knowledge(knowledge, -ahead) }
+    if ahead.unsigned_abs() < CLOCK_TOLERANCE {
+        knowledge
+    } else {
+        Dispatcher::shift_knowledge(knowledge, -ahead)
+    }
 }
 
 /// Converts the knowledge of another process's decision module to the indices that classes and tenants have here. The
 /// indices differ if classes or tenants were added and removed in another order there.
 pub(super) fn remap_knowledge(
     knowledge: Value,
-    their_names: &Option<Listed>,
+    their_names: &Option<IndexedNames>,
     names: &Names,
     now: Micros,
 ) -> Value {
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -41,12 +41,12 @@
             // The clients' connections were closed when the successor took over.
             self.drain.part();
         }
-        self.upgrade_link.say(Side::Predecessor, &Word::Drain(true));
+        self.upgrade_link.send(Role::Predecessor, &Message::Drain(true));
         if self.drain.begin(why) {
             note!("draining clients: {} requests are open", self.request_table.unanswered_requests());
             self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill_after * 3 / 5));
         }
-        self.http.clients.open = self.ready_to_serve && self.accepts_clients();
+        self.http.clients.accepts_clients = self.ready_to_serve && self.accepts_clients();
         self.process_open_requests(now);
     }
 
@@ -75,12 +75,12 @@
     pub(super) fn end_drain(&mut self) -> bool {
         let accepts_clients = self.drain.rejoin();
         if accepts_clients {
-            self.upgrade_link.say(Side::Predecessor, &Word::Drain(false));
+            self.upgrade_link.send(Role::Predecessor, &Message::Drain(false));
             note!("drain ended: accepting clients");
             self.deadlines.clear(Deadline::DrainClients);
             self.http.resume();
             self.other_protocols.iter_mut().for_each(|other| other.resume());
-            self.http.clients.open = self.ready_to_serve;
+            self.http.clients.accepts_clients = self.ready_to_serve;
         }
         accepts_clients
     }
--- a/src/net/event_loop/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -23,15 +23,15 @@
         components.http.begin_drain(&mut ctx);
         components.upgrade_link.stop_listening();
         let handover = Handover {
-            routes: components.discovery.list(),
+            worker_list: components.discovery.known_list(),
             clock: Some(now),
-            confirmed_us_ago: components.discovery.confirmed_ago(now),
-            knowledge: ctx.request_table.hand_over(),
-            names: Some(Listed::new(ctx.names)),
-            open: ctx.request_table.track_open_names(),
-            drained: components.drain.asked(),
+            confirmed_us_ago: components.discovery.time_since_confirmation(now),
+            dispatcher_state: ctx.request_table.hand_over(),
+            names: Some(IndexedNames::new(ctx.names)),
+            open_requests: ctx.request_table.track_open_names(),
+            draining: components.drain.asked(),
         };
-        components.upgrade_link.say(Side::Successor, &Word::Handover(Box::new(handover)));
+        components.upgrade_link.send(Role::Successor, &Message::Handover(Box::new(handover)));
         if components.drain.ending() {
             components.drain.part();
         }
@@ -41,17 +41,17 @@
 
     /// Handles the end of the other process. If it was a successor that had taken over, this process accepts clients
     /// again.
-    pub(super) fn other_process_gone(&mut self, now: Micros, role: Side) {
+    pub(super) fn other_process_gone(&mut self, now: Micros, role: Role) {
         note!("the link to the {role:?} process is closed");
-        if !self.upgrade_link.any() {
+        if !self.upgrade_link.is_connected() {
             self.request_table.other_process_gone();
         }
         self.distribute_descriptors(now);
         match role {
-            Side::Predecessor => self.try_start_serving(now, None),
+            Role::Predecessor => self.try_start_serving(now, None),
             // Listening resumes even if this process is about to end, because callbacks for open attempts would
             // otherwise reach no process.
-            Side::Successor if self.handed_over => {
+            Role::Successor if self.handed_over => {
                 for pending in self.transfers.take_all() {
                     self.restore_request(now, pending);
                 }
@@ -69,27 +69,29 @@
                 }
                 self.process_open_requests(now);
             }
-            Side::Successor => {}
+            Role::Successor => {}
         }
     }
 
     /// Whether the successor is ready to receive a request, has not declined this one, and its client's connection can
     /// be passed on.
     pub(super) fn can_transfer(&mut self, number: u32, client: ClientId) -> bool {
-        let connection_passable = self.http.clients.for_transfer(client).is_some();
+        let connection_passable = self.http.clients.connection_for_transfer(client).is_some();
         let not_declined =
             self.request_table.request_name(number).is_some_and(|name| self.transfers.may_send(name));
-        connection_passable && not_declined && self.upgrade_link.can_transfer()
+        connection_passable && not_declined && self.upgrade_link.ready_for_transfer()
     }
 
     /// Sends a request to the successor, with the history of its attempts and its client's connection. Callbacks of its
     /// workers arrive at the address that both processes share.
     pub(super) fn transfer_request(&mut self, now: Micros, number: u32, client: ClientId) {
         let Some((name, envelope, history)) = self.request_table.history(number) else { return };
-        let Some((stream, keep_alive, unread)) = self.http.clients.for_transfer(client) else { return };
+        let Some((stream, keep_alive, unread)) = self.http.clients.connection_for_transfer(client) else {
+            return;
+        };
         let (envelope, unread) = ((*envelope).clone(), unread.to_vec());
         let transfer = Transfer { envelope, keep_alive, unread, history, clock: now };
-        if !self.upgrade_link.transfer(stream, &transfer) {
+        if !self.upgrade_link.send_transfer(stream, &transfer) {
             return note!(request = number, "request cannot be sent to the successor process yet");
         }
         note!(
@@ -99,7 +101,7 @@
         );
         self.request_table.request_transferred(number);
         let (mut ctx, components) = self.split(now);
-        components.http.clients.suspend(&mut ctx, client);
+        components.http.clients.suspend_connection(&mut ctx, client);
         self.transfers.insert(name, client, transfer);
     }
 
@@ -107,90 +109,94 @@
     fn restore_request(&mut self, now: Micros, pending: PendingTransfer) {
         note!("a request returned from the successor process");
         let (mut ctx, components) = self.split(now);
-        components.http.clients.resume(&mut ctx, pending.client, pending.transfer);
+        components.http.clients.resume_connection(&mut ctx, pending.client, pending.transfer);
         for body in pending.callbacks {
             // The callback was answered when it arrived.
-            let _ = call_back(&mut ctx, body.as_bytes());
+            let _ = handle_callback(&mut ctx, body.as_bytes());
         }
     }
 
     /// Continues a request that the predecessor sent with its client's connection, and tells the predecessor whether
     /// that was possible.
     fn accept_transfer(&mut self, now: Micros, transfer: AnyTransfer) {
-        let stream = self.upgrade_link.passed();
+        let stream = self.upgrade_link.take_received_connection();
         let ahead = match &transfer {
-            AnyTransfer::Current(current) => self.upgrade_link.hear_clock(now, current.clock),
+            AnyTransfer::Current(current) => self.upgrade_link.record_clock_offset(now, current.clock),
             AnyTransfer::Legacy(_) => 0,
         };
         let (transfer, wants_reply) = transfer.received(ahead);
         let name = transfer.envelope.name.clone();
         let (mut ctx, components) = self.split(now);
-        let accepted =
-            stream.is_some_and(|stream| components.http.clients.adopt(&mut ctx, stream, transfer).is_ok());
+        let accepted = stream.is_some_and(|stream| {
+            components.http.clients.adopt_connection(&mut ctx, stream, transfer).is_ok()
+        });
         if !accepted {
             note!("a request of the predecessor process cannot be continued");
         }
         if wants_reply {
-            let message = if accepted { Word::Adopted(name) } else { Word::Declined(name) };
-            self.upgrade_link.say(Side::Predecessor, &message);
+            let message =
+                if accepted { Message::TransferAccepted(name) } else { Message::TransferDeclined(name) };
+            self.upgrade_link.send(Role::Predecessor, &message);
         }
     }
 
     /// Handles messages of the other process, or the end of the link to it.
     pub(super) fn handle_link_ready(&mut self, now: Micros, token: usize) {
         let (mut ctx, components) = self.split(now);
-        let (role, messages, ended) = components.upgrade_link.ready(&mut ctx, token);
+        let (role, messages, ended) = components.upgrade_link.receive(&mut ctx, token);
         for message in messages {
             self.handle_message(now, role, message);
         }
         if ended {
             self.other_process_gone(now, role);
-        } else if role == Side::Successor {
+        } else if role == Role::Successor {
             // The link may have become ready for the next request.
             self.process_open_requests(now);
         }
     }
 
     /// Handles a message of the other process.
-    pub(super) fn handle_message(&mut self, now: Micros, role: Side, message: Word) {
+    pub(super) fn handle_message(&mut self, now: Micros, role: Role, message: Message) {
         match (message, role) {
-            (Word::Successor, Side::Successor) => self.hand_over_to_successor(now),
-            (Word::Handover(handover), Side::Predecessor) => self.try_start_serving(now, Some(*handover)),
-            (Word::Opened(name), _) => self.request_table.set_open_elsewhere(name, true),
-            (Word::Closed(name), _) => self.request_table.set_open_elsewhere(name, false),
-            (Word::News(body), _) => {
+            (Message::HandoverRequest, Role::Successor) => self.hand_over_to_successor(now),
+            (Message::Handover(handover), Role::Predecessor) => self.try_start_serving(now, Some(*handover)),
+            (Message::RequestOpened(name), _) => self.request_table.set_open_elsewhere(name, true),
+            (Message::RequestClosed(name), _) => self.request_table.set_open_elsewhere(name, false),
+            (Message::Callback(body), _) => {
                 let before = self.unmatched_callbacks.len();
                 let (mut ctx, _) = self.split(now);
                 // The callback was answered when it arrived.
-                let _ = call_back(&mut ctx, body.as_bytes());
+                let _ = handle_callback(&mut ctx, body.as_bytes());
                 // With three processes in a chain, the middle one passes on callbacks that match none of its requests,
                 // but never back to the process they came from.
                 for body in self.unmatched_callbacks.split_off(before) {
-                    self.upgrade_link.say(role.other(), &Word::News(body));
+                    self.upgrade_link.send(role.other(), &Message::Callback(body));
                 }
             }
-            (Word::Load(body), Side::Predecessor) => self.request_table.peer_message(self.rank, body),
-            (Word::Transfer(transfer), Side::Predecessor) => self.accept_transfer(now, *transfer),
-            (Word::Adopted(name), Side::Successor) => {
+            (Message::DispatcherData(body), Role::Predecessor) => {
+                self.request_table.peer_message(self.rank, body)
+            }
+            (Message::Transfer(transfer), Role::Predecessor) => self.accept_transfer(now, *transfer),
+            (Message::TransferAccepted(name), Role::Successor) => {
                 if let Some(pending) = self.transfers.remove(&name) {
-                    self.http.clients.release(pending.client);
+                    self.http.clients.release_connection(pending.client);
                 }
             }
-            (Word::Declined(name), Side::Successor) => {
+            (Message::TransferDeclined(name), Role::Successor) => {
                 if let Some(pending) = self.transfers.decline(&name) {
                     self.restore_request(now, pending);
                 }
             }
-            (Word::Drain(draining), Side::Successor) => self.successor_accepts_clients = !draining,
-            (Word::Drain(true), Side::Predecessor) => self.begin_drain(now, Why::Asked),
-            (Word::Drain(false), Side::Predecessor) => drop(self.end_drain()),
+            (Message::Drain(draining), Role::Successor) => self.successor_accepts_clients = !draining,
+            (Message::Drain(true), Role::Predecessor) => self.begin_drain(now, Why::Asked),
+            (Message::Drain(false), Role::Predecessor) => drop(self.end_drain()),
             (
-                Word::Successor
-                | Word::Handover(_)
-                | Word::Load(_)
-                | Word::Transfer(_)
-                | Word::Adopted(_)
-                | Word::Declined(_),
+                Message::HandoverRequest
+                | Message::Handover(_)
+                | Message::DispatcherData(_)
+                | Message::Transfer(_)
+                | Message::TransferAccepted(_)
+                | Message::TransferDeclined(_),
                 _,
             ) => note!("the {role:?} process sent a message that its role does not allow"),
         }
@@ -201,12 +207,15 @@
         let name_changes = self.request_table.take_name_changes().into_iter();
         self.unmatched_callbacks.iter().for_each(|body| self.transfers.record_callback(body));
         let names =
-            name_changes.map(|(name, open)| if open { Word::Opened(name) } else { Word::Closed(name) });
-        let messages: Vec<Word> =
-            names.chain(std::mem::take(&mut self.unmatched_callbacks).into_iter().map(Word::News)).collect();
+            name_changes.map(
+                |(name, open)| if open { Message::RequestOpened(name) } else { Message::RequestClosed(name) },
+            );
+        let messages: Vec<Message> = names
+            .chain(std::mem::take(&mut self.unmatched_callbacks).into_iter().map(Message::Callback))
+            .collect();
         for message in messages {
-            self.upgrade_link.say(Side::Predecessor, &message);
-            self.upgrade_link.say(Side::Successor, &message);
+            self.upgrade_link.send(Role::Predecessor, &message);
+            self.upgrade_link.send(Role::Successor, &message);
         }
     }
 }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1: the clients' connections with the call-backs that come by them, and the connections to next hops.
+//! HTTP/1.1: connections of clients and of workers that send callbacks, and connections to workers.
 
-pub mod call_back;
+pub mod callback;
 pub mod client;
 pub mod framing;
-pub mod next_hop;
+pub mod upstream;
 
 use crate::net::Context;
 use crate::net::core::deadlines::ConnectionTimer;
@@ -11,14 +11,16 @@
 use crate::net::core::request_table::{Answer, AttemptId, ClientId};
 use crate::net::protocol::{DescriptorLimits, Protocol, ReleaseIdle};
 use calicolb::api::{Micros, WorkerId};
-use client::Clients;
-use next_hop::NextHops;
+use client::ClientConnections;
 use std::io;
+use upstream::UpstreamConnections;
 
-/// Both sides of it.
+/// The HTTP/1.1 protocol as seen by the event loop.
 pub struct Http {
-    pub clients: Clients,
-    pub hops: NextHops,
+    /// Connections that clients and workers opened.
+    pub clients: ClientConnections,
+    /// Connections that were opened to workers.
+    pub upstream: UpstreamConnections,
 }
 
 impl ReleaseIdle for Http {
@@ -29,62 +31,66 @@
 
 impl Protocol for Http {
     fn owns_token(&self, token: usize) -> bool {
-        self.clients.has(token) || self.hops.has(token)
+        self.clients.owns_token(token) || self.upstream.owns_token(token)
     }
 
     fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize) {
-        if self.clients.has(token) { self.clients.ready(ctx, token) } else { self.hops.ready(ctx, token) }
+        if self.clients.owns_token(token) {
+            self.clients.handle_ready(ctx, token)
+        } else {
+            self.upstream.handle_ready(ctx, token)
+        }
     }
 
     fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
-        if self.clients.has(token) {
-            self.clients.due(ctx, token, alarm);
+        if self.clients.owns_token(token) {
+            self.clients.handle_deadline(ctx, token, alarm);
         } else {
-            self.hops.due(ctx, token, alarm);
+            self.upstream.handle_deadline(ctx, token, alarm);
         }
     }
 
     fn owns_client(&self, client: ClientId) -> bool {
-        self.clients.has(client)
+        self.clients.owns_token(client)
     }
 
     fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         self.clients.answer(ctx, client, answer);
     }
 
-    fn owns_worker(&self, hop: WorkerId) -> bool {
-        self.hops.drives(hop)
+    fn owns_worker(&self, worker: WorkerId) -> bool {
+        self.upstream.has_worker(worker)
     }
 
     fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         payload: &Payload,
         wait: Micros,
     ) {
-        self.hops.send(ctx, &mut self.clients, attempt, hop, payload, wait);
+        self.upstream.send_attempt(ctx, &mut self.clients, attempt, worker, payload, wait);
     }
 
-    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, hop: WorkerId, name: &str) {
-        self.hops.give_up(ctx, &mut self.clients, attempt, hop, name);
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, worker: WorkerId, name: &str) {
+        self.upstream.cancel_attempt(ctx, &mut self.clients, attempt, worker, name);
     }
 
     fn release_attempt(&mut self, ctx: &mut Context<'_>, attempt: AttemptId) {
-        self.hops.release(ctx, attempt);
+        self.upstream.release_attempt(ctx, attempt);
     }
 
-    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
-        self.hops.probe(ctx, &mut self.clients, hop);
+    fn probe(&mut self, ctx: &mut Context<'_>, worker: WorkerId) {
+        self.upstream.probe(ctx, &mut self.clients, worker);
     }
 
-    fn close_idle(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
-        self.hops.close_idle(ctx, hop);
+    fn close_idle(&mut self, ctx: &mut Context<'_>, worker: WorkerId) {
+        self.upstream.close_idle(ctx, worker);
     }
 
     fn on_commands_done(&mut self, ctx: &mut Context<'_>) {
-        self.hops.begin(ctx);
+        self.upstream.start_connected_attempts(ctx);
     }
 
     fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
@@ -92,19 +98,19 @@
     }
 
     fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
-        self.clients.limit(ctx, shares.clients);
-        self.hops.limit(ctx, shares.workers);
+        self.clients.set_max_connections(ctx, shares.clients);
+        self.upstream.set_max_connections(ctx, shares.workers);
     }
 
     fn begin_drain(&mut self, ctx: &mut Context<'_>) {
-        self.clients.farewell(ctx);
+        self.clients.begin_drain(ctx);
     }
 
     fn resume(&mut self) {
-        self.clients.stay();
+        self.clients.end_drain();
     }
 
     fn is_idle(&self, now: Micros) -> bool {
-        self.clients.at_rest(now)
+        self.clients.is_idle(now)
     }
 }
--- a/src/net/platform/route_set/witnesses.rs
+++ b/src/net/platform/discovery/peer_queries.rs
@@ -1,24 +1,25 @@
-//! What schedulers ask each other of the freshness of their lists, as [`calicolb_freshness::witness`] has it.
+//! Queries between schedulers about the freshness of their lists, by the protocol in
+//! [`calicolb_freshness::witness`].
 
-use super::RouteSet;
-use super::digest::digest;
+use super::DiscoveryClient;
+use super::digest::list_digest;
 use crate::log::note;
 use crate::net::{Context, PeerTarget};
 use calicolb_freshness::witness::{Inquiry, Message, PEERS_PER_QUESTION, Verdict};
 
-impl RouteSet {
-    /// It is time to ask some other schedulers how fresh their lists are.
-    pub fn ask_witnesses(&mut self, ctx: &mut Context<'_>) {
+impl DiscoveryClient {
+    /// Queries some other schedulers about their lists if a query is due.
+    pub fn query_peers(&mut self, ctx: &mut Context<'_>) {
         if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
             ctx.send_to_peers(PeerTarget::Random(PEERS_PER_QUESTION), question.encode());
         }
-        self.keep_time(ctx);
+        self.update_deadlines(ctx);
     }
 
-    /// Another scheduler asks how fresh this one's list is, or answers.
-    pub fn witness(&mut self, ctx: &mut Context<'_>, from: u32, message: Message) {
-        let own = *self.digest.get_or_insert_with(|| digest(self.listed.values()));
+    /// Answers the query of another scheduler, or processes its answer.
+    pub fn handle_peer_message(&mut self, ctx: &mut Context<'_>, from: u32, message: Message) {
+        let own = *self.digest.get_or_insert_with(|| list_digest(self.listed.values()));
         match message {
             Message::Question { number } => {
                 if let Some(answer) = Inquiry::answer(number, &self.clock, own, ctx.now) {
@@ -29,17 +30,17 @@
                 let verdict = self.inquiry.handle_answer(&mut self.clock, own, (number, digest, age_ms));
                 match verdict {
                     Verdict::Nothing => return,
-                    Verdict::Confirmed => self.counters.vouched += 1,
-                    Verdict::Behind => self.counters.behind += 1,
+                    Verdict::Confirmed => self.counters.confirmed_by_peer += 1,
+                    Verdict::Behind => self.counters.newer_at_peer += 1,
                 }
                 note!(
                     seq = self.seq,
                     from,
                     age_ms,
                     ?verdict,
-                    "discovery: another scheduler had a word of it"
+                    "discovery: received another scheduler's answer about its list"
                 );
-                self.keep_time(ctx);
+                self.update_deadlines(ctx);
             }
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -572,7 +572,8 @@
             "cell" => Group::Cell,
             "all" | "" => Group::All,
             other => {
-                return Err(SettingsError::new(class_key("group"),
+                return Err(SettingsError::new(
+                    class_key("group"),
                     format!("has the unknown group '{other}'"),
                 ));
             }
@@ -582,7 +583,8 @@
             "idempotency_key" => Effect::Keyed { group, span: class.memory_span_us },
             "non_idempotent" => Effect::Unsafe,
             other => {
-                return Err(SettingsError::new(class_key("effect"),
+                return Err(SettingsError::new(
+                    class_key("effect"),
                     format!("has the unknown effect '{other}'"),
                 ));
             }
