--- a/src/log.rs
+++ b/src/log.rs
@@ -52,9 +52,9 @@
 
 /// Writes one line, unless too many were written in this second already. Fields come before the text, as `tracing` has
 /// them; `warn:` and `debug:` before all of it set another level than info.
-macro_rules! note {
-    (warn: $($part:tt)*) => { $crate::log::note!(@ WARN $($part)*) };
-    (debug: $($part:tt)*) => { $crate::log::note!(@ DEBUG $($part)*) };
+macro_rules! log_line {
+    (warn: $($part:tt)*) => { $crate::log::log_line!(@ WARN $($part)*) };
+    (debug: $($part:tt)*) => { $crate::log::log_line!(@ DEBUG $($part)*) };
     (@ $level:ident $($part:tt)*) => {
         if tracing::enabled!(tracing::Level::$level)
             && let Some(dropped) = $crate::log::admit()
@@ -65,9 +65,9 @@
             tracing::event!(tracing::Level::$level, $($part)*);
         }
     };
-    ($($part:tt)*) => { $crate::log::note!(@ INFO $($part)*) };
+    ($($part:tt)*) => { $crate::log::log_line!(@ INFO $($part)*) };
 }
-pub(crate) use note;
+pub(crate) use log_line;
 
 #[cfg(test)]
 mod tests {
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -1,7 +1,7 @@
 //! Connections that come in at a control machine: whole requests out of them, answers and watches into them.
 
 use super::{BODY_LIMIT, Io, TALK_LIMIT};
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::core::deadlines::{Alarm, Due};
 use crate::net::http::framing::{self, HEAD_LIMIT, Reject, Request};
@@ -91,7 +91,7 @@
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
-                    note!(warn: "accepting a connection: {error}");
+                    log_line!(warn: "accepting a connection: {error}");
                     return (taken, true);
                 }
             }
@@ -109,7 +109,7 @@
         let token = io.next_token();
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = io.registry.register(&mut stream, Token(token), both) {
-            note!(warn: "watching a connection: {error}");
+            log_line!(warn: "watching a connection: {error}");
             return None;
         }
         io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + SLOW);
@@ -243,7 +243,7 @@
     pub fn tell(&mut self, io: &mut Io<'_>, token: usize, line: &[u8]) {
         let Some(conn) = self.conns.get_mut(&token) else { return };
         if conn.buffer.waiting() + line.len() > WATCH_LIMIT {
-            note!("a learner took nothing of its watch, or has gone: the watch is ended");
+            log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
             return self.close(io, token);
         }
         conn.buffer.put(format!("{:x}\r\n", line.len()).as_bytes());
@@ -278,7 +278,7 @@
             Err(_) => {
                 // What waited was not taken, or its other side has gone.
                 if conn.phase == Phase::Watching && conn.buffer.waiting() > 0 {
-                    note!("a learner took nothing of its watch, or has gone: the watch is ended");
+                    log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
                 }
                 self.close(io, token);
                 false
@@ -294,7 +294,7 @@
                 self.flush(io, token);
             }
             Some(conn) if conn.phase == Phase::Watching => {
-                note!("a learner took nothing of its watch, or has gone: the watch is ended");
+                log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
                 self.close(io, token);
             }
             _ => self.close(io, token),
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -7,7 +7,7 @@
 use super::link::Link;
 use crate::config::agreed::Shared;
 use crate::config::control::ControlConfig;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::clock::Clock;
 use crate::net::core::deadlines::{Alarm, Deadlines, Due};
 use calicolb::api::Micros;
@@ -90,7 +90,7 @@
         let voters: Vec<u64> = (1..=config.machines.len() as u64).collect();
         let store = FileStore::open(&config.store).map_err(io::Error::other)?;
         let voter = Voter::new(config.id, &voters, store, seed).map_err(io::Error::other)?;
-        note!(
+        log_line!(
             "{} is control machine {} of {} and serves on {at}",
             config.name,
             config.id,
@@ -160,7 +160,7 @@
         match token {
             SIGNALS => {
                 if self.signals.pending().any(|signal| signal == SIGTERM) && !self.ending {
-                    note!("{} ends: {} changes are open", self.name, self.waiting.len());
+                    log_line!("{} ends: {} changes are open", self.name, self.waiting.len());
                     self.ending = true;
                     let (mut io, inbound, _) = self.split(now);
                     inbound.farewell(&mut io);
@@ -259,11 +259,11 @@
         let Some(set) = self.first.clone() else { return };
         match self.voter.propose(Change { set, ..Change::default() }, &Shared) {
             Ok(ticket) => {
-                note!("there are no settings yet: those of the operator file are proposed");
+                log_line!("there are no settings yet: those of the operator file are proposed");
                 self.waiting.push(Waiting { ticket, token: None, until: now + AGREE });
             }
             Err(Refused::Faulty(fault)) => {
-                note!(warn: "the first settings cannot be used: '{}' {}", fault.key, fault.why);
+                log_line!(warn: "the first settings cannot be used: '{}' {}", fault.key, fault.why);
                 self.first = None;
             }
             Err(_) => {}
--- a/src/net/core/desk.rs
+++ b/src/net/core/desk.rs
@@ -2,7 +2,7 @@
 //! module's actions into work. It knows no protocol and no sockets, so that all stand before the same decisions;
 //! and it decides nothing itself.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::deadlines::{Deadlines, Due};
 use crate::net::core::figures::Figures;
 use crate::net::core::journey;
@@ -114,7 +114,7 @@
             streaming: false,
             attempts: Vec::new(),
         };
-        note!(debug: request = number, name = %entry.name, class = entry.class.0, expires = expires, "a request arrives");
+        log_line!(debug: request = number, name = %entry.name, class = entry.class.0, expires = expires, "a request arrives");
         self.entries.insert(number, entry);
         self.events.push_back(Event::Arrival(Arrival {
             request: RequestId(number),
--- a/src/net/core/desk/actions.rs
+++ b/src/net/core/desk/actions.rs
@@ -7,7 +7,7 @@
         match action {
             Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, deadlines),
             Action::Refuse { request, come_back, why } => {
-                note!(debug: request = request.0, ?why, "a request is refused");
+                log_line!(debug: request = request.0, ?why, "a request is refused");
                 self.conclude(request.0, Answer::Busy { come_back });
             }
             Action::Fail(request) => self.conclude(request.0, Answer::Failed),
@@ -50,7 +50,7 @@
                 self.work.push(Work::Watch(want));
             }
             Action::CloseIdle(hop) => self.work.push(Work::CloseIdle(hop)),
-            Action::Log(text) => note!("module: {text}"),
+            Action::Log(text) => log_line!("module: {text}"),
         }
     }
 
@@ -64,7 +64,7 @@
     ) {
         let answer_by = self.entries.get(&request.0).map(|entry| self.answer_by(entry));
         let Some((entry, answer_by)) = self.entries.get_mut(&request.0).zip(answer_by) else {
-            return note!("the module sent request {}, which is closed", request.0);
+            return log_line!("the module sent request {}, which is closed", request.0);
         };
         let id = AttemptId { request: request.0, number: entry.attempts.len() as u32 };
         let ends = answer_by.min(timeout.map_or(Micros::MAX, |span| now.saturating_add(span)));
@@ -74,7 +74,7 @@
             return self.end(now, id, Ending::Moot, false, None);
         }
         deadlines.set(Due::Attempt(id.request, id.number), ends);
-        note!(debug: request = id.request, attempt = id.number, hop = hop.0, "an attempt is sent");
+        log_line!(debug: request = id.request, attempt = id.number, hop = hop.0, "an attempt is sent");
         self.work.push(Work::Send { attempt: id, hop, payload: entry.payload.clone(), wait: ends - now });
     }
 
@@ -120,7 +120,7 @@
             self.conclude(id.request, Answer::Failed);
         }
         let concluded = self.entries.get(&id.request).is_none_or(|entry| entry.concluded);
-        note!(debug: request = id.request, attempt = id.number, hop = worker.0, ?ending, "an attempt has ended");
+        log_line!(debug: request = id.request, attempt = id.number, hop = worker.0, ?ending, "an attempt has ended");
         self.events.push_back(Event::Outcome(Outcome {
             request: RequestId(id.request),
             attempt: id.number,
@@ -142,7 +142,7 @@
         }
         entry.concluded = true;
         let tally = self.figures.of(entry.class);
-        note!(debug: request = number, class = entry.class.0, answer = answer.word(), "a request is answered");
+        log_line!(debug: request = number, class = entry.class.0, answer = answer.word(), "a request is answered");
         match answer {
             Answer::Served(_) => tally.served += 1,
             Answer::Busy { .. } => tally.refused += 1,
--- a/src/net/core/desk/attempts.rs
+++ b/src/net/core/desk/attempts.rs
@@ -137,7 +137,7 @@
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
         let Some(attempt) = attempt.filter(|attempt| attempt.loose) else { return };
         attempt.loose = false;
-        note!(debug: request = id.request, attempt = id.number, hop = attempt.hop.0, "an attempt is surely over");
+        log_line!(debug: request = id.request, attempt = id.number, hop = attempt.hop.0, "an attempt is surely over");
         let note = Note::Over;
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -2,7 +2,7 @@
 
 use super::Gearman;
 use super::packets::submits;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::core::deadlines::{Alarm, Due};
@@ -77,7 +77,7 @@
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
-                    note!(warn: "accepting Gearman: {error}");
+                    log_line!(warn: "accepting Gearman: {error}");
                     self.shed(ctx);
                     return ctx.deadlines.set(again, ctx.now + ACCEPT_AGAIN);
                 }
@@ -91,7 +91,7 @@
         let _ = stream.set_nodelay(true);
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            return note!(warn: "watching a Gearman connection: {error}");
+            return log_line!(warn: "watching a Gearman connection: {error}");
         }
         ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + FIRST);
         let conn = Conn {
@@ -176,7 +176,7 @@
                 let waiting = conn.buffer.waiting();
                 let all = || self.conns.values().map(|conn| conn.buffer.waiting()).sum::<usize>();
                 if waiting > OUTPUT || (waiting > FAIR && all() > ALL_OUTPUT) {
-                    note!(warn: "a Gearman peer does not take what it is sent: {waiting} bytes wait");
+                    log_line!(warn: "a Gearman peer does not take what it is sent: {waiting} bytes wait");
                     self.drop_conn(ctx, token);
                 }
                 false
@@ -256,7 +256,7 @@
                 true
             }
             Err(fault) => {
-                note!("a Gearman peer is out of step: {fault}");
+                log_line!("a Gearman peer is out of step: {fault}");
                 let last = write(From::Server, Kind::Error, &[b"BAD_PACKET", fault.to_string().as_bytes()]);
                 self.part_with(ctx, token, &last);
                 false
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -10,7 +10,7 @@
 mod workers;
 
 use crate::config::{Function, GearmanConfig, Grade};
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::deadlines::{Alarm, Due};
 use crate::net::core::desk::{Answer, AttemptId, ClientId, Part};
@@ -131,7 +131,7 @@
             Alarm::More => self.ready(ctx, token),
             Alarm::Owed => {
                 if let Some(attempt) = self.fleet.expire(token) {
-                    note!(request = attempt.request, "a worker was woken and did not ask");
+                    log_line!(request = attempt.request, "a worker was woken and did not ask");
                     self.offers.remove(&attempt);
                     ctx.desk.broke(ctx.now, attempt);
                 }
@@ -247,7 +247,7 @@
             if self.told.insert(change.nr, now) == Some(now) {
                 continue;
             }
-            note!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
+            log_line!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
             let standing = match (change.here, change.functions.is_empty()) {
                 (false, _) => Standing::Gone,
                 (true, true) => Standing::Draining,
@@ -284,7 +284,7 @@
     fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
         if !self.listening {
             ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
-            note!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
+            log_line!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
         }
         self.listening = true;
         Ok(())
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -2,7 +2,7 @@
 
 use super::Gearman;
 use crate::config::Function;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::deadlines::{Alarm, Due};
 use crate::net::core::desk::{AttemptId, Hears, Job, Part, Unfit};
@@ -96,7 +96,7 @@
             (Kind::CantDo, Some(function)) => self.fleet.cant_do(token, function),
             // Workers may do more than this site asks for; who announces it without end must not fill the memory.
             (_, Some(function)) if !self.config.functions.iter().any(|known| known.name == function) => {
-                return note!(debug: function, "a worker can do what no function of the operator file is");
+                return log_line!(debug: function, "a worker can do what no function of the operator file is");
             }
             (kind, Some(function)) => {
                 let limit = if kind == Kind::CanDoTimeout { number(second) } else { Some(0) };
@@ -244,7 +244,7 @@
             conn.parts.extend_from_slice(&part);
         } else {
             // It ran, and what it gave cannot be served whole: it must not be served in part either.
-            note!(warn: request = attempt.request, "a result is too large for its client");
+            log_line!(warn: request = attempt.request, "a result is too large for its client");
             ctx.desk.answered(ctx.now, attempt, Ending::Error, None);
             self.fleet.give_up(attempt);
         }
--- a/src/net/http/call_back.rs
+++ b/src/net/http/call_back.rs
@@ -1,6 +1,6 @@
 //! What next hops tell of jobs that they took: call-backs, and the load reports that come along.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::desk::News;
 use crate::net::http::framing::Reject;
@@ -38,7 +38,7 @@
         ("returned", _) => News::Over(Ending::Full),
         ("lost", _) => News::Over(Ending::Broken),
         (other, _) => {
-            note!("a call-back of unknown state '{}'", other.escape_debug());
+            log_line!("a call-back of unknown state '{}'", other.escape_debug());
             return Ok(());
         }
     };
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -1,7 +1,7 @@
 //! Client connections: the connections that clients open, and those on which next hops bring their call-backs. One
 //! listener serves both.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::core::deadlines::{Alarm, Due};
@@ -133,7 +133,7 @@
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
                     // Out of descriptors or memory: a connection at rest makes room, else time may.
-                    note!("accepting: {error}");
+                    log_line!("accepting: {error}");
                     self.shed(ctx);
                     return ctx.deadlines.set(Due::Conn(self.token, Alarm::Accept), ctx.now + ACCEPT_AGAIN);
                 }
@@ -152,7 +152,7 @@
         if let Err(error) =
             ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE)
         {
-            return note!("watching a client connection: {error}");
+            return log_line!("watching a client connection: {error}");
         }
         ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.first());
         let connection = Connection {
@@ -332,7 +332,7 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut connection.stream, Token(token), both) {
-            note!("watching a client connection again: {error}");
+            log_line!("watching a client connection again: {error}");
         }
         match transferred(ctx, &transfer) {
             Ok(job) => ctx.desk.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines),
--- a/src/net/http/next_hop.rs
+++ b/src/net/http/next_hop.rs
@@ -3,7 +3,7 @@
 //! Nothing is ever sent twice from here: a request that meets a stale connection ends as what its last
 //! written byte says, and whether it goes out again is the module's to say.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::core::deadlines::{Alarm, Due};
@@ -332,7 +332,7 @@
         if self.links.len() >= self.most {
             let idle = self.hops.values().find_map(|hop| hop.idle.first().copied());
             let Some(token) = idle else {
-                note!("no connection is left for another attempt: {} are open", self.links.len());
+                log_line!("no connection is left for another attempt: {} are open", self.links.len());
                 return None;
             };
             self.drop_link(ctx, token);
@@ -346,14 +346,14 @@
         let mut stream = match made {
             Ok(stream) => stream,
             Err(error) => {
-                note!("connecting to {dial}: {error}");
+                log_line!("connecting to {dial}: {error}");
                 return None;
             }
         };
         let token = ctx.next_token();
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            note!("watching a connection to {dial}: {error}");
+            log_line!("watching a connection to {dial}: {error}");
             return None;
         }
         ctx.deadlines.set(Due::Conn(token, Alarm::Late), ctx.now + self.connect_timeout);
@@ -495,7 +495,7 @@
             Ok(None) if filled == Filled::Dry => {}
             Ok(None) => self.fail(ctx, token),
             Err(_) => {
-                note!("a next hop's answer is malformed");
+                log_line!("a next hop's answer is malformed");
                 self.fail(ctx, token);
             }
         }
@@ -580,7 +580,7 @@
         503 | 504 if unstarted => ctx.desk.answered(ctx.now, attempt, Ending::Full, report),
         status => {
             if status != 500 {
-                note!("a next hop answered {status}");
+                log_line!("a next hop answered {status}");
             }
             // What a client did wrong must not be held against the next hop, nor tried on all the others.
             let ending = if (400..500).contains(&status) { Ending::Unusable } else { Ending::Error };
--- a/src/net/operators/door.rs
+++ b/src/net/operators/door.rs
@@ -1,6 +1,6 @@
 //! The operators' door: a second listener, where a connection carries one line and gets one answer.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::core::deadlines::Due;
@@ -75,7 +75,7 @@
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
                     // Out of descriptors, say: operators come before clients at rest.
-                    note!("accepting an operator's call: {error}");
+                    log_line!("accepting an operator's call: {error}");
                     spare.shed(ctx);
                     ctx.deadlines.set(Due::Door, ctx.now + AGAIN);
                     return orders;
@@ -95,7 +95,7 @@
         let token = ctx.next_token();
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            note!("watching an operator's call: {error}");
+            log_line!("watching an operator's call: {error}");
             return None;
         }
         ctx.deadlines.set(Due::Call(token), ctx.now + SLOW);
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -5,7 +5,7 @@
 use crate::config::agreed::{Here, whole};
 use crate::config::document::{self, Document};
 use crate::config::{Fault, LearnerConfig, Renewal};
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::control::form::{InForce as Told, Line};
 use crate::net::core::buffer::Buffer;
@@ -100,7 +100,7 @@
 
     /// Begins to learn.
     pub fn start(&mut self, ctx: &mut Ctx<'_>) {
-        note!(
+        log_line!(
             "settings are agreed by {} control machines: {} is asked first",
             self.machines.len(),
             self.machines[0]
@@ -145,7 +145,7 @@
                 Some(Call { token, stream, buffer, open: false, text: Vec::new() })
             }
             Err(error) => {
-                note!(debug: "calling a control machine: {error}");
+                log_line!(debug: "calling a control machine: {error}");
                 None
             }
         }
@@ -171,7 +171,7 @@
     }
 
     fn lose(&mut self, ctx: &mut Ctx<'_>, why: &str) {
-        note!(debug: "control machine {}: {why}", self.machines[self.at]);
+        log_line!(debug: "control machine {}: {why}", self.machines[self.at]);
         for call in [self.watch.take(), self.tell.take()].into_iter().flatten() {
             hang_up(ctx, call);
         }
@@ -232,7 +232,7 @@
         match self.learner.hear(ctx.now, message) {
             Taken::Gap => Err("a change is missing in between"),
             Taken::Refused(fault) => {
-                note!(warn: "version {seq} cannot be taken up: '{}' {}", fault.key, fault.why);
+                log_line!(warn: "version {seq} cannot be taken up: '{}' {}", fault.key, fault.why);
                 Ok(())
             }
             Taken::Nothing | Taken::InForce | Taken::Tightened => Ok(()),
@@ -253,16 +253,16 @@
     /// What became of it.
     pub fn taken(&mut self, ctx: &mut Ctx<'_>, news: Arc<InForce>, outcome: Result<(), Fault>) {
         match (outcome, news.tightened_to) {
-            (Ok(()), None) => note!(seq = news.seq, "version {} is in force", news.seq),
+            (Ok(()), None) => log_line!(seq = news.seq, "version {} is in force", news.seq),
             (Ok(()), Some(seq)) => {
-                note!(
+                log_line!(
                     seq,
                     "of version {seq} only what tightens is in force: it was heard of without a majority"
                 );
             }
             (Err(fault), _) => {
                 let seq = news.tightened_to.unwrap_or(news.seq);
-                note!(warn: "version {seq} cannot be taken up: '{}' {}; version {} stays in force", fault.key, fault.why,
+                log_line!(warn: "version {seq} cannot be taken up: '{}' {}; version {} stays in force", fault.key, fault.why,
                     self.taken.seq);
                 return;
             }
@@ -321,10 +321,10 @@
         if behind != self.behind && (settled || !behind) {
             self.behind = behind;
             if behind {
-                note!(warn: "behind: no majority of the control machines was heard of late, or what they agreed cannot be \
+                log_line!(warn: "behind: no majority of the control machines was heard of late, or what they agreed cannot be \
                     taken up; version {} stays in force", self.taken.seq);
             } else {
-                note!("level with the control machines at version {}", self.taken.seq);
+                log_line!("level with the control machines at version {}", self.taken.seq);
             }
         }
         let mut at = self.again;
--- a/src/net/platform/inherit.rs
+++ b/src/net/platform/inherit.rs
@@ -1,6 +1,6 @@
 //! The clients' socket as the platform may hold it: a descriptor that this process was started with.
 
-use crate::log::note;
+use crate::log::log_line;
 use listenfd::ListenFd;
 use mio::net::TcpListener;
 use std::ffi::OsString;
@@ -30,7 +30,7 @@
         }
         Err(error) => error,
     };
-    note!("the passed socket cannot be taken: {error}");
+    log_line!("the passed socket cannot be taken: {error}");
 }
 
 /// The socket that was passed, or else one of our own. Tells whether it was passed.
@@ -41,8 +41,8 @@
                 listener.set_nonblocking(true)?;
                 return Ok((TcpListener::from_std(listener), true));
             }
-            Ok(None) => note!("no socket was passed"),
-            Err(error) => note!("the passed socket cannot be taken: {error}"),
+            Ok(None) => log_line!("no socket was passed"),
+            Err(error) => log_line!("the passed socket cannot be taken: {error}"),
         }
     }
     Ok((TcpListener::bind(listen)?, false))
--- a/src/net/platform/peers.rs
+++ b/src/net/platform/peers.rs
@@ -1,6 +1,6 @@
 //! Messages between schedulers: datagrams to and from the addresses that the configuration names, no others.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::deadlines::Due;
 use crate::net::{Audience, Ctx};
 use calicolb_freshness::witness::{self, Message};
@@ -57,8 +57,8 @@
                                 .extend(Message::decode(&bytes[..length]).map(|told| (rank as u32, told)));
                         }
                         Some(rank) if length <= LIMIT => ctx.desk.peer(rank as u32, bytes[..length].to_vec()),
-                        Some(_) => note!("a datagram from {from} is too long"),
-                        None => note!("a datagram from {from}, which is no peer"),
+                        Some(_) => log_line!("a datagram from {from} is too long"),
+                        None => log_line!("a datagram from {from}, which is no peer"),
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return of_the_list,
@@ -94,10 +94,12 @@
             None => self.all,
         };
         match address {
-            Some(_) if body.len() > LIMIT => note!("a message of {} bytes is too long to send", body.len()),
+            Some(_) if body.len() > LIMIT => {
+                log_line!("a message of {} bytes is too long to send", body.len())
+            }
             // It may be lost on the way in any case.
             Some(address) => drop(self.socket.send_to(body, address)),
-            None => note!("a message to {to:?}, which is no peer"),
+            None => log_line!("a message to {to:?}, which is no peer"),
         }
     }
 }
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -9,7 +9,7 @@
 
 use self::entry::Line;
 use crate::config::list::Update;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::Buffer;
 use crate::net::core::deadlines::Due;
@@ -210,7 +210,7 @@
         }
         let in_force = !self.stale(ctx.now);
         if in_force && !self.in_force && self.discovery.is_some() {
-            note!(seq = self.seq, "discovery: the list is confirmed");
+            log_line!(seq = self.seq, "discovery: the list is confirmed");
         }
         self.in_force = in_force;
     }
@@ -224,7 +224,7 @@
     pub fn expire(&mut self, now: Micros) {
         if self.stale(now) {
             self.in_force = false;
-            note!(warn: seq = self.seq, "discovery: the list is too old: nothing new is sent until it is confirmed");
+            log_line!(warn: seq = self.seq, "discovery: the list is too old: nothing new is sent until it is confirmed");
         }
     }
 
@@ -247,7 +247,7 @@
     fn call(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare, target: &str) -> Option<Call> {
         let discovery = self.discovery?;
         self.counters.calls += 1;
-        note!(seq = self.seq, %discovery, target, "discovery: a call");
+        log_line!(seq = self.seq, %discovery, target, "discovery: a call");
         let mut made = TcpStream::connect(discovery);
         // Out of descriptors, say: without the list nothing can be sent at all, so that clients at rest make room.
         if made.is_err() && spare.shed(ctx) {
@@ -267,7 +267,7 @@
                 Some(Call { token, stream, buffer, open: false, text: Vec::new() })
             }
             Err(error) => {
-                note!("calling discovery: {error}");
+                log_line!("calling discovery: {error}");
                 self.tell_lost(ctx);
                 None
             }
@@ -323,7 +323,7 @@
             Word::None => {}
             // An older list than the known one says nothing of that one.
             _ if taken.is_err() => {}
-            _ if overdue => note!("discovery: what was not read for too long confirms nothing"),
+            _ if overdue => log_line!("discovery: what was not read for too long confirms nothing"),
             Word::Partial => self.clock.received(ctx.now),
             Word::Whole => {
                 self.clock.heard(ctx.now);
@@ -362,7 +362,7 @@
 
     fn lose(&mut self, ctx: &mut Ctx<'_>, call: Call, due: Due, why: &str) {
         self.counters.lost += 1;
-        note!(seq = self.seq, "discovery: {why}");
+        log_line!(seq = self.seq, "discovery: {why}");
         hang_up(ctx, call);
         if due == Due::Fetch {
             ctx.deadlines.clear(due);
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -3,7 +3,7 @@
 use super::entry::{Line, read_member};
 use super::{HOPS_LIMIT, RouteSet};
 use crate::config::list::Update;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::roster::Source;
 use crate::net::http::next_hop::NextHops;
@@ -41,7 +41,7 @@
         for value in update.hosts {
             match self.read_line(ctx, hops, value) {
                 Ok(member) => members.push(member),
-                Err(error) => note!("a line of the list is dropped: {error}"),
+                Err(error) => log_line!("a line of the list is dropped: {error}"),
             }
         }
         if kind != ListKind::Changes {
@@ -64,7 +64,15 @@
         let (draining, gone) = (count(Standing::Draining), count(Standing::Gone));
         self.counters.versions += 1;
         if self.discovery.is_some() {
-            note!(seq = self.seq, before, ?kind, lines, draining, gone, "discovery: a version is taken in");
+            log_line!(
+                seq = self.seq,
+                before,
+                ?kind,
+                lines,
+                draining,
+                gone,
+                "discovery: a version is taken in"
+            );
         }
         ctx.desk.members(Source::Listed, kind, members);
     }
--- a/src/net/platform/route_set/witnesses.rs
+++ b/src/net/platform/route_set/witnesses.rs
@@ -2,7 +2,7 @@
 
 use super::RouteSet;
 use super::digest::digest;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::{Audience, Ctx};
 use calicolb_freshness::witness::{AUDIENCE, Inquiry, Message, Verdict};
 
@@ -32,7 +32,7 @@
                     Verdict::Confirmed => self.counters.vouched += 1,
                     Verdict::Behind => self.counters.behind += 1,
                 }
-                note!(
+                log_line!(
                     seq = self.seq,
                     from,
                     age_ms,
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -5,7 +5,7 @@
 //! Nothing here decides anything: what a message means is the turn's business.
 
 use crate::config::list::Update;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::{Buffer, Filled};
 use crate::net::core::transfer::{AnyTransfer, Transfer};
@@ -188,7 +188,7 @@
         match bound() {
             Ok(listener) => self.listener = Some(listener),
             // Serving comes first; the next upgrade will find nobody to hand over.
-            Err(error) => note!("no successor can find this process: {}: {error}", path.display()),
+            Err(error) => log_line!("no successor can find this process: {}: {error}", path.display()),
         }
     }
 
@@ -230,7 +230,7 @@
             match serde_json::from_slice(&link.buffer.input()[..end]) {
                 Ok(word) => words.push(word),
                 Err(error) => {
-                    note!("the {side:?} is not understood: {error}");
+                    log_line!("the {side:?} is not understood: {error}");
                     sound = false;
                 }
             }
@@ -247,14 +247,14 @@
     pub fn say(&mut self, side: Side, word: &Word) {
         let Some(link) = self.link(side) else { return };
         let Ok(mut line) = serde_json::to_vec(word) else {
-            return note!("a word to the {side:?} cannot be written");
+            return log_line!("a word to the {side:?} cannot be written");
         };
         line.push(b'\n');
         link.buffer.put(&line);
         // That a link has broken is told by the poll as well, and dealt with there.
         let _ = link.buffer.flush(&mut link.stream);
         if link.buffer.waiting() > LIMIT {
-            note!("the {side:?} does not listen");
+            log_line!("the {side:?} does not listen");
             let _ = link.stream.shutdown(Shutdown::Both);
             link.buffer = Buffer::default();
         }
@@ -327,7 +327,7 @@
     match ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE) {
         Ok(()) => Some(Link { token, stream, buffer: Buffer::default() }),
         Err(error) => {
-            note!("watching the link to another process: {error}");
+            log_line!("watching the link to another process: {error}");
             None
         }
     }
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -3,7 +3,7 @@
 
 use crate::config::list::Update;
 use crate::config::{Config, Fixed, PeerConfig};
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::clock::Clock;
 use crate::net::core::deadlines::{Deadlines, Due};
 use crate::net::core::desk::{AttemptId, Desk, Work};
@@ -121,7 +121,7 @@
             Some(mgmt) => {
                 let mut listener = TcpListener::bind(mgmt)?;
                 registry.register(&mut listener, DOOR, Interest::READABLE)?;
-                note!("{} hears operators on {}", config.name, listener.local_addr()?);
+                log_line!("{} hears operators on {}", config.name, listener.local_addr()?);
                 Some(Door::new(listener))
             }
             None => None,
@@ -188,7 +188,7 @@
     fn start(&mut self, now: Micros, handover: Option<Handover>) -> io::Result<()> {
         if let Some(handover) = &handover {
             // Also from a predecessor that was silent for too long: its open requests are still its own.
-            note!("{} requests are open at the predecessor", handover.open.len());
+            log_line!("{} requests are open at the predecessor", handover.open.len());
             self.desk.share();
             handover.open.iter().for_each(|name| self.desk.elsewhere(name.clone(), true));
         }
@@ -224,11 +224,11 @@
             Some(control) => control.start(&mut ctx),
             // An operator file names no control machines.
             None if appliance => {}
-            None => note!(
+            None => log_line!(
                 "agreed configuration is off: no 'control' machines are named; settings change by SIGHUP"
             ),
         }
-        note!("{} serves on {}", self.name, self.at);
+        log_line!("{} serves on {}", self.name, self.at);
         if drained {
             self.begin_drain(now, Why::Asked);
         }
@@ -241,7 +241,7 @@
         match UdpSocket::bind(config.listen) {
             Ok(mut socket) => {
                 self.registry.register(&mut socket, PEERS, Interest::READABLE)?;
-                note!("{} hears schedulers on {}", self.name, socket.local_addr()?);
+                log_line!("{} hears schedulers on {}", self.name, socket.local_addr()?);
                 let seed = self.clock.now() ^ u64::from(self.rank);
                 self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
             }
@@ -271,7 +271,7 @@
     /// Begins to serve, if that has not happened yet.
     fn begin(&mut self, now: Micros, handover: Option<Handover>) {
         if let Err(error) = self.start(now, handover) {
-            note!("beginning to serve: {error}");
+            log_line!("beginning to serve: {error}");
         }
     }
 
@@ -442,13 +442,13 @@
             }
             Due::Door => self.door_opens(now),
             Due::Predecessor => {
-                note!("the predecessor says nothing");
+                log_line!("the predecessor says nothing");
                 self.begin(now, None);
             }
             Due::OpenRequests => self.settle_open_requests(now),
             Due::PeersAgain => {
                 if let Err(error) = self.open_peers(now) {
-                    note!("hearing schedulers: {error}");
+                    log_line!("hearing schedulers: {error}");
                 }
             }
         }
--- a/src/net/turn/renewal.rs
+++ b/src/net/turn/renewal.rs
@@ -2,7 +2,7 @@
 
 use super::{Control, Turn};
 use crate::config::{Config, Fault, Renewal};
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::platform::upgrade::Listed;
 use calicolb::api::Micros;
 use calicolb::renewal::merge;
@@ -20,14 +20,16 @@
     /// open, stays; a file that cannot be read changes nothing.
     pub(super) fn reload(&mut self, now: Micros) {
         if self.appliance {
-            return note!("SIGHUP: the operator file is read at the start only; the old one stays in force");
+            return log_line!(
+                "SIGHUP: the operator file is read at the start only; the old one stays in force"
+            );
         }
         let config = match Config::reload(|name| std::env::var(name).ok()) {
             Ok(config) => config,
-            Err(message) => return note!("SIGHUP: configuration: {message}; the old one stays in force"),
+            Err(message) => return log_line!("SIGHUP: configuration: {message}; the old one stays in force"),
         };
         if let Some(discovery) = config.discovery {
-            note!("SIGHUP: discovery is at {discovery}");
+            log_line!("SIGHUP: discovery is at {discovery}");
         }
         let (mut ctx, parts) = self.split(now);
         parts.routes.move_to(&mut ctx, config.discovery);
@@ -44,12 +46,12 @@
             }
         }
         if self.control.as_ref().is_some_and(Control::leads) {
-            return note!(
+            return log_line!(
                 "SIGHUP: the settings are agreed with the control machines: the file's do not count"
             );
         }
         if let Err(fault) = self.take_up(now, config.renewal()) {
-            note!("SIGHUP: 'settings.{}' {}; the old settings stay in force", fault.key, fault.why);
+            log_line!("SIGHUP: 'settings.{}' {}; the old settings stay in force", fault.key, fault.why);
         }
     }
 
@@ -102,7 +104,7 @@
         self.share_out(now);
         self.renewals += 1;
         let spent = begun.elapsed().as_micros();
-        note!("other settings are in force: {spent} us, {} requests are open", self.desk.owed());
+        log_line!("other settings are in force: {spent} us, {} requests are open", self.desk.owed());
         Ok(())
     }
 }
--- a/src/net/turn/shutdown.rs
+++ b/src/net/turn/shutdown.rs
@@ -17,7 +17,7 @@
 impl Turn {
     /// The program ends once all that was taken is answered, however long that takes.
     pub(super) fn begin_patient_end(&mut self, now: Micros) {
-        note!("the program ends when {} requests are answered", self.desk.owed());
+        log_line!("the program ends when {} requests are answered", self.desk.owed());
         self.patient = !self.drain.ending();
         if self.drain.begin(Why::Ending) {
             self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
@@ -29,7 +29,7 @@
     pub(super) fn begin_drain(&mut self, now: Micros, why: Why) {
         if why == Why::Ending && self.ending.is_none() {
             self.patient = false;
-            note!("SIGTERM: {} requests are open", self.desk.owed());
+            log_line!("SIGTERM: {} requests are open", self.desk.owed());
             self.ending = Some(Ending { since: now, limited: false });
             self.desk.stop(now + self.grace.last_answer());
         }
@@ -39,7 +39,7 @@
         }
         self.upgrade.say(Side::Predecessor, &Word::Drain(true));
         if self.drain.begin(why) {
-            note!("clients are sent away: {} requests are open", self.desk.owed());
+            log_line!("clients are sent away: {} requests are open", self.desk.owed());
             self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
         }
         self.http.clients.open = self.begun && self.welcome();
@@ -71,7 +71,7 @@
         let open = self.drain.rejoin();
         if open {
             self.upgrade.say(Side::Predecessor, &Word::Drain(false));
-            note!("clients are welcome");
+            log_line!("clients are welcome");
             self.deadlines.clear(Due::Farewell);
             self.http.stay();
             self.others.iter_mut().for_each(|other| other.stay());
--- a/src/net/turn/upgrade.rs
+++ b/src/net/turn/upgrade.rs
@@ -9,7 +9,7 @@
 impl Turn {
     /// A successor has come: it takes what comes from now on, and what was taken here is answered here.
     pub(super) fn retire(&mut self, now: Micros) {
-        note!("handing over to the next process: {} requests are open", self.desk.owed());
+        log_line!("handing over to the next process: {} requests are open", self.desk.owed());
         self.successor_open = !self.drain.asked();
         self.retired = true;
         // The successor needs the address.
@@ -37,7 +37,7 @@
 
     /// The other process has gone. Where it had taken over, this one takes clients again.
     pub(super) fn bereave(&mut self, now: Micros, side: Side) {
-        note!("the {side:?} has gone");
+        log_line!("the {side:?} has gone");
         if !self.upgrade.any() {
             self.desk.alone();
         }
@@ -59,7 +59,7 @@
                 let listening = opened.and_then(|()| parts.http.listen(&mut ctx));
                 parts.upgrade.listen(ctx.registry, MEETING);
                 if let Err(error) = listening {
-                    note!("taking clients again: {error}");
+                    log_line!("taking clients again: {error}");
                 }
                 self.settle_open_requests(now);
             }
@@ -82,9 +82,9 @@
         let (envelope, unread) = ((*envelope).clone(), unread.to_vec());
         let transfer = Transfer { envelope, keep_alive, unread, history, clock: now };
         if !self.upgrade.transfer(stream, &transfer) {
-            return note!(request = number, "a request could not be sent to the next process yet");
+            return log_line!(request = number, "a request could not be sent to the next process yet");
         }
-        note!(
+        log_line!(
             request = number,
             attempts = transfer.history.attempts.len(),
             "a request moves to the next process"
@@ -97,7 +97,7 @@
 
     /// A request that was sent to the successor goes on here.
     fn take_back(&mut self, now: Micros, pending: Pending) {
-        note!("a request comes back from the next process");
+        log_line!("a request comes back from the next process");
         let (mut ctx, parts) = self.split(now);
         parts.http.clients.resume(&mut ctx, pending.client, pending.transfer);
         for body in pending.call_backs {
@@ -118,7 +118,7 @@
         let (mut ctx, parts) = self.split(now);
         let taken = stream.is_some_and(|stream| parts.http.clients.adopt(&mut ctx, stream, transfer).is_ok());
         if !taken {
-            note!("a request of the process before this one cannot be taken over");
+            log_line!("a request of the process before this one cannot be taken over");
         }
         if answers {
             let word = if taken { Word::Adopted(name) } else { Word::Declined(name) };
@@ -180,7 +180,7 @@
                 | Word::Adopted(_)
                 | Word::Declined(_),
                 _,
-            ) => note!("the {side:?} said what it may not"),
+            ) => log_line!("the {side:?} said what it may not"),
         }
     }
 
