--- a/src/net/operators/drain.rs
+++ b/src/net/operators/drain.rs
@@ -7,37 +7,37 @@
 /// on: the front goes on sending for 0.3 s, and the scheduler that was restarted before this one may not serve
 /// yet, so that who is sent away finds nobody. Of what is taken later than 2 s after LAMEDUCK nothing may be
 /// left on a connection 4 s after it.
-pub const PARTING: Micros = 1_800_000;
+pub const CLIENT_DISCONNECT_DELAY: Micros = 1_800_000;
 
 /// Why clients are sent away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum DrainReason {
     /// An operator asked for it (LAMEDUCK); it lasts until REJOIN.
-    Asked,
+    OperatorRequest,
     /// The program ends (SIGTERM); it lasts until all that was taken is answered.
-    Ending,
+    ProcessExit,
 }
 
 /// See the head of this file.
 #[derive(Debug, Default)]
 pub struct Drain {
-    why: Option<Why>,
-    parted: bool,
+    reason: Option<DrainReason>,
+    disconnecting: bool,
 }
 
 impl Drain {
     /// Begins a drain; tells whether there was none yet. The end of the program comes before an operator's wish.
-    pub fn begin(&mut self, why: Why) -> bool {
-        let first = self.why.is_none();
-        if self.why != Some(Why::Ending) {
-            self.why = Some(why);
+    pub fn begin(&mut self, reason: DrainReason) -> bool {
+        let first = self.reason.is_none();
+        if self.reason != Some(DrainReason::ProcessExit) {
+            self.reason = Some(reason);
         }
         first
     }
 
     /// Ends a drain that an operator asked for; tells whether the scheduler is open again.
     pub fn rejoin(&mut self) -> bool {
-        if self.ending() {
+        if self.is_process_exiting() {
             return false;
         }
         *self = Drain::default();
@@ -45,28 +45,28 @@
     }
 
     /// Clients are welcome.
-    pub fn open(&self) -> bool {
-        self.why.is_none()
+    pub fn accepts_clients(&self) -> bool {
+        self.reason.is_none()
     }
 
     /// An operator wants clients sent away.
-    pub fn asked(&self) -> bool {
-        self.why == Some(Why::Asked)
+    pub fn is_operator_drain(&self) -> bool {
+        self.reason == Some(DrainReason::OperatorRequest)
     }
 
     /// The program is to end.
-    pub fn ending(&self) -> bool {
-        self.why == Some(Why::Ending)
+    pub fn is_process_exiting(&self) -> bool {
+        self.reason == Some(DrainReason::ProcessExit)
     }
 
     /// The time to part with the clients' connections has come.
-    pub fn part(&mut self) {
-        self.parted = true;
+    pub fn start_disconnecting(&mut self) {
+        self.disconnecting = true;
     }
 
     /// All that is left to do is to answer what was taken, and to exit.
-    pub fn last(&self) -> bool {
-        self.ending() && self.parted
+    pub fn is_final_phase(&self) -> bool {
+        self.is_process_exiting() && self.disconnecting
     }
 }
 
@@ -77,12 +77,18 @@
     #[test]
     fn a_drain_ends_with_rejoin_unless_the_program_ends() {
         let mut drain = Drain::default();
-        assert!(drain.open() && drain.begin(Why::Asked) && !drain.open());
-        drain.part();
-        assert!(!drain.last() && drain.rejoin() && drain.open());
-        assert!(drain.begin(Why::Asked) && !drain.begin(Why::Ending) && !drain.begin(Why::Asked));
-        assert!(drain.ending() && !drain.last() && !drain.rejoin());
-        drain.part();
-        assert!(drain.last());
+        assert!(
+            drain.accepts_clients() && drain.begin(DrainReason::OperatorRequest) && !drain.accepts_clients()
+        );
+        drain.start_disconnecting();
+        assert!(!drain.is_final_phase() && drain.rejoin() && drain.accepts_clients());
+        assert!(
+            drain.begin(DrainReason::OperatorRequest)
+                && !drain.begin(DrainReason::ProcessExit)
+                && !drain.begin(DrainReason::OperatorRequest)
+        );
+        assert!(drain.is_process_exiting() && !drain.is_final_phase() && !drain.rejoin());
+        drain.start_disconnecting();
+        assert!(drain.is_final_phase());
     }
 }
--- a/src/net/operators/door.rs
+++ b/src/net/operators/management.rs
@@ -15,7 +15,7 @@
 const SECOND: Micros = 1_000_000;
 /// Calls that may be open at once. The next one ends the oldest: who connects and says nothing must not keep
 /// others out, and the descriptors kept for the door are so many.
-pub const CALLS: usize = 16;
+pub const MAX_MANAGEMENT_CONNECTIONS: usize = 16;
 /// A call whose line has not come by then is turned away.
 const SLOW: Micros = 3 * SECOND;
 /// How long the answer may take to be read before the call is cut.
@@ -27,7 +27,7 @@
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ManagementCommand {
     Ping,
     Info,
     Lameduck,
@@ -41,31 +41,35 @@
 }
 
 /// See the head of this file.
-pub struct Door {
+pub struct ManagementServer {
     listener: TcpListener,
     /// By the number of the connection, so the oldest comes first.
     calls: BTreeMap<usize, Call>,
 }
 
-impl Door {
+impl ManagementServer {
     pub fn new(listener: TcpListener) -> Self {
-        Door { listener, calls: BTreeMap::new() }
+        ManagementServer { listener, calls: BTreeMap::new() }
     }
 
     /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
+    pub fn owns(&self, token: usize) -> bool {
         self.calls.contains_key(&token)
     }
 
     /// Takes new calls; those that bring their line along are given back at once.
-    pub fn accept(&mut self, ctx: &mut Ctx<'_>, spare: &mut dyn Spare) -> Vec<(usize, Option<Order>)> {
+    pub fn accept(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        spare: &mut dyn Spare,
+    ) -> Vec<(usize, Option<ManagementCommand>)> {
         let mut orders = Vec::new();
         // As many in a turn as may be open; the rest come in the next.
-        for _ in 0..CALLS {
+        for _ in 0..MAX_MANAGEMENT_CONNECTIONS {
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     if let Some(token) = self.open(ctx, stream)
-                        && let Some(order) = self.ready(ctx, token)
+                        && let Some(order) = self.handle_ready(ctx, token)
                     {
                         orders.push((token, order));
                     }
@@ -87,7 +91,7 @@
     }
 
     fn open(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream) -> Option<usize> {
-        if self.calls.len() >= CALLS
+        if self.calls.len() >= MAX_MANAGEMENT_CONNECTIONS
             && let Some(&oldest) = self.calls.keys().next()
         {
             self.drop_call(ctx, oldest);
@@ -105,7 +109,7 @@
 
     /// Something can be read or written. Gives the order once its line is whole; `Some(None)` is one that
     /// nobody understands.
-    pub fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> Option<Option<Order>> {
+    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> Option<Option<ManagementCommand>> {
         let call = self.calls.get_mut(&token)?;
         if call.buffer.has_output() {
             self.flush(ctx, token);
@@ -135,7 +139,7 @@
     }
 
     /// Answers a call; it ends with that.
-    pub fn answer(&mut self, ctx: &mut Ctx<'_>, token: usize, text: &str) {
+    pub fn respond(&mut self, ctx: &mut Ctx<'_>, token: usize, text: &str) {
         let Some(call) = self.calls.get_mut(&token) else { return };
         call.answered = true;
         call.buffer.put(text.as_bytes());
@@ -154,9 +158,9 @@
     }
 
     /// A call has been open for too long.
-    pub fn late(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, token: usize) {
         match self.calls.get(&token) {
-            Some(call) if !call.answered => self.answer(ctx, token, "error no call came\n"),
+            Some(call) if !call.answered => self.respond(ctx, token, "error no call came\n"),
             _ => self.drop_call(ctx, token),
         }
     }
@@ -168,12 +172,12 @@
     }
 }
 
-fn read(line: &[u8]) -> Option<Order> {
+fn read(line: &[u8]) -> Option<ManagementCommand> {
     match line.trim_ascii() {
-        b"PING" => Some(Order::Ping),
-        b"INFO" => Some(Order::Info),
-        b"LAMEDUCK" => Some(Order::Lameduck),
-        b"REJOIN" => Some(Order::Rejoin),
+        b"PING" => Some(ManagementCommand::Ping),
+        b"INFO" => Some(ManagementCommand::Info),
+        b"LAMEDUCK" => Some(ManagementCommand::Lameduck),
+        b"REJOIN" => Some(ManagementCommand::Rejoin),
         _ => None,
     }
 }
--- a/src/net/operators/mod.rs
+++ b/src/net/operators/mod.rs
@@ -1,4 +1,4 @@
 //! The operators' side: their door, and the one state of sending clients away.
 
-pub mod door;
 pub mod drain;
+pub mod management;
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -15,8 +15,8 @@
 use crate::net::http::call_back::call_back;
 use crate::net::http::client::Clients;
 use crate::net::http::next_hop::NextHops;
-use crate::net::operators::door::{CALLS, Door, Order};
-use crate::net::operators::drain::{Drain, PARTING, Why};
+use crate::net::operators::drain::{CLIENT_DISCONNECT_DELAY, Drain, DrainReason};
+use crate::net::operators::management::{MAX_MANAGEMENT_CONNECTIONS, ManagementCommand, ManagementServer};
 use crate::net::platform::control::Control;
 use crate::net::platform::inherit;
 use crate::net::platform::peers::Peers;
@@ -68,7 +68,7 @@
     peers: Option<Peers>,
     /// The agreed configuration, if there is any.
     control: Option<Control>,
-    door: Option<Door>,
+    door: Option<ManagementServer>,
     drain: Drain,
     upgrade: UpgradeLink,
     /// What the other process is to be told at the end of the turn.
@@ -122,7 +122,7 @@
                 let mut listener = TcpListener::bind(mgmt)?;
                 registry.register(&mut listener, DOOR, Interest::READABLE)?;
                 log_line!("{} hears operators on {}", config.name, listener.local_addr()?);
-                Some(Door::new(listener))
+                Some(ManagementServer::new(listener))
             }
             None => None,
         };
@@ -230,7 +230,7 @@
         }
         log_line!("{} serves on {}", self.name, self.at);
         if drained {
-            self.begin_drain(now, Why::Asked);
+            self.begin_drain(now, DrainReason::OperatorRequest);
         }
         Ok(())
     }
@@ -257,7 +257,7 @@
     /// Deals the descriptors out. While two processes share the limit, each keeps to half of it.
     fn share_out(&mut self, now: Micros) {
         let sockets = self.sockets / if self.upgrade.any() { 2 } else { 1 };
-        let own = OWN_SOCKETS + if self.door.is_some() { CALLS } else { 0 };
+        let own = OWN_SOCKETS + if self.door.is_some() { MAX_MANAGEMENT_CONNECTIONS } else { 0 };
         let (shares, most_open) = shares(sockets, own);
         let most_open = most_open.min(self.most_open);
         let (mut ctx, mut parts) = self.split(now);
@@ -327,12 +327,12 @@
 
     /// Clients are welcome, here or at the process that took over: the two are one scheduler.
     fn welcome(&self) -> bool {
-        if self.retired { self.successor_open } else { self.drain.open() }
+        if self.retired { self.successor_open } else { self.drain.accepts_clients() }
     }
 
     fn done(&self, now: Micros) -> bool {
         // What the predecessor still has out needs its call-backs, and they come to whoever listens: here.
-        self.drain.last()
+        self.drain.is_final_phase()
             && self.desk.owed() == 0
             && self.transfers.is_empty()
             && self.http.at_rest(now)
@@ -385,8 +385,8 @@
                 }
             }
             Token(token) => match parts.door {
-                Some(door) if door.has(token) => {
-                    if let Some(order) = door.ready(&mut ctx, token) {
+                Some(door) if door.owns(token) => {
+                    if let Some(order) = door.handle_ready(&mut ctx, token) {
                         self.order(now, token, order);
                     }
                 }
@@ -433,11 +433,11 @@
             Due::Tick | Due::Heartbeat | Due::Link(_) => {}
             Due::Farewell => {
                 parts.protocols().for_each(|protocol| protocol.farewell(&mut ctx));
-                self.drain.part();
+                self.drain.start_disconnecting();
             }
             Due::Call(token) => {
                 if let Some(door) = parts.door {
-                    door.late(&mut ctx, token);
+                    door.handle_timeout(&mut ctx, token);
                 }
             }
             Due::Door => self.door_opens(now),
@@ -495,14 +495,14 @@
             self.reload(now);
         }
         if signals.contains(&SIGTERM) {
-            self.begin_drain(now, Why::Ending);
+            self.begin_drain(now, DrainReason::ProcessExit);
         }
     }
 
     /// Does what a protocol wants of the whole program.
     fn grant(&mut self, now: Micros, wish: Wish) {
         match wish {
-            Wish::End { patient: false } => self.begin_drain(now, Why::Ending),
+            Wish::End { patient: false } => self.begin_drain(now, DrainReason::ProcessExit),
             Wish::End { patient: true } => self.begin_patient_end(now),
         }
     }
@@ -532,7 +532,7 @@
     routes: &'a mut RouteSet,
     peers: &'a mut Option<Peers>,
     control: &'a mut Option<Control>,
-    door: &'a mut Option<Door>,
+    door: &'a mut Option<ManagementServer>,
     drain: &'a mut Drain,
     upgrade: &'a mut UpgradeLink,
 }
--- a/src/net/turn/orders.rs
+++ b/src/net/turn/orders.rs
@@ -13,11 +13,11 @@
     }
 
     /// Carries out what an operator wants, and answers.
-    pub(super) fn order(&mut self, now: Micros, token: usize, order: Option<Order>) {
+    pub(super) fn order(&mut self, now: Micros, token: usize, order: Option<ManagementCommand>) {
         let answer = match order {
-            Some(Order::Ping) if self.begun => "done\n".to_owned(),
-            Some(Order::Ping) => "error no list of stock workers is known yet\n".to_owned(),
-            Some(Order::Info) => {
+            Some(ManagementCommand::Ping) if self.begun => "done\n".to_owned(),
+            Some(ManagementCommand::Ping) => "error no list of stock workers is known yet\n".to_owned(),
+            Some(ManagementCommand::Info) => {
                 let list = self.routes.figures(now);
                 let present = Present {
                     in_flight: self.desk.owed(),
@@ -33,21 +33,21 @@
                 self.desk.figures().write(self.names.classes(), present, others)
             }
             // What this process no longer takes is the successor's to send away.
-            Some(Order::Lameduck | Order::Rejoin) if self.retired => {
-                self.upgrade.say(Side::Successor, &Word::Drain(order == Some(Order::Lameduck)));
+            Some(ManagementCommand::Lameduck | ManagementCommand::Rejoin) if self.retired => {
+                self.upgrade.say(Side::Successor, &Word::Drain(order == Some(ManagementCommand::Lameduck)));
                 "done\n".to_owned()
             }
-            Some(Order::Lameduck) => {
-                self.begin_drain(now, Why::Asked);
+            Some(ManagementCommand::Lameduck) => {
+                self.begin_drain(now, DrainReason::OperatorRequest);
                 "done\n".to_owned()
             }
-            Some(Order::Rejoin) if self.rejoin() => "done\n".to_owned(),
-            Some(Order::Rejoin) => "error the program is ending\n".to_owned(),
+            Some(ManagementCommand::Rejoin) if self.rejoin() => "done\n".to_owned(),
+            Some(ManagementCommand::Rejoin) => "error the program is ending\n".to_owned(),
             None => "error unknown call\n".to_owned(),
         };
         let (mut ctx, parts) = self.split(now);
         if let Some(door) = parts.door {
-            door.answer(&mut ctx, token, &answer);
+            door.respond(&mut ctx, token, &answer);
         }
     }
 }
--- a/src/net/turn/renewal.rs
+++ b/src/net/turn/renewal.rs
@@ -94,7 +94,7 @@
         self.desk.take_up(now, settings, &mut self.deadlines);
         self.names = names;
         (self.conn_idle, self.most_open) = (conn_idle, most_open);
-        if !self.drain.ending() {
+        if !self.drain.is_process_exiting() {
             self.grace = super::grace(&classes);
         }
         let (mut ctx, parts) = self.split(now);
--- a/src/net/turn/shutdown.rs
+++ b/src/net/turn/shutdown.rs
@@ -18,29 +18,29 @@
     /// The program ends once all that was taken is answered, however long that takes.
     pub(super) fn begin_patient_end(&mut self, now: Micros) {
         log_line!("the program ends when {} requests are answered", self.desk.owed());
-        self.patient = !self.drain.ending();
-        if self.drain.begin(Why::Ending) {
-            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
+        self.patient = !self.drain.is_process_exiting();
+        if self.drain.begin(DrainReason::ProcessExit) {
+            self.deadlines.set(Due::Farewell, now + CLIENT_DISCONNECT_DELAY.min(self.grace.kill * 3 / 5));
         }
     }
 
     /// Begins to send clients away. The work goes on, new work too; when clients have had the time to hear of
     /// it, their connections are parted with. After SIGTERM only what can be done before the end is taken.
-    pub(super) fn begin_drain(&mut self, now: Micros, why: Why) {
-        if why == Why::Ending && self.ending.is_none() {
+    pub(super) fn begin_drain(&mut self, now: Micros, why: DrainReason) {
+        if why == DrainReason::ProcessExit && self.ending.is_none() {
             self.patient = false;
             log_line!("SIGTERM: {} requests are open", self.desk.owed());
             self.ending = Some(Ending { since: now, limited: false });
             self.desk.stop(now + self.grace.last_answer());
         }
-        if why == Why::Ending && self.retired && !self.drain.ending() {
+        if why == DrainReason::ProcessExit && self.retired && !self.drain.is_process_exiting() {
             // Clients were parted with when the successor took over.
-            self.drain.part();
+            self.drain.start_disconnecting();
         }
         self.upgrade.say(Side::Predecessor, &Word::Drain(true));
         if self.drain.begin(why) {
             log_line!("clients are sent away: {} requests are open", self.desk.owed());
-            self.deadlines.set(Due::Farewell, now + PARTING.min(self.grace.kill * 3 / 5));
+            self.deadlines.set(Due::Farewell, now + CLIENT_DISCONNECT_DELAY.min(self.grace.kill * 3 / 5));
         }
         self.http.clients.open = self.begun && self.welcome();
         self.settle_open_requests(now);
--- a/src/net/turn/upgrade.rs
+++ b/src/net/turn/upgrade.rs
@@ -10,7 +10,7 @@
     /// A successor has come: it takes what comes from now on, and what was taken here is answered here.
     pub(super) fn retire(&mut self, now: Micros) {
         log_line!("handing over to the next process: {} requests are open", self.desk.owed());
-        self.successor_open = !self.drain.asked();
+        self.successor_open = !self.drain.is_operator_drain();
         self.retired = true;
         // The successor needs the address.
         self.peers = None;
@@ -25,11 +25,11 @@
             knowledge: ctx.desk.hand_over(),
             names: Some(Listed::new(ctx.names)),
             open: ctx.desk.share(),
-            drained: parts.drain.asked(),
+            drained: parts.drain.is_operator_drain(),
         };
         parts.upgrade.say(Side::Successor, &Word::Handover(Box::new(handover)));
-        if parts.drain.ending() {
-            parts.drain.part();
+        if parts.drain.is_process_exiting() {
+            parts.drain.start_disconnecting();
         }
         self.share_out(now);
         self.settle_open_requests(now);
@@ -53,7 +53,7 @@
                 let opened = self.open_peers(now);
                 let (mut ctx, parts) = self.split(now);
                 ctx.desk.resume();
-                if parts.drain.open() {
+                if parts.drain.accepts_clients() {
                     parts.http.stay();
                 }
                 let listening = opened.and_then(|()| parts.http.listen(&mut ctx));
@@ -170,7 +170,7 @@
                 }
             }
             (Word::Drain(drained), Side::Successor) => self.successor_open = !drained,
-            (Word::Drain(true), Side::Predecessor) => self.begin_drain(now, Why::Asked),
+            (Word::Drain(true), Side::Predecessor) => self.begin_drain(now, DrainReason::OperatorRequest),
             (Word::Drain(false), Side::Predecessor) => drop(self.rejoin()),
             (
                 Word::Successor
