--- a/src/cli.rs
+++ b/src/cli.rs
@@ -82,6 +82,6 @@
 impl Serve {
     /// The addresses that stand in for the operator file's.
     pub fn addresses(&self) -> Addresses {
-        Addresses { listen: self.listen, gearman: self.gearman, mgmt: self.mgmt }
+        Addresses { listen: self.listen, gearman: self.gearman, management: self.mgmt }
     }
 }
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -1,6 +1,6 @@
 //! The operator file of a control machine.
 
-use super::agreed::{Shared, shared};
+use super::agreed::{SharedSettingsCheck, shared_settings};
 use super::document;
 use super::operator::parse;
 use super::sheet::{Reading, Sheet, like};
@@ -30,7 +30,7 @@
     /// Learners that may watch here at once.
     pub learners: usize,
     /// The settings to begin with, where none were agreed yet.
-    pub settings: Option<Document>,
+    pub initial_settings: Option<Document>,
 }
 
 impl ControlConfig {
@@ -103,7 +103,7 @@
         machines,
         store: folder.join(store?),
         learners: learners as usize,
-        settings: settings.flatten(),
+        initial_settings: settings.flatten(),
     })
 }
 
@@ -121,8 +121,8 @@
         Ok(whole) => whole,
         Err(error) => return fault(format!("{}: {error}", path.display())),
     };
-    let first = shared(document::to_document(whole.get("settings").unwrap_or(&whole)));
-    match Shared.check(&first) {
+    let first = shared_settings(document::to_document(whole.get("settings").unwrap_or(&whole)));
+    match SharedSettingsCheck.check(&first) {
         Ok(()) => Some(first),
         Err(wrong) => fault(format!("{}: '{}' {}", path.display(), wrong.key, wrong.why)),
     }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -14,7 +14,7 @@
 #![allow(dead_code, reason = "the control role asks for what SIGHUP does not")]
 
 use super::platform;
-use super::{Fault, Renewal};
+use super::{Fault, SettingsUpdate};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -274,8 +274,8 @@
 ///
 /// # Errors
 /// The key at fault, and what is wrong there.
-pub fn check(document: &Document) -> Result<Renewal, Fault> {
-    platform::renewal(&from_document(document)?)
+pub fn check(document: &Document) -> Result<SettingsUpdate, Fault> {
+    platform::settings_update(&from_document(document)?)
 }
 
 #[cfg(test)]
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -37,7 +37,7 @@
 }
 
 /// The settings' classes and tenants by name: their order does not count.
-fn by_name(renewal: &Renewal) -> (BTreeMap<String, String>, BTreeMap<String, String>) {
+fn by_name(renewal: &SettingsUpdate) -> (BTreeMap<String, String>, BTreeMap<String, String>) {
     let classes = renewal.names.classes().zip(&renewal.settings.classes);
     let tenants = renewal.names.tenants().zip(&renewal.settings.tenants);
     (
@@ -46,8 +46,8 @@
     )
 }
 
-fn renewal(settings: &Value) -> Renewal {
-    platform::renewal(settings).unwrap_or_else(|fault| panic!("{fault}"))
+fn settings_update(settings: &Value) -> SettingsUpdate {
+    platform::settings_update(settings).unwrap_or_else(|fault| panic!("{fault}"))
 }
 
 /// That the document of these settings stands for the same settings, and is the document of those.
@@ -55,10 +55,14 @@
     let document = to_document(settings);
     let back = from_document(&document).unwrap_or_else(|fault| panic!("{fault}: {document:?}"));
     assert_eq!(to_document(&back), document);
-    let (here, there) = (renewal(settings), renewal(&back));
+    let (here, there) = (settings_update(settings), settings_update(&back));
     assert_eq!(by_name(&here), by_name(&there));
-    assert_eq!((here.conn_idle, here.most_open), (there.conn_idle, there.most_open));
-    let bare = |renewal: Renewal| Settings { classes: Vec::new(), tenants: Vec::new(), ..renewal.settings };
+    assert_eq!(
+        (here.worker_idle_timeout, here.max_open_requests),
+        (there.worker_idle_timeout, there.max_open_requests)
+    );
+    let bare =
+        |renewal: SettingsUpdate| Settings { classes: Vec::new(), tenants: Vec::new(), ..renewal.settings };
     assert_eq!(bare(here), bare(there));
 }
 
@@ -207,7 +211,7 @@
         twice[list].as_array_mut().expect("it is a list").push(first);
         let document = to_document(&twice);
         assert!(document.contains_key(list), "{document:?}");
-        assert_eq!(platform::renewal(&twice).expect_err("it is there twice").key, key);
+        assert_eq!(platform::settings_update(&twice).expect_err("it is there twice").key, key);
     }
     let empty = check(&Document::new()).expect_err("nothing can be used");
     assert_eq!(empty.key, "request_classes");
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -4,12 +4,12 @@
 pub mod agreed;
 pub mod control;
 pub mod document;
-pub mod list;
 pub mod operator;
 mod platform;
 mod sheet;
+pub mod worker_list;
 
-use self::list::Update;
+use self::worker_list::ListUpdate;
 use calicolb::api::{ClassIx, KindIx, Member, Micros, Settings, ZoneIx};
 pub use calicolb::renewal::Fault;
 use calicolb::wire::Names;
@@ -17,38 +17,38 @@
 use std::path::PathBuf;
 
 /// Descriptors that the program needs at least.
-pub const LEAST_SOCKETS: u64 = 64;
+pub const MIN_DESCRIPTORS: u64 = 64;
 /// The name under which two processes on one socket meet, in `$TMPDIR`.
 const MEETING: &str = "calicolb.sock";
-const DEFAULT_SOCKETS: u64 = 1_024;
-const DEFAULT_CONN_IDLE: Micros = 5_000_000;
-const DEFAULT_MOST_OPEN: u64 = 20_000;
+const DEFAULT_DESCRIPTORS: u64 = 1_024;
+const DEFAULT_WORKER_IDLE_TIMEOUT: Micros = 5_000_000;
+const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
 
 /// What the schedulers' messages to each other need.
 pub struct PeerConfig {
     /// Where they arrive.
     pub listen: SocketAddr,
     /// One address for each scheduler, by rank.
-    pub each: Vec<SocketAddr>,
+    pub by_rank: Vec<SocketAddr>,
     /// The address that reaches all of them.
-    pub all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
 }
 
 /// A next hop that speaks HTTP and is at a fixed address.
-pub struct Fixed {
+pub struct StaticWorker {
     /// What the module is told of it.
     pub member: Member,
     /// Its address.
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// A class as a submission of some priority gets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Grade {
+pub struct PriorityClass {
     /// The class.
     pub class: ClassIx,
     /// How long a caller waits over all tries.
-    pub patience: Micros,
+    pub client_timeout: Micros,
 }
 
 /// A Gearman function.
@@ -59,11 +59,11 @@
     /// What a worker must be able to do for it.
     pub skill: u32,
     /// What its jobs are by priority: low, normal, high.
-    pub grades: [Grade; 3],
+    pub priority_classes: [PriorityClass; 3],
     /// How long a background job may take over all tries.
-    pub background: Micros,
+    pub background_timeout: Micros,
     /// Its workers take the HTTP jobs of its class as well.
-    pub takes_http: bool,
+    pub takes_http_jobs: bool,
 }
 
 /// What the Gearman side is told.
@@ -80,26 +80,26 @@
     /// Their kind of machine.
     pub kind: KindIx,
     /// Admin commands that change something are carried out.
-    pub admin: bool,
+    pub admin_changes: bool,
     /// How many ends of background jobs are remembered.
-    pub ends: usize,
+    pub max_remembered_jobs: usize,
     /// The largest workload, in bytes.
-    pub workload: usize,
+    pub max_workload_bytes: usize,
     /// What handles begin with.
     pub name: String,
 }
 
 /// What can come into force while the program runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Renewal {
+pub struct SettingsUpdate {
     /// The module's settings.
     pub settings: Settings,
     /// The names behind the settings' indices.
     pub names: Names,
     /// When a next hop closes an idle connection.
-    pub conn_idle: Micros,
+    pub worker_idle_timeout: Micros,
     /// Requests that may be open at once.
-    pub most_open: usize,
+    pub max_open_requests: usize,
 }
 
 /// What a scheduler that learns agreed settings is told.
@@ -107,11 +107,11 @@
     /// The control machines.
     pub machines: Vec<SocketAddr>,
     /// Who has heard nothing of a majority for so long is behind.
-    pub silence: Micros,
+    pub max_silence: Micros,
     /// The settings to begin with, without the keys that are each scheduler's own, ...
-    pub settings: document::Document,
+    pub initial_settings: document::Document,
     /// ... and those keys.
-    pub own: document::Document,
+    pub local_settings: document::Document,
 }
 
 /// All that the program is told.
@@ -123,21 +123,21 @@
     /// Where discovery is, if there is any.
     pub discovery: Option<SocketAddr>,
     /// Where operators call, if they may.
-    pub mgmt: Option<SocketAddr>,
+    pub management: Option<SocketAddr>,
     /// The descriptor under which the platform passed the clients' socket, if it did.
-    pub passed: Option<i32>,
+    pub passed_socket: Option<i32>,
     /// Where two processes that share that socket meet.
-    pub meeting: Option<PathBuf>,
+    pub upgrade_socket: Option<PathBuf>,
     /// For random numbers.
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Where other schedulers are, if there may be messages between them.
     pub peers: Option<PeerConfig>,
     /// The list of next hops as last known.
-    pub known: Option<Update>,
+    pub known_workers: Option<ListUpdate>,
     /// Next hops at fixed addresses.
-    pub fixed: Vec<Fixed>,
+    pub static_workers: Vec<StaticWorker>,
     /// The Gearman side, if there is one.
     pub gearman: Option<GearmanConfig>,
     /// The module's settings.
@@ -145,17 +145,22 @@
     /// The names behind the settings' indices.
     pub names: Names,
     /// When a next hop closes an idle connection.
-    pub conn_idle: Micros,
+    pub worker_idle_timeout: Micros,
     /// Requests that may be open at once.
-    pub most_open: usize,
+    pub max_open_requests: usize,
     /// The control machines, if settings are agreed.
     pub control: Option<LearnerConfig>,
 }
 
 impl Config {
     /// What of it can come into force while the program runs.
-    pub fn renewal(&self) -> Renewal {
+    pub fn settings_update(&self) -> SettingsUpdate {
         let (settings, names) = (self.settings.clone(), self.names.clone());
-        Renewal { settings, names, conn_idle: self.conn_idle, most_open: self.most_open }
+        SettingsUpdate {
+            settings,
+            names,
+            worker_idle_timeout: self.worker_idle_timeout,
+            max_open_requests: self.max_open_requests,
+        }
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -26,7 +26,7 @@
     /// Where Gearman clients and workers connect.
     pub gearman: Option<SocketAddr>,
     /// Where operators call.
-    pub mgmt: Option<SocketAddr>,
+    pub management: Option<SocketAddr>,
 }
 
 /// The words that may begin a node.
@@ -130,10 +130,10 @@
         let limit = |key, least, most, default| {
             limits.as_ref().and_then(|sheet| sheet.whole(key, least, most)).unwrap_or(default)
         };
-        let sockets = limit("descriptors", LEAST_SOCKETS, 65_536, DEFAULT_SOCKETS);
-        let most_open = limit("open-jobs", 1, MOST_OPEN, sockets / 3);
-        if let Some(sheet) = limits.as_ref().filter(|_| most_open > sockets / 3) {
-            let message = format!("'open-jobs' is {most_open}, and 'descriptors' {sockets}");
+        let sockets = limit("descriptors", MIN_DESCRIPTORS, 65_536, DEFAULT_DESCRIPTORS);
+        let max_open_requests = limit("open-jobs", 1, MOST_OPEN, sockets / 3);
+        if let Some(sheet) = limits.as_ref().filter(|_| max_open_requests > sockets / 3) {
+            let message = format!("'open-jobs' is {max_open_requests}, and 'descriptors' {sockets}");
             sheet.fault(
                 "open-jobs",
                 message,
@@ -143,7 +143,7 @@
         let class_names = names.iter().map(|name| (*name).to_owned()).collect();
         let tenant_names = tenants.iter().map(|(name, _)| (*name).to_owned()).collect();
         let kind_names = kinds.iter().map(|kind| (*kind).to_owned()).collect();
-        let (settings, conn_idle) = self.settings(
+        let (settings, worker_idle_timeout) = self.settings(
             classes.into_iter().map(|class| class.class).collect(),
             tenants.into_iter().map(|(_, tenant)| tenant).collect(),
             kinds.len(),
@@ -160,19 +160,19 @@
             name: name.to_owned(),
             listen,
             discovery: None,
-            mgmt: over.mgmt.or(mgmt),
-            passed: None,
-            meeting: None,
+            management: over.management.or(mgmt),
+            passed_socket: None,
+            upgrade_socket: None,
             seed: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_nanos() as u64),
-            sockets: sockets as usize,
+            max_descriptors: sockets as usize,
             peers: None,
-            known: None,
-            fixed,
+            known_workers: None,
+            static_workers: fixed,
             gearman,
             settings,
             names: Names::new(class_names, tenant_names, vec!["site".to_owned()], kind_names),
-            conn_idle,
-            most_open: most_open as usize,
+            worker_idle_timeout,
+            max_open_requests: max_open_requests as usize,
             control: None,
         })
     }
@@ -257,17 +257,24 @@
                     "rename one of them",
                 );
             }
-            let grade = |nr: usize| Grade { class: ClassIx(nr), patience: classes[nr].class.deadline };
+            let grade =
+                |nr: usize| PriorityClass { class: ClassIx(nr), client_timeout: classes[nr].class.deadline };
             let grades = [grade(low.unwrap_or(class)), grade(class), grade(high.unwrap_or(class))];
             if grades.iter().any(|other| classes[other.class.0].class.effect != classes[class].class.effect) {
                 let mend =
                     "what a repeat would do does not change with the priority: name classes of one effect";
                 sheet.fault("class", format!("the classes of \"{name}\" differ in their effect"), mend);
             }
-            let background = background.unwrap_or(grades[1].patience);
+            let background = background.unwrap_or(grades[1].client_timeout);
             let skill = (classes.len() + functions.len()) as u32;
             let name_owned = name.to_owned();
-            let function = Function { name: name_owned, skill, grades, background, takes_http };
+            let function = Function {
+                name: name_owned,
+                skill,
+                priority_classes: grades,
+                background_timeout: background,
+                takes_http_jobs: takes_http,
+            };
             functions.push((name, function, on_http));
         }
         if classes.len() + functions.len() > SKILLS {
@@ -293,8 +300,13 @@
         kinds
     }
 
-    fn fixed(&self, classes: &[&str], functions: &[(&str, Function, bool)], kinds: &[&str]) -> Vec<Fixed> {
-        let mut fixed: Vec<(&str, Fixed)> = Vec::new();
+    fn fixed(
+        &self,
+        classes: &[&str],
+        functions: &[(&str, Function, bool)],
+        kinds: &[&str],
+    ) -> Vec<StaticWorker> {
+        let mut fixed: Vec<(&str, StaticWorker)> = Vec::new();
         for node in self.nodes("http-worker") {
             let sheet = Sheet::new(self.reading, node);
             let name = sheet.name();
@@ -321,7 +333,7 @@
                 takes_bits = (0..classes.len() as u32).map(bit).sum();
             }
             for (_, function, _) in functions.iter().filter(|(.., on_http)| *on_http) {
-                if takes_bits & bit(function.grades[1].class.0 as u32) != 0 {
+                if takes_bits & bit(function.priority_classes[1].class.0 as u32) != 0 {
                     takes_bits |= bit(function.skill);
                 }
             }
@@ -340,7 +352,7 @@
                 refuses: !takes_bits,
                 ..Member::default()
             };
-            fixed.push((name, Fixed { member, dial }));
+            fixed.push((name, StaticWorker { member, address: dial }));
         }
         fixed.into_iter().map(|(_, fixed)| fixed).collect()
     }
@@ -381,9 +393,9 @@
             classes: classes.iter().map(|class| (*class).to_owned()).collect(),
             zone: ZoneIx(0),
             kind: KindIx(kinds.iter().position(|known| *known == kind).unwrap_or(0)),
-            admin,
-            ends: ends as usize,
-            workload: workload as usize,
+            admin_changes: admin,
+            max_remembered_jobs: ends as usize,
+            max_workload_bytes: workload as usize,
             name: name.to_owned(),
         })
     }
@@ -474,7 +486,7 @@
             prices: Prices::default(),
             tick: MILLI,
         };
-        (settings, idle.unwrap_or(DEFAULT_CONN_IDLE))
+        (settings, idle.unwrap_or(DEFAULT_WORKER_IDLE_TIMEOUT))
     }
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -57,8 +57,9 @@
         let passed = passed.map(|text| descriptor("RELAY_PASSED_SOCKET", &text)).transpose()?;
         let limits = root.section("limits")?;
         let settings = root.map.get("settings").ok_or("'settings' is missing")?;
-        let told_of = renewal(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.why))?;
-        let Renewal { settings: module, names, conn_idle, most_open } = told_of;
+        let told_of =
+            settings_update(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.why))?;
+        let SettingsUpdate { settings: module, names, worker_idle_timeout, max_open_requests } = told_of;
         let known = match root.map.get("known") {
             None | Some(Value::Null) => None,
             Some(value) => {
@@ -66,28 +67,32 @@
             }
         };
         let sockets = match &limits {
-            Some(limits) => limits.whole("sockets")?.unwrap_or(DEFAULT_SOCKETS),
-            None => DEFAULT_SOCKETS,
+            Some(limits) => limits.whole("sockets")?.unwrap_or(DEFAULT_DESCRIPTORS),
+            None => DEFAULT_DESCRIPTORS,
         };
-        if sockets < LEAST_SOCKETS {
-            return Err(format!("'limits.sockets' is {sockets}: the program needs {LEAST_SOCKETS} at least"));
+        if sockets < MIN_DESCRIPTORS {
+            return Err(format!(
+                "'limits.sockets' is {sockets}: the program needs {MIN_DESCRIPTORS} at least"
+            ));
         }
         Ok(Config {
             name: told("name", "RELAY_NAME")?.map_or_else(|| "calicolb".to_owned(), |found| found.1),
             listen: place("listen", "RELAY_LISTEN")?,
             discovery: Some(place("discovery", "RELAY_DISCOVERY")?),
-            mgmt,
+            management: mgmt,
             // A process that cannot share the clients' socket has nobody to meet.
-            meeting: env("TMPDIR").filter(|_| passed.is_some()).map(|dir| Path::new(&dir).join(MEETING)),
-            passed,
+            upgrade_socket: env("TMPDIR")
+                .filter(|_| passed.is_some())
+                .map(|dir| Path::new(&dir).join(MEETING)),
+            passed_socket: passed,
             seed: seed(&root)?,
-            sockets: sockets as usize,
+            max_descriptors: sockets as usize,
             peers: peers(&root, &module)?,
-            known,
-            fixed: Vec::new(),
+            known_workers: known,
+            static_workers: Vec::new(),
             gearman: None,
-            conn_idle,
-            most_open,
+            worker_idle_timeout,
+            max_open_requests,
             control: control(&root, settings)?,
             settings: module,
             names,
@@ -96,7 +101,7 @@
 }
 
 /// The settings, checked whole.
-pub(super) fn renewal(settings: &Value) -> Result<Renewal, Fault> {
+pub(super) fn settings_update(settings: &Value) -> Result<SettingsUpdate, Fault> {
     let ceiling = |key: &str, default: u64| {
         let at = format!("ceilings.{key}");
         let section = match settings.get("ceilings") {
@@ -112,13 +117,13 @@
         return Err(Fault::new("request_classes", "is missing or empty"));
     }
     sound(&module, &names)?;
-    // `retry_after` says what the simulator's clients are given. Here a refusal is an HTTP answer, which
+    // `retry_after` says what the simulator's clients are given. SchedulerRules a refusal is an HTTP answer, which
     // may carry Retry-After whatever that says: the module is told that its advice gets through.
     module.limits.retry_advice = true;
-    let conn_idle = ceiling("conn_idle_us", DEFAULT_CONN_IDLE)?;
-    within("ceilings.conn_idle_us", conn_idle)?;
-    let most_open = ceiling("max_open", DEFAULT_MOST_OPEN)? as usize;
-    Ok(Renewal { settings: module, names, conn_idle, most_open })
+    let worker_idle_timeout = ceiling("conn_idle_us", DEFAULT_WORKER_IDLE_TIMEOUT)?;
+    within("ceilings.conn_idle_us", worker_idle_timeout)?;
+    let max_open_requests = ceiling("max_open", DEFAULT_MAX_OPEN_REQUESTS)? as usize;
+    Ok(SettingsUpdate { settings: module, names, worker_idle_timeout, max_open_requests })
 }
 
 /// That a span can be added to any time.
@@ -205,8 +210,13 @@
     let machines = addresses(root, "control")?;
     let Some(machines) = machines.filter(|machines| !machines.is_empty()) else { return Ok(None) };
     let settings = document::to_document(settings);
-    let own = agreed::own(&settings);
-    Ok(Some(LearnerConfig { machines, silence: silence * 1_000, own, settings: agreed::shared(settings) }))
+    let own = agreed::local_settings(&settings);
+    Ok(Some(LearnerConfig {
+        machines,
+        max_silence: silence * 1_000,
+        local_settings: own,
+        initial_settings: agreed::shared_settings(settings),
+    }))
 }
 
 /// A list of addresses, if there is one of this key.
@@ -237,7 +247,7 @@
     let Some(listen) = root.text("peer_listen")?.filter(|_| settings.limits.peers) else { return Ok(None) };
     let each = addresses(root, "peers")?.unwrap_or_default();
     let all = root.text("peers_all")?.map(|text| address("peers_all", text)).transpose()?;
-    Ok(Some(PeerConfig { listen: address("peer_listen", listen)?, each, all }))
+    Ok(Some(PeerConfig { listen: address("peer_listen", listen)?, by_rank: each, broadcast: all }))
 }
 
 /// An object of the configuration, and where it stands.
@@ -303,9 +313,12 @@
     fn a_sound_file_is_read_and_the_rest_has_defaults() {
         let config = read(SOUND).expect("it is sound");
         assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
-        assert_eq!((config.sockets, config.most_open, config.conn_idle), (900, 50, DEFAULT_CONN_IDLE));
-        assert_eq!(config.peers.map(|peers| peers.each.len()), Some(1));
-        assert!(config.known.is_none());
+        assert_eq!(
+            (config.max_descriptors, config.max_open_requests, config.worker_idle_timeout),
+            (900, 50, DEFAULT_WORKER_IDLE_TIMEOUT)
+        );
+        assert_eq!(config.peers.map(|peers| peers.by_rank.len()), Some(1));
+        assert!(config.known_workers.is_none());
         // Clients of this wire are always told when to come back.
         assert!(config.settings.limits.retry_advice);
     }
@@ -329,9 +342,12 @@
         };
         let read = |passed: &'static str| Config::read(SOUND, |name| given(name, passed), Precedence::File);
         let config = read("3").expect("it is sound");
-        assert_eq!((config.passed, config.meeting), (Some(3), Some(PathBuf::from("/t/calicolb.sock"))));
+        assert_eq!(
+            (config.passed_socket, config.upgrade_socket),
+            (Some(3), Some(PathBuf::from("/t/calicolb.sock")))
+        );
         let config = read("").expect("it is sound");
-        assert_eq!((config.passed, config.meeting), (None, None));
+        assert_eq!((config.passed_socket, config.upgrade_socket), (None, None));
         for faulty in ["three", "-1", "1"] {
             assert!(read(faulty).err().is_some_and(|message| message.contains("RELAY_PASSED_SOCKET")));
         }
--- a/src/config/list.rs
+++ b/src/config/worker_list.rs
@@ -5,7 +5,7 @@
 
 /// A version of the list, or the changes since another.
 #[derive(Serialize, Deserialize)]
-pub struct Update {
+pub struct ListUpdate {
     /// The version.
     pub seq: u64,
     /// It is the whole list.
--- a/src/main.rs
+++ b/src/main.rs
@@ -28,7 +28,7 @@
                     operator.display(),
                     config.names.classes().count(),
                     config.gearman.map_or(0, |gearman| gearman.functions.len()),
-                    config.fixed.len()
+                    config.static_workers.len()
                 );
                 ExitCode::SUCCESS
             }
@@ -58,7 +58,7 @@
         },
     };
     log::start(how.log_format, how.log_level.unwrap_or(Level::INFO));
-    net::platform::inherit::announce(config.passed, |name| std::env::var_os(name));
+    net::platform::inherit::announce(config.passed_socket, |name| std::env::var_os(name));
     let (name, listen) = (config.name.clone(), config.listen);
     match net::turn::Turn::new(config).and_then(net::turn::Turn::run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -3,7 +3,7 @@
 use super::form::{Agreed, InForce, Line, Refusal, State, Wanted};
 use super::learners::Watch;
 use super::machine::{AGREE, CHANGES, Machine, Waiting};
-use crate::config::agreed::Shared;
+use crate::config::agreed::SharedSettingsCheck;
 use crate::net::http::framing::{Request, query};
 use calicolb::api::Micros;
 use calicolb_agreed::{Answer, Change, Digest, Outcome, Refused};
@@ -213,7 +213,7 @@
             return self.refuse(now, token, 503, "", "this machine is ending");
         }
         let change = Change { set: wanted.set, unset: wanted.unset };
-        match self.voter.propose(change, &Shared) {
+        match self.voter.propose(change, &SharedSettingsCheck) {
             Ok(ticket) => self.waiting.push(Waiting { ticket, token: Some(token), until: now + AGREE }),
             Err(refused) => self.refused(now, token, refused),
         }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -5,7 +5,7 @@
 use super::inbound::Inbound;
 use super::learners::Learners;
 use super::link::Link;
-use crate::config::agreed::Shared;
+use crate::config::agreed::SharedSettingsCheck;
 use crate::config::control::ControlConfig;
 use crate::log::log_line;
 use crate::net::core::clock::Clock;
@@ -110,7 +110,7 @@
             name: config.name,
             clock,
             waiting: Vec::new(),
-            first: config.settings,
+            first: config.initial_settings,
             told: (0, false),
             accepting: false,
             ticked,
@@ -257,7 +257,7 @@
             return;
         }
         let Some(set) = self.first.clone() else { return };
-        match self.voter.propose(Change { set, ..Change::default() }, &Shared) {
+        match self.voter.propose(Change { set, ..Change::default() }, &SharedSettingsCheck) {
             Ok(ticket) => {
                 log_line!("there are no settings yet: those of the operator file are proposed");
                 self.waiting.push(Waiting { ticket, token: None, until: now + AGREE });
@@ -274,7 +274,7 @@
     fn settle(&mut self, now: Micros) -> io::Result<()> {
         self.begin(now);
         let mut settled: Vec<(Option<usize>, Option<Outcome>)> = Vec::new();
-        for (ticket, outcome) in self.voter.settled(&Shared) {
+        for (ticket, outcome) in self.voter.settled(&SharedSettingsCheck) {
             if let Some(nr) = self.waiting.iter().position(|waiting| waiting.ticket == ticket) {
                 settled.push((self.waiting.swap_remove(nr).token, Some(outcome)));
             }
--- a/src/net/gearman/admin.rs
+++ b/src/net/gearman/admin.rs
@@ -10,7 +10,7 @@
     /// Carries out a line of text; gives its answer.
     pub(super) fn command(&mut self, ctx: &mut Ctx<'_>, line: &[u8]) -> String {
         match admin::read(line) {
-            Ok(command) if command.changes() && !self.config.admin => {
+            Ok(command) if command.changes() && !self.config.admin_changes => {
                 "ERR NOT_ALLOWED the operator file does not let this port change anything\n".to_owned()
             }
             Ok(command) => self.answer_to(ctx, command),
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -189,7 +189,7 @@
     }
 
     pub(super) fn read(&mut self, ctx: &mut Ctx<'_>, token: ConnId) {
-        let most = HEAD + NAMES + self.config.workload;
+        let most = HEAD + NAMES + self.config.max_workload_bytes;
         let mut left = PACKETS;
         for _ in 0..FILLS {
             let Some(conn) = self.conns.get_mut(&token) else { return };
@@ -219,7 +219,7 @@
 
     /// Deals with the next packet or line; tells whether there was one.
     pub(super) fn step(&mut self, ctx: &mut Ctx<'_>, token: ConnId) -> bool {
-        let limit = NAMES + self.config.workload;
+        let limit = NAMES + self.config.max_workload_bytes;
         let ready = |conn: &&mut Conn| !(conn.ending || conn.buffer.has_output());
         let Some(conn) = self.conns.get_mut(&token).filter(ready) else { return false };
         let input = conn.buffer.input();
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -9,7 +9,7 @@
 mod tests;
 mod workers;
 
-use crate::config::{Function, GearmanConfig, Grade};
+use crate::config::{Function, GearmanConfig, PriorityClass};
 use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::deadlines::{Alarm, Due};
@@ -83,7 +83,7 @@
             conns: HashMap::new(),
             most: 0,
             fleet: Fleet::default(),
-            book: Book::new(config.ends),
+            book: Book::new(config.max_remembered_jobs),
             boot: format!("{:08x}", hash[0].hash_one(ctx.now) as u32),
             offers: HashMap::new(),
             asking: Vec::new(),
@@ -194,7 +194,8 @@
     ) {
         let Some(&nr) = self.hops.get(&hop) else { return ctx.desk.broke(ctx.now, attempt) };
         let fits = |function: &&Function| {
-            let as_http = function.takes_http && function.grades[1].class.0 as u32 == payload.skill;
+            let as_http =
+                function.takes_http_jobs && function.priority_classes[1].class.0 as u32 == payload.skill;
             function.skill == payload.skill || as_http
         };
         let functions: Vec<&str> =
@@ -309,14 +310,14 @@
 
     fn could_take(&self, names: &Names, classes: &[Class]) -> Result<(), Fault> {
         for function in &self.config.functions {
-            let effect = |grade: &Grade| classes.get(grade.class.0).map(|class| class.effect);
-            for grade in &function.grades {
+            let effect = |grade: &PriorityClass| classes.get(grade.class.0).map(|class| class.effect);
+            for grade in &function.priority_classes {
                 let Some(class) = self.config.classes.get(grade.class.0) else { continue };
                 if names.class(class).is_err() {
                     let why = format!("is the class of the function '{}', and cannot go", function.name);
                     return Err(Fault::new(format!("request_classes.{class}"), why));
                 }
-                if effect(grade) != effect(&function.grades[1]) {
+                if effect(grade) != effect(&function.priority_classes[1]) {
                     let why = format!("differs from that of the other classes of '{}'", function.name);
                     return Err(Fault::new(format!("request_classes.{class}.effect"), why));
                 }
@@ -328,12 +329,13 @@
     fn take_up(&mut self, classes: &[Class]) {
         for function in &mut self.config.functions {
             // A background job that was given no time of its own has its class's.
-            let as_class = function.background == function.grades[1].patience;
-            for grade in &mut function.grades {
-                grade.patience = classes.get(grade.class.0).map_or(grade.patience, |class| class.deadline);
+            let as_class = function.background_timeout == function.priority_classes[1].client_timeout;
+            for grade in &mut function.priority_classes {
+                grade.client_timeout =
+                    classes.get(grade.class.0).map_or(grade.client_timeout, |class| class.deadline);
             }
             if as_class {
-                function.background = function.grades[1].patience;
+                function.background_timeout = function.priority_classes[1].client_timeout;
             }
         }
     }
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -128,8 +128,9 @@
         if self.parting {
             return self.error(ctx, token, "DRAINING", "clients are sent away: submit it elsewhere");
         }
-        if workload.len() > self.config.workload || unique.len() > NAME {
-            let text = format!("a workload is {} bytes at most, a unique id {NAME}", self.config.workload);
+        if workload.len() > self.config.max_workload_bytes || unique.len() > NAME {
+            let text =
+                format!("a workload is {} bytes at most, a unique id {NAME}", self.config.max_workload_bytes);
             return self.error(ctx, token, "TOO_LARGE", &text);
         }
         let unique = if unique == b"-" {
@@ -151,7 +152,7 @@
         if self.book.full(&function.name) {
             return self.error(ctx, token, "QUEUE_FULL", "as many jobs of this function are open as may be");
         }
-        let grade = function.grades[priority];
+        let grade = function.priority_classes[priority];
         let class = &self.config.classes[grade.class.0];
         let client = ctx.next_token();
         let name = format!("{}-{client:x}", self.boot);
@@ -174,7 +175,7 @@
             class: grade.class,
             tenant: None,
             hint: None,
-            patience: if background { function.background } else { grade.patience },
+            patience: if background { function.background_timeout } else { grade.client_timeout },
             slots: None,
             memory: 0.0,
             key: None,
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -1,7 +1,7 @@
 //! What sockets of the usual size do not show: a worker that goes while its job is being written.
 
 use super::*;
-use crate::config::Grade;
+use crate::config::PriorityClass;
 use crate::net::core::deadlines::Deadlines;
 use crate::net::core::desk::{Desk, Work};
 use calicolb::api::{Class, ClassIx, Effect};
@@ -31,17 +31,23 @@
         let desk = Desk::new(settings, 1, now, 100);
         let poll = Poll::new().expect("a poll can be had");
         let mut table = Table { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
-        let grades = [Grade { class: ClassIx(0), patience: 9 * SECOND }; 3];
+        let grades = [PriorityClass { class: ClassIx(0), client_timeout: 9 * SECOND }; 3];
         let (name, background) = ("book".to_owned(), SECOND);
         let config = GearmanConfig {
             listen: "127.0.0.1:0".parse().expect("it is an address"),
-            functions: vec![Function { name, skill: 1, grades, background, takes_http: false }],
+            functions: vec![Function {
+                name,
+                skill: 1,
+                priority_classes: grades,
+                background_timeout: background,
+                takes_http_jobs: false,
+            }],
             classes: vec!["book".to_owned()],
             zone: calicolb::api::ZoneIx(0),
             kind: calicolb::api::KindIx(0),
-            admin: false,
-            ends: 1,
-            workload: 64 * 1024,
+            admin_changes: false,
+            max_remembered_jobs: 1,
+            max_workload_bytes: 64 * 1024,
             name: "t".to_owned(),
         };
         let gearman = table.with(|ctx| Gearman::new(ctx, config)).expect("a port is free");
@@ -159,13 +165,15 @@
     let book = class(7 * SECOND, Effect::Unsafe);
     assert_eq!(gearman.could_take(&table.names, std::slice::from_ref(&book)), Ok(()));
     gearman.take_up(std::slice::from_ref(&book));
-    assert!(gearman.config.functions[0].grades.iter().all(|grade| grade.patience == 7 * SECOND));
-    assert_eq!(gearman.config.functions[0].background, SECOND, "it was given a time of its own");
+    assert!(
+        gearman.config.functions[0].priority_classes.iter().all(|grade| grade.client_timeout == 7 * SECOND)
+    );
+    assert_eq!(gearman.config.functions[0].background_timeout, SECOND, "it was given a time of its own");
     // Without its class a function cannot be; nor where its classes differ in what a repeat does.
     let other = Names::new(vec!["look".to_owned()], vec![], vec![], vec![]);
     let fault = gearman.could_take(&other, std::slice::from_ref(&book)).expect_err("its class has gone");
     assert_eq!(fault.key, "request_classes.book");
-    gearman.config.functions[0].grades[0].class = ClassIx(1);
+    gearman.config.functions[0].priority_classes[0].class = ClassIx(1);
     gearman.config.classes.push("look".to_owned());
     let both = Names::new(vec!["book".to_owned(), "look".to_owned()], vec![], vec![], vec![]);
     let fault = gearman.could_take(&both, &[book, class(SECOND, Effect::Safe)]).expect_err("they differ");
--- a/src/net/gearman/workers.rs
+++ b/src/net/gearman/workers.rs
@@ -48,8 +48,8 @@
         let mut takes = 0_u64;
         for function in self.config.functions.iter().filter(|function| can(&function.name)) {
             takes |= 1 << function.skill;
-            if function.takes_http {
-                takes |= 1 << function.grades[1].class.0;
+            if function.takes_http_jobs {
+                takes |= 1 << function.priority_classes[1].class.0;
             }
         }
         !takes
--- a/src/net/platform/call.rs
+++ b/src/net/platform/call.rs
@@ -160,9 +160,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::list::Update;
+    use crate::config::worker_list::ListUpdate;
 
-    fn seen(updates: &[Update]) -> Vec<(u64, bool, usize)> {
+    fn seen(updates: &[ListUpdate]) -> Vec<(u64, bool, usize)> {
         updates.iter().map(|update| (update.seq, update.whole, update.hosts.len())).collect()
     }
 
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -2,9 +2,9 @@
 //! which version is in force. It only calls out. What counts of what is heard is [`calicolb_agreed::Learner`]'s to say; the
 //! loop takes it up between two turns.
 
-use crate::config::agreed::{Here, whole};
+use crate::config::agreed::{SchedulerRules, with_local_settings};
 use crate::config::document::{self, Document};
-use crate::config::{Fault, LearnerConfig, Renewal};
+use crate::config::{Fault, LearnerConfig, SettingsUpdate};
 use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::control::form::{InForce as Told, Line};
@@ -70,17 +70,17 @@
     pub fn new(config: LearnerConfig, name: &str, seed: u64) -> Control {
         let machines = in_order(config.machines, name);
         // The settings of the own configuration are in force until a version is.
-        let first = Version::new(0, config.settings);
-        let here = Here { own: config.own.clone() };
-        let learner = Learner::with(config.silence, Box::new(here), first);
+        let first = Version::new(0, config.initial_settings);
+        let here = SchedulerRules { local_settings: config.local_settings.clone() };
+        let learner = Learner::with(config.max_silence, Box::new(here), first);
         let taken = learner.in_force(0);
         Control {
             machines,
             at: 0,
             name: name.to_owned(),
-            silence: config.silence,
+            silence: config.max_silence,
             learner,
-            own: config.own,
+            own: config.local_settings,
             watch: None,
             opened: 0,
             heard: None,
@@ -240,13 +240,13 @@
     }
 
     /// What is to come into force, once.
-    pub fn news(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, Fault>)> {
+    pub fn news(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<SettingsUpdate, Fault>)> {
         let wanted = self.learner.in_force(now);
         if Arc::ptr_eq(&wanted, &self.given) {
             return None;
         }
         self.given = Arc::clone(&wanted);
-        let checked = document::check(&whole(&wanted.document, &self.own));
+        let checked = document::check(&with_local_settings(&wanted.document, &self.own));
         Some((wanted, checked))
     }
 
--- a/src/net/platform/route_set/mod.rs
+++ b/src/net/platform/route_set/mod.rs
@@ -8,7 +8,7 @@
 mod witnesses;
 
 use self::entry::Line;
-use crate::config::list::Update;
+use crate::config::worker_list::ListUpdate;
 use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::Buffer;
@@ -102,14 +102,14 @@
         &mut self,
         ctx: &mut Ctx<'_>,
         hops: &mut NextHops,
-        known: Option<Update>,
+        known: Option<ListUpdate>,
         confirmed_ago: Option<Micros>,
     ) {
         // What an agent holds counts from the first moment of a process, whatever the one before it was told.
         if let Some(ago) = confirmed_ago.filter(|_| self.clock.mode() == Mode::Asked) {
             self.clock.confirm(self.clock.started().saturating_sub(ago));
         }
-        let update = known.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
+        let update = known.unwrap_or(ListUpdate { seq: 0, whole: true, hosts: Vec::new() });
         self.take(ctx, hops, update, ListKind::Saved);
         ctx.deadlines.set(Due::Ready, self.clock.started() + READY_PATIENCE);
         self.keep_time(ctx);
@@ -149,9 +149,9 @@
     }
 
     /// The list as it is known, for another process to begin with.
-    pub fn list(&self) -> Update {
+    pub fn list(&self) -> ListUpdate {
         let hosts = self.listed.values().filter_map(|line| serde_json::to_value(line).ok()).collect();
-        Update { seq: self.seq, whole: true, hosts }
+        ListUpdate { seq: self.seq, whole: true, hosts }
     }
 
     /// Asks for the whole list once.
--- a/src/net/platform/route_set/versions.rs
+++ b/src/net/platform/route_set/versions.rs
@@ -2,7 +2,7 @@
 
 use super::entry::{Line, read_member};
 use super::{HOPS_LIMIT, RouteSet};
-use crate::config::list::Update;
+use crate::config::worker_list::ListUpdate;
 use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::roster::Source;
@@ -21,7 +21,7 @@
         &mut self,
         ctx: &mut Ctx<'_>,
         hops: &mut NextHops,
-        update: Update,
+        update: ListUpdate,
     ) -> Result<(), &'static str> {
         let confirmed = self.clock.confirmed().unwrap_or(self.clock.started());
         if update.seq < self.seq && ctx.now < confirmed + MISSED {
@@ -33,7 +33,13 @@
         Ok(())
     }
 
-    pub(super) fn take(&mut self, ctx: &mut Ctx<'_>, hops: &mut NextHops, update: Update, kind: ListKind) {
+    pub(super) fn take(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        hops: &mut NextHops,
+        update: ListUpdate,
+        kind: ListKind,
+    ) {
         let (before, lines) = (self.seq, update.hosts.len());
         self.seq = update.seq;
         self.digest = None;
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -4,7 +4,7 @@
 //!
 //! Nothing here decides anything: what a message means is the turn's business.
 
-use crate::config::list::Update;
+use crate::config::worker_list::ListUpdate;
 use crate::log::log_line;
 use crate::net::Ctx;
 use crate::net::core::buffer::{Buffer, Filled};
@@ -64,7 +64,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Handover {
     /// The list of next hops, and its version.
-    pub routes: Update,
+    pub routes: ListUpdate,
     /// The predecessor's clock as this was written; a predecessor of before does not tell it.
     #[serde(default)]
     pub clock: Option<Micros>,
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -1,8 +1,8 @@
 //! The loop. Each turn gathers what is ready and what is due, hands it to the module in one go, and carries
 //! out what came back.
 
-use crate::config::list::Update;
-use crate::config::{Config, Fixed, PeerConfig};
+use crate::config::worker_list::ListUpdate;
+use crate::config::{Config, PeerConfig, StaticWorker};
 use crate::log::log_line;
 use crate::net::core::clock::Clock;
 use crate::net::core::deadlines::{Deadlines, Due};
@@ -64,7 +64,7 @@
     wishes: Vec<Wish>,
     routes: RouteSet,
     /// Next hops that the operator file names.
-    fixed: Vec<Fixed>,
+    fixed: Vec<StaticWorker>,
     peers: Option<Peers>,
     /// The agreed configuration, if there is any.
     control: Option<Control>,
@@ -76,7 +76,7 @@
     /// Datagrams for other schedulers, sent at the end of the turn.
     outbox: Vec<(Audience, Vec<u8>)>,
     /// The list of next hops to begin with, while the predecessor is asked for a better one.
-    waiting: Option<Option<Update>>,
+    waiting: Option<Option<ListUpdate>>,
     /// A successor has taken over; and it takes clients.
     retired: bool,
     successor_open: bool,
@@ -114,10 +114,10 @@
         let poll = Poll::new()?;
         let registry = poll.registry().try_clone()?;
         let clock = Clock::new();
-        let (listener, passed) = inherit::listener(config.passed, config.listen)?;
+        let (listener, passed) = inherit::listener(config.passed_socket, config.listen)?;
         let at = listener.local_addr()?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
-        let door = match config.mgmt {
+        let door = match config.management {
             Some(mgmt) => {
                 let mut listener = TcpListener::bind(mgmt)?;
                 registry.register(&mut listener, DOOR, Interest::READABLE)?;
@@ -128,7 +128,7 @@
         };
         let (asked, drain) = (config.settings.list_on_request, config.settings.rules.drain_grace);
         let routes = RouteSet::new(config.discovery, asked, drain, clock.now());
-        let hops = NextHops::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
+        let hops = NextHops::new(config.settings.limits.connect_timeout, config.worker_idle_timeout, 0);
         let mut turn = Turn {
             grace: grace(&config.settings.classes),
             ending: None,
@@ -146,24 +146,24 @@
             others: Vec::new(),
             wishes: Vec::new(),
             routes,
-            fixed: config.fixed,
+            fixed: config.static_workers,
             peers: None,
             control: config.control.map(|control| Control::new(control, &config.name, config.seed)),
             door,
             drain: Drain::default(),
-            upgrade: UpgradeLink::new(config.meeting.filter(|_| passed)),
+            upgrade: UpgradeLink::new(config.upgrade_socket.filter(|_| passed)),
             strays: Vec::new(),
             outbox: Vec::new(),
-            waiting: Some(config.known),
+            waiting: Some(config.known_workers),
             retired: false,
             successor_open: false,
             name: config.name,
             at,
             passed,
             peer_config: config.peers,
-            sockets: config.sockets,
-            most_open: config.most_open,
-            conn_idle: config.conn_idle,
+            sockets: config.max_descriptors,
+            most_open: config.max_open_requests,
+            conn_idle: config.worker_idle_timeout,
             renewals: 0,
             begun: false,
             patient: false,
@@ -212,7 +212,7 @@
             parts
                 .fixed
                 .iter()
-                .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.dial, 0));
+                .for_each(|hop| parts.http.hops.learn(&mut ctx, hop.member.worker, hop.address, 0));
             let members = parts.fixed.iter().map(|hop| hop.member.clone()).collect();
             ctx.desk.members(Source::Fixed, ListKind::Changes, members);
         }
@@ -243,7 +243,8 @@
                 self.registry.register(&mut socket, PEERS, Interest::READABLE)?;
                 log_line!("{} hears schedulers on {}", self.name, socket.local_addr()?);
                 let seed = self.clock.now() ^ u64::from(self.rank);
-                self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
+                self.peers =
+                    Some(Peers::new(socket, config.by_rank.clone(), config.broadcast, self.rank, seed));
             }
             // A silent predecessor still has it. Work does not hang on datagrams: they are let in when it has gone.
             Err(error) if self.passed && error.kind() == io::ErrorKind::AddrInUse => {
@@ -528,7 +529,7 @@
 struct Parts<'a> {
     http: &'a mut Http,
     others: &'a mut Vec<Box<dyn Protocol>>,
-    fixed: &'a [Fixed],
+    fixed: &'a [StaticWorker],
     routes: &'a mut RouteSet,
     peers: &'a mut Option<Peers>,
     control: &'a mut Option<Control>,
--- a/src/net/turn/renewal.rs
+++ b/src/net/turn/renewal.rs
@@ -1,7 +1,7 @@
 //! Settings that come into force while the program runs: all of them between two batches of the module, or none.
 
 use super::{Control, Turn};
-use crate::config::{Config, Fault, Renewal};
+use crate::config::{Config, Fault, SettingsUpdate};
 use crate::log::log_line;
 use crate::net::platform::upgrade::Listed;
 use calicolb::api::Micros;
@@ -34,10 +34,10 @@
         let (mut ctx, parts) = self.split(now);
         parts.routes.move_to(&mut ctx, config.discovery);
         if let (Some(peers), Some(told)) = (parts.peers, &config.peers) {
-            peers.learn(told.each.clone(), told.all);
+            peers.learn(told.by_rank.clone(), told.broadcast);
         }
         if let (Some(old), Some(told)) = (&mut self.peer_config, &config.peers) {
-            (old.each, old.all) = (told.each.clone(), told.all);
+            (old.by_rank, old.broadcast) = (told.by_rank.clone(), told.broadcast);
         }
         if let Some(told) = config.control.as_ref().map(|told| told.machines.clone()) {
             let (mut ctx, parts) = self.split(now);
@@ -50,7 +50,7 @@
                 "SIGHUP: the settings are agreed with the control machines: the file's do not count"
             );
         }
-        if let Err(fault) = self.take_up(now, config.renewal()) {
+        if let Err(fault) = self.take_up(now, config.settings_update()) {
             log_line!("SIGHUP: 'settings.{}' {}; the old settings stay in force", fault.key, fault.why);
         }
     }
@@ -71,11 +71,11 @@
     ///
     /// # Errors
     /// The first key that cannot change while the program runs: nothing has changed then.
-    pub fn take_up(&mut self, now: Micros, new: Renewal) -> Result<(), Fault> {
+    pub fn take_up(&mut self, now: Micros, new: SettingsUpdate) -> Result<(), Fault> {
         let begun = Instant::now();
         let old = (self.desk.settings(), &self.names);
         let (settings, names) = merge(old, (&new.settings, &new.names))?;
-        let Renewal { conn_idle, most_open, .. } = new;
+        let SettingsUpdate { worker_idle_timeout: conn_idle, max_open_requests: most_open, .. } = new;
         let level = (self.conn_idle, self.most_open) == (conn_idle, most_open);
         if level && settings == *old.0 && names == *old.1 {
             return Ok(());
