--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -1,8 +1,8 @@
 //! What a control machine answers to each request, and tells its watches.
 
-use super::form::{Agreed, InForce, Line, Refusal, State, Wanted};
 use super::learners::Watch;
 use super::machine::{AGREE, CHANGES, Machine, Waiting};
+use super::messages::{AcceptedChange, ChangeRequest, InForceReport, Refusal, State, WatchLine};
 use crate::config::agreed::SharedSettingsCheck;
 use crate::net::http::framing::{Request, query};
 use calicolb::api::Micros;
@@ -40,7 +40,7 @@
                 let body = to_json(&self.state());
                 self.answer(now, token, 200, &[JSON], &body);
             }
-            ("POST", "/control/in-force") => match serde_json::from_slice::<InForce>(&request.body) {
+            ("POST", "/control/in-force") => match serde_json::from_slice::<InForceReport>(&request.body) {
                 Ok(told) if fit(&told.name) => {
                     self.learners.told(now, told.name, told.seq);
                     self.answer(now, token, 204, &[], b"");
@@ -93,13 +93,13 @@
 
     fn whole_line(&self) -> Vec<u8> {
         let agreed = self.voter.agreed();
-        line(&Line {
+        line(&WatchLine {
             seq: agreed.seq,
-            whole: true,
+            complete: true,
             majority: self.voter.has_majority(),
             digest: agreed.digest.to_string(),
             settings: (*agreed.document).clone(),
-            ..Line::default()
+            ..WatchLine::default()
         })
     }
 
@@ -107,7 +107,7 @@
     pub(super) fn level_line(&self) -> Vec<u8> {
         let (agreed, majority) = (self.voter.agreed(), self.voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
-        line(&Line { seq: agreed.seq, majority, digest, ..Line::default() })
+        line(&WatchLine { seq: agreed.seq, majority, digest, ..WatchLine::default() })
     }
 
     /// All that a learner with this version lacks.
@@ -119,14 +119,14 @@
             Answer::Whole(_) => self.whole_line(),
             Answer::Deltas(deltas) => {
                 let lines = deltas.into_iter().map(|delta| {
-                    line(&Line {
+                    line(&WatchLine {
                         seq: delta.seq,
                         majority,
                         digest: delta.digest.to_string(),
-                        from: delta.from_digest.to_string(),
+                        base_digest: delta.from_digest.to_string(),
                         set: delta.change.set,
                         unset: delta.change.unset,
-                        ..Line::default()
+                        ..WatchLine::default()
                     })
                 });
                 lines.collect::<Vec<_>>().concat()
@@ -202,7 +202,7 @@
     // ---- Changes ---------------------------------------------------------------------------------
 
     fn change(&mut self, now: Micros, token: usize, body: &[u8]) {
-        let wanted: Wanted = match serde_json::from_slice(body) {
+        let wanted: ChangeRequest = match serde_json::from_slice(body) {
             Ok(wanted) => wanted,
             Err(error) => return self.refuse(now, token, 400, "", &error.to_string()),
         };
@@ -223,7 +223,7 @@
     pub(super) fn settled(&mut self, now: Micros, token: usize, outcome: Option<Outcome>) {
         match outcome {
             Some(Outcome::Agreed { seq, digest }) => {
-                let body = to_json(&Agreed { seq, digest: digest.to_string() });
+                let body = to_json(&AcceptedChange { seq, digest: digest.to_string() });
                 self.answer(now, token, 200, &[JSON], &body);
             }
             Some(Outcome::Void(fault)) => self.refuse(now, token, 400, &fault.key, &fault.why),
@@ -258,7 +258,7 @@
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-fn line(line: &Line) -> Vec<u8> {
+fn line(line: &WatchLine) -> Vec<u8> {
     let mut bytes = to_json(line);
     bytes.push(b'\n');
     bytes
--- a/src/net/control/form.rs
+++ b/src/net/control/messages.rs
@@ -6,20 +6,20 @@
 
 /// A line of a watch, and the answer to a call for the whole.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Line {
+pub struct WatchLine {
     /// The version that is known with this line.
     pub seq: u64,
     /// All settings stand in it, and not only what has changed.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub whole: bool,
+    #[serde(rename = "whole", default, skip_serializing_if = "std::ops::Not::not")]
+    pub complete: bool,
     /// The machine that says it speaks with a majority, so that nothing newer was agreed a moment ago.
     pub majority: bool,
     /// The digest of the version; none where nothing is told but that there is no majority.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub digest: String,
     /// The digest of the version that the change rests on.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub from: String,
+    #[serde(rename = "from", default, skip_serializing_if = "String::is_empty")]
+    pub base_digest: String,
     /// Keys that have another value.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub set: Document,
@@ -34,7 +34,7 @@
 /// A change that is asked for.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wanted {
+pub struct ChangeRequest {
     /// Keys that get a value.
     #[serde(default)]
     pub set: Document,
@@ -45,7 +45,7 @@
 
 /// What a learner has in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct InForce {
+pub struct InForceReport {
     /// Its name.
     pub name: String,
     /// The version.
@@ -54,7 +54,7 @@
 
 /// What a change became.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct AcceptedChange {
     /// The version that holds it.
     pub seq: u64,
     /// Its digest.
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -4,11 +4,11 @@
 //! is who watches, `answers` is what each request is answered, and `machine` is the loop.
 
 mod answers;
-pub mod form;
 mod inbound;
 mod learners;
 mod link;
 pub mod machine;
+pub mod messages;
 
 use crate::net::core::deadlines::Deadlines;
 use calicolb::api::Micros;
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -7,7 +7,7 @@
 use crate::config::{Fault, LearnerConfig, SettingsUpdate};
 use crate::log::log_line;
 use crate::net::Ctx;
-use crate::net::control::form::{InForce as Told, Line};
+use crate::net::control::messages::{InForceReport, WatchLine};
 use crate::net::core::buffer::Buffer;
 use crate::net::core::deadlines::Due;
 use crate::net::http::framing;
@@ -191,7 +191,7 @@
                 }
             }
         } else if let Some(mut call) = self.watch.take_if(|call| call.token == token) {
-            let mut lines: Vec<Line> = Vec::new();
+            let mut lines: Vec<WatchLine> = Vec::new();
             let Heard { word, end } = watched(&mut call, &mut lines);
             self.watch = Some(call);
             if word != Word::None {
@@ -199,7 +199,7 @@
                 // An empty line says that there is nothing new, and is sent only with a majority. A part of a line that
                 // is not whole yet says nothing.
                 if word == Word::Whole && lines.is_empty() {
-                    lines.push(Line { seq: self.seq, majority: true, ..Line::default() });
+                    lines.push(WatchLine { seq: self.seq, majority: true, ..WatchLine::default() });
                 }
             }
             let sound = lines.into_iter().try_for_each(|line| self.hear(ctx, line));
@@ -211,7 +211,7 @@
         self.keep_time(ctx);
     }
 
-    fn hear(&mut self, ctx: &mut Ctx<'_>, line: Line) -> Result<(), &'static str> {
+    fn hear(&mut self, ctx: &mut Ctx<'_>, line: WatchLine) -> Result<(), &'static str> {
         self.failed = 0;
         self.seq = line.seq;
         let (seq, majority) = (line.seq, line.majority);
@@ -219,14 +219,14 @@
             self.majority = ctx.now;
         }
         let digest = |text: &str| text.parse().map_err(|_| "a digest is malformed");
-        let message = if line.whole {
+        let message = if line.complete {
             let version = Version { seq, digest: digest(&line.digest)?, document: Arc::new(line.settings) };
             Message::Whole { version, majority }
-        } else if line.from.is_empty() {
+        } else if line.base_digest.is_empty() {
             Message::Here { seq, majority }
         } else {
             let change = Change { set: line.set, unset: line.unset };
-            let (from_digest, digest) = (digest(&line.from)?, digest(&line.digest)?);
+            let (from_digest, digest) = (digest(&line.base_digest)?, digest(&line.digest)?);
             Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
         };
         match self.learner.hear(ctx.now, message) {
@@ -278,7 +278,7 @@
         if self.heard.is_none() || self.tell.is_some() || seq == 0 || self.told == Some(seq) {
             return;
         }
-        let body = serde_json::to_vec(&Told { name: self.name.clone(), seq }).unwrap_or_default();
+        let body = serde_json::to_vec(&InForceReport { name: self.name.clone(), seq }).unwrap_or_default();
         let extra = [("Host", "control"), ("Connection", "close")];
         let request = framing::write_request("POST", "/control/in-force", &extra, &body);
         self.tell = self.call(ctx, &request);
