--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,17 +1,17 @@
-//! The command line.
+//! The command line: subcommands and options.
 
 use crate::config::operator::Addresses;
-use crate::log::Format;
+use crate::log::LogFormat;
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tracing::Level;
 
-/// A scheduler for stock jobs: takes them over HTTP and Gearman, and decides who runs what and when.
+/// A scheduler for stock jobs: accepts jobs over HTTP and Gearman and decides which worker runs each job and when.
 #[derive(Debug, Parser)]
 #[command(version, after_help = EXAMPLES)]
 pub struct Cli {
-    /// What to do; without it, serve as the platform says (RELAY_CONFIG and the other variables).
+    /// The command; without one, serve with the configuration file that RELAY_CONFIG names.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
@@ -24,63 +24,63 @@
   calicolb control --operator deploy/control.kdl
   RELAY_CONFIG=/run/balancer/config.json calicolb";
 
-/// What to do.
+/// The subcommands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Serve until SIGTERM.
-    Serve(Serve),
-    /// Say what is wrong with an operator file, if anything.
+    Serve(ServeArgs),
+    /// Check an operator file and report every error in it.
     Check {
         /// The operator file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Be one of the machines that agree on the settings of all schedulers, until SIGTERM.
-    Control(Control),
+    /// Run one of the control machines, which agree on the settings of all schedulers, until SIGTERM.
+    Control(ControlArgs),
 }
 
-/// How to be a control machine.
+/// Options of the `control` command.
 #[derive(Clone, Debug, Args)]
-pub struct Control {
-    /// The operator file, with a `control` node.
+pub struct ControlArgs {
+    /// The operator file, which contains a `control` node.
     #[arg(long, value_name = "FILE")]
     pub operator: PathBuf,
-    /// Say what is wrong with the file, if anything, and no more.
+    /// Only check the file and report every error in it.
     #[arg(long)]
     pub check: bool,
-    /// How the log is written.
+    /// The format of log lines.
     #[arg(long, value_enum, default_value_t)]
-    pub log_format: Format,
-    /// The least level that is logged: error, warn, info, debug.
+    pub log_format: LogFormat,
+    /// The lowest level that is logged: error, warn, info or debug.
     #[arg(long, value_name = "LEVEL")]
     pub log_level: Option<Level>,
 }
 
-/// How to serve.
+/// Options of the `serve` command.
 #[derive(Clone, Debug, Default, Args)]
-pub struct Serve {
-    /// The operator file; without it, the configuration that RELAY_CONFIG names.
+pub struct ServeArgs {
+    /// The operator file; without it, the configuration file that RELAY_CONFIG names.
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
-    /// Where HTTP clients connect, in the place of the operator file's address.
+    /// The listen address for HTTP, instead of the operator file's.
     #[arg(long, value_name = "ADDRESS", requires = "operator")]
     pub listen: Option<SocketAddr>,
-    /// Where Gearman clients and workers connect, in the place of the operator file's address.
+    /// The listen address for Gearman clients and workers, instead of the operator file's.
     #[arg(long, value_name = "ADDRESS", requires = "operator")]
     pub gearman: Option<SocketAddr>,
-    /// Where operators call, in the place of the operator file's address.
+    /// The listen address of the management interface, instead of the operator file's.
     #[arg(long, value_name = "ADDRESS", requires = "operator")]
     pub mgmt: Option<SocketAddr>,
-    /// How the log is written.
+    /// The format of log lines.
     #[arg(long, value_enum, default_value_t)]
-    pub log_format: Format,
-    /// The least level that is logged: error, warn, info, debug.
+    pub log_format: LogFormat,
+    /// The lowest level that is logged: error, warn, info or debug.
     #[arg(long, value_name = "LEVEL")]
     pub log_level: Option<Level>,
 }
 
-impl Serve {
-    /// The addresses that stand in for the operator file's.
+impl ServeArgs {
+    /// The listen addresses that replace those of the operator file.
     pub fn addresses(&self) -> Addresses {
         Addresses { listen: self.listen, gearman: self.gearman, management: self.mgmt }
     }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, so many a second at most, as text or as JSON with fields.
+//! The log: lines on standard error, as text or as JSON with fields, limited to [`MAX_LINES_PER_SECOND`].
 
 use clap::ValueEnum;
 use std::io;
@@ -6,66 +6,67 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::Level;
 
-/// Lines a second at most: a flood of bad input must not become a flood of writes.
-const LINES_PER_SECOND: u64 = 40;
+/// Lines written per second at most, so that a flood of bad input does not become a flood of writes.
+const MAX_LINES_PER_SECOND: u64 = 40;
 
-/// The second in the upper bits, the lines of that second in the lower ones.
-static LINES: AtomicU64 = AtomicU64::new(0);
+/// The current second (Unix time) in the upper 40 bits and the number of lines requested in that second in the lower 24.
+static LINE_COUNTER: AtomicU64 = AtomicU64::new(0);
 
-/// How lines are written.
+/// Output format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-pub enum Format {
-    /// For people: time, level, text, then fields.
+pub enum LogFormat {
+    /// Readable text: time, level, message, then fields.
     #[default]
     Text,
-    /// For programs: one JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Begins to log. A reader that has gone away does not end the program.
-pub fn start(format: Format, level: Level) {
-    let lines = tracing_subscriber::fmt().with_writer(io::stderr).with_max_level(level).with_ansi(false);
-    let lines = lines.with_target(false);
-    // That there is a log already is nothing to fail for.
+/// Installs the global log writer. If nobody reads standard error any more, the program goes on.
+pub fn start(format: LogFormat, level: Level) {
+    let subscriber = tracing_subscriber::fmt().with_writer(io::stderr).with_max_level(level).with_ansi(false);
+    let subscriber = subscriber.with_target(false);
+    // An error means that a log writer is already installed, which then stays in use.
     let _ = match format {
-        Format::Text => lines.try_init(),
-        Format::Json => lines.json().flatten_event(true).try_init(),
+        LogFormat::Text => subscriber.try_init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).try_init(),
     };
 }
 
-/// Whether one more line may be written now; `Some(n)` where `n` lines were dropped before it.
-pub fn admit() -> Option<u64> {
+/// Counts one line against the limit of the current second. Returns `None` if the line must be dropped, else the number
+/// of lines that were dropped in the last second with any lines, when this is the first line of a new second, or 0.
+pub fn admit_line() -> Option<u64> {
     let second = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_secs());
-    admit_at(&LINES, second)
+    admit_line_at(&LINE_COUNTER, second)
 }
 
-fn admit_at(lines: &AtomicU64, second: u64) -> Option<u64> {
-    let before = lines.load(Ordering::Relaxed);
-    let (then, count) = (before >> 24, before & 0xff_ffff);
-    if then != second {
-        lines.store(second << 24 | 1, Ordering::Relaxed);
-        return Some(count.saturating_sub(LINES_PER_SECOND));
+fn admit_line_at(counter: &AtomicU64, second: u64) -> Option<u64> {
+    let packed = counter.load(Ordering::Relaxed);
+    let (counted_second, count) = (packed >> 24, packed & 0xff_ffff);
+    if counted_second != second {
+        counter.store(second << 24 | 1, Ordering::Relaxed);
+        return Some(count.saturating_sub(MAX_LINES_PER_SECOND));
     }
-    lines.store(second << 24 | (count + 1).min(0xff_ffff), Ordering::Relaxed);
-    (count < LINES_PER_SECOND).then_some(0)
+    counter.store(second << 24 | (count + 1).min(0xff_ffff), Ordering::Relaxed);
+    (count < MAX_LINES_PER_SECOND).then_some(0)
 }
 
-/// Writes one line, unless too many were written in this second already. Fields come before the text, as `tracing` has
-/// them; `warn:` and `debug:` before all of it set another level than info.
+/// Writes one log line, unless the limit of the current second is reached. Fields come before the message, as in
+/// `tracing::info!`; a leading `warn:` or `debug:` sets the level, which is info otherwise.
 macro_rules! log_line {
-    (warn: $($part:tt)*) => { $crate::log::log_line!(@ WARN $($part)*) };
-    (debug: $($part:tt)*) => { $crate::log::log_line!(@ DEBUG $($part)*) };
-    (@ $level:ident $($part:tt)*) => {
+    (warn: $($token:tt)*) => { $crate::log::log_line!(@ WARN $($token)*) };
+    (debug: $($token:tt)*) => { $crate::log::log_line!(@ DEBUG $($token)*) };
+    (@ $level:ident $($token:tt)*) => {
         if tracing::enabled!(tracing::Level::$level)
-            && let Some(dropped) = $crate::log::admit()
+            && let Some(dropped) = $crate::log::admit_line()
         {
             if dropped > 0 {
-                tracing::warn!(dropped, "lines were dropped");
+                tracing::warn!(dropped, "log lines were dropped by the limit per second");
             }
-            tracing::event!(tracing::Level::$level, $($part)*);
+            tracing::event!(tracing::Level::$level, $($token)*);
         }
     };
-    ($($part:tt)*) => { $crate::log::log_line!(@ INFO $($part)*) };
+    ($($token:tt)*) => { $crate::log::log_line!(@ INFO $($token)*) };
 }
 pub(crate) use log_line;
 
@@ -74,11 +75,11 @@
     use super::*;
 
     #[test]
-    fn a_flood_is_cut_and_counted() {
-        let lines = AtomicU64::new(0);
-        let passed = (0..1000).filter(|_| admit_at(&lines, 7).is_some()).count() as u64;
-        assert_eq!(passed, LINES_PER_SECOND);
-        assert_eq!(admit_at(&lines, 8), Some(1000 - LINES_PER_SECOND));
-        assert_eq!(admit_at(&lines, 8), Some(0));
+    fn lines_above_the_limit_are_dropped_and_counted() {
+        let counter = AtomicU64::new(0);
+        let admitted = (0..1000).filter(|_| admit_line_at(&counter, 7).is_some()).count() as u64;
+        assert_eq!(admitted, MAX_LINES_PER_SECOND);
+        assert_eq!(admit_line_at(&counter, 8), Some(1000 - MAX_LINES_PER_SECOND));
+        assert_eq!(admit_line_at(&counter, 8), Some(0));
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler: starts, and wires the parts together.
+//! The program's entry point: reads the command line and the configuration, then runs a scheduler or a control machine.
 
 mod cli;
 mod config;
@@ -6,25 +6,25 @@
 mod net;
 
 use clap::Parser;
-use cli::{Cli, Command, Control, Serve};
+use cli::{Cli, Command, ControlArgs, ServeArgs};
 use config::Config;
 use config::control::ControlConfig;
 use config::operator::Addresses;
 use std::process::ExitCode;
 use tracing::Level;
 
-/// The exit code for a configuration or a command line that cannot be used.
-const UNUSABLE: u8 = 2;
+/// The exit code for an invalid configuration. clap uses the same one for an invalid command line.
+const INVALID_CONFIGURATION_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        None => serve(&Serve::default()),
-        Some(Command::Serve(how)) => serve(&how),
-        Some(Command::Control(how)) => control(&how),
+        None => run_scheduler(&ServeArgs::default()),
+        Some(Command::Serve(args)) => run_scheduler(&args),
+        Some(Command::Control(args)) => run_control_machine(&args),
         Some(Command::Check { operator }) => match Config::operator(&operator, Addresses::default()) {
             Ok(config) => {
                 println!(
-                    "{} is sound: {} classes, {} functions, {} HTTP workers",
+                    "{} is valid: {} classes, {} functions, {} HTTP workers",
                     operator.display(),
                     config.names.classes().count(),
                     config.gearman.map_or(0, |gearman| gearman.functions.len()),
@@ -32,32 +32,34 @@
                 );
                 ExitCode::SUCCESS
             }
-            Err(report) => unusable(&report),
+            Err(report) => report_invalid_configuration(&report),
         },
     }
 }
 
-fn unusable(report: &miette::Report) -> ExitCode {
+fn report_invalid_configuration(report: &miette::Report) -> ExitCode {
     eprintln!("{report:?}");
-    ExitCode::from(UNUSABLE)
+    ExitCode::from(INVALID_CONFIGURATION_EXIT_CODE)
 }
 
-fn serve(how: &Serve) -> ExitCode {
-    let config = match &how.operator {
-        Some(path) => match Config::operator(path, how.addresses()) {
+fn run_scheduler(args: &ServeArgs) -> ExitCode {
+    let config = match &args.operator {
+        Some(path) => match Config::operator(path, args.addresses()) {
             Ok(config) => config,
-            Err(report) => return unusable(&report),
+            Err(report) => return report_invalid_configuration(&report),
         },
         None => match Config::load(|name| std::env::var(name).ok()) {
             Ok(config) => config,
             Err(message) => {
                 eprintln!("calicolb: configuration: {message}");
-                eprintln!("calicolb: without RELAY_CONFIG, start it with: serve --operator FILE");
-                return ExitCode::from(UNUSABLE);
+                eprintln!(
+                    "calicolb: without RELAY_CONFIG, start the program with: calicolb serve --operator FILE"
+                );
+                return ExitCode::from(INVALID_CONFIGURATION_EXIT_CODE);
             }
         },
     };
-    log::start(how.log_format, how.log_level.unwrap_or(Level::INFO));
+    log::start(args.log_format, args.log_level.unwrap_or(Level::INFO));
     net::platform::inherit::announce(config.passed_socket, |name| std::env::var_os(name));
     let (name, listen) = (config.name.clone(), config.listen);
     match net::turn::Turn::new(config).and_then(net::turn::Turn::run) {
@@ -69,17 +71,17 @@
     }
 }
 
-fn control(how: &Control) -> ExitCode {
-    let config = match ControlConfig::operator(&how.operator) {
+fn run_control_machine(args: &ControlArgs) -> ExitCode {
+    let config = match ControlConfig::operator(&args.operator) {
         Ok(config) => config,
-        Err(report) => return unusable(&report),
+        Err(report) => return report_invalid_configuration(&report),
     };
-    if how.check {
-        let (id, count) = (config.id, config.machines.len());
-        println!("{} is sound: control machine {id} of {count}", how.operator.display());
+    if args.check {
+        let (id, machine_count) = (config.id, config.machines.len());
+        println!("{} is valid: control machine {id} of {machine_count}", args.operator.display());
         return ExitCode::SUCCESS;
     }
-    log::start(how.log_format, how.log_level.unwrap_or(Level::INFO));
+    log::start(args.log_format, args.log_level.unwrap_or(Level::INFO));
     let (name, listen) = (config.name.clone(), config.listen);
     match net::control::machine::Machine::new(config).and_then(net::control::machine::Machine::run) {
         Ok(()) => ExitCode::SUCCESS,
