--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -1,51 +1,56 @@
-//! Settings that are agreed for all schedulers, beside the few that are each scheduler's own.
+//! Separates the settings that the control machines agree on for all schedulers from the few that each scheduler has for
+//! itself, and validates agreed versions.
 
 use super::Fault;
 use super::document::{self, Direction, Document};
 use calicolb_agreed::{Check, Rules, Tighter};
 use serde_json::{Value, json};
 
-/// Keys that are each scheduler's own, and stand in no version.
+/// Keys that each scheduler has for itself. Agreed versions do not contain them.
 pub const LOCAL_KEYS: [&str; 3] = ["n_instances", "rank", "zone"];
 
-/// The own keys of these settings.
+/// The part of `settings` that each scheduler has for itself.
 pub fn local_settings(settings: &Document) -> Document {
     LOCAL_KEYS.iter().filter_map(|key| Some(((*key).to_owned(), settings.get(*key)?.clone()))).collect()
 }
 
-/// The settings without the own keys.
+/// The part of `settings` that is agreed for all schedulers.
 pub fn shared_settings(mut settings: Document) -> Document {
     LOCAL_KEYS.iter().for_each(|key| drop(settings.remove(*key)));
     settings
 }
 
-/// An agreed version with the own keys of a scheduler.
-pub fn with_local_settings(version: &Document, own: &Document) -> Document {
-    let mut whole = version.clone();
-    whole.extend(own.iter().map(|(key, value)| (key.clone(), value.clone())));
-    whole
+/// An agreed version, completed with a scheduler's own settings. `local` holds the keys of [`LOCAL_KEYS`].
+pub fn with_local_settings(version: &Document, local: &Document) -> Document {
+    let mut settings = version.clone();
+    settings.extend(local.iter().map(|(key, value)| (key.clone(), value.clone())));
+    settings
 }
 
-/// What a version is checked by before it is agreed.
+/// The check that a control machine applies to a version before it is agreed.
 pub struct SharedSettingsCheck;
 
 impl Check for SharedSettingsCheck {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
-        let fault = |fault: Fault| calicolb_agreed::Fault { key: fault.key, why: fault.why };
+        let to_agreed_error = |fault: Fault| calicolb_agreed::Fault { key: fault.key, why: fault.why };
         if let Some(key) = LOCAL_KEYS.iter().find(|key| version.contains_key(**key)) {
-            return Err(fault(Fault::new(*key, "is each scheduler's own, and is agreed for none")));
+            return Err(to_agreed_error(Fault::new(
+                *key,
+                "is set by each scheduler for itself and cannot be agreed",
+            )));
         }
-        // It must be usable at some scheduler: at one of the first zone.
+        // A version must be valid for at least one scheduler. Since it has no local keys, those of a scheduler in the first
+        // zone are assumed.
         let zone = version.get("azs").and_then(|zones| zones.get(0)).cloned().unwrap_or(Value::Null);
-        let own = [("n_instances", json!(1)), ("rank", json!(0)), ("zone", zone)];
-        let own = own.into_iter().map(|(key, value)| (key.to_owned(), value)).collect();
-        document::check(&with_local_settings(version, &own)).map(drop).map_err(fault)
+        let local = [("n_instances", json!(1)), ("rank", json!(0)), ("zone", zone)];
+        let local = local.into_iter().map(|(key, value)| (key.to_owned(), value)).collect();
+        document::check(&with_local_settings(version, &local)).map(drop).map_err(to_agreed_error)
     }
 }
 
-/// What a scheduler with these own keys checks a version by, and which way each key tightens.
+/// The check that a scheduler applies to an agreed version, and its rules for the direction in which each key tightens.
 pub struct SchedulerRules {
-    /// The own keys.
+    /// The settings that the scheduler has for itself.
     pub local_settings: Document,
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,12 +1,12 @@
-//! The configuration: the one place where anything is read, checked and given defaults, from the platform's JSON and
-//! variables or from an operator file. Every message names the key at fault.
+//! The configuration: the only module that reads, validates and applies defaults to settings, either from the platform's
+//! JSON file and environment variables or from a KDL operator file. Every error message names the invalid key.
 
 pub mod agreed;
 pub mod control;
 pub mod document;
 pub mod operator;
 mod platform;
-mod sheet;
+mod settings_reader;
 pub mod worker_list;
 
 use self::worker_list::ListUpdate;
@@ -16,144 +16,144 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Descriptors that the program needs at least.
+/// The smallest descriptor limit with which the program can run.
 pub const MIN_DESCRIPTORS: u64 = 64;
-/// The name under which two processes on one socket meet, in `$TMPDIR`.
-const MEETING: &str = "calicolb.sock";
+/// File name, in `$TMPDIR`, of the Unix socket over which predecessor and successor of an upgrade communicate.
+const UPGRADE_SOCKET: &str = "calicolb.sock";
 const DEFAULT_DESCRIPTORS: u64 = 1_024;
 const DEFAULT_WORKER_IDLE_TIMEOUT: Micros = 5_000_000;
 const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
 
-/// What the schedulers' messages to each other need.
+/// Addresses for the UDP messages between schedulers.
 pub struct PeerConfig {
-    /// Where they arrive.
+    /// The local address on which messages are received.
     pub listen: SocketAddr,
-    /// One address for each scheduler, by rank.
+    /// The address of each scheduler, indexed by rank.
     pub by_rank: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// An address whose datagrams reach all schedulers, if there is one.
     pub broadcast: Option<SocketAddr>,
 }
 
-/// A next hop that speaks HTTP and is at a fixed address.
+/// An HTTP worker with a fixed address, from the operator file.
 pub struct StaticWorker {
-    /// What the module is told of it.
+    /// The worker as the decision module sees it.
     pub member: Member,
-    /// Its address.
+    /// The address on which the worker accepts connections.
     pub address: SocketAddr,
 }
 
-/// A class as a submission of some priority gets it.
+/// The class and the timeout of a Gearman function's jobs at one priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorityClass {
-    /// The class.
+    /// The class of the jobs.
     pub class: ClassIx,
-    /// How long a caller waits over all tries.
+    /// How long a client waits for the result, over all attempts.
     pub client_timeout: Micros,
 }
 
-/// A Gearman function.
+/// A Gearman function that clients may submit jobs for.
 #[derive(Clone, Debug)]
 pub struct Function {
-    /// Its name.
+    /// The function's name.
     pub name: String,
-    /// What a worker must be able to do for it.
+    /// The index of the skill that a worker needs for the function.
     pub skill: u32,
-    /// What its jobs are by priority: low, normal, high.
+    /// Class and timeout of the function's jobs by priority: low, normal, high.
     pub priority_classes: [PriorityClass; 3],
-    /// How long a background job may take over all tries.
+    /// How long a background job may take, over all attempts.
     pub background_timeout: Micros,
-    /// Its workers take the HTTP jobs of its class as well.
+    /// Whether workers of the function also run HTTP jobs of its class.
     pub takes_http_jobs: bool,
 }
 
-/// What the Gearman side is told.
+/// Settings of the Gearman listener.
 #[derive(Clone, Debug)]
 pub struct GearmanConfig {
-    /// Where clients and workers connect.
+    /// The address on which clients and workers connect.
     pub listen: SocketAddr,
-    /// The functions, in the order of their skills.
+    /// The functions, in the order of their skill indices.
     pub functions: Vec<Function>,
-    /// The names of the classes: what an HTTP next hop knows a job by.
+    /// The names of the classes. HTTP workers receive a class's name with each job.
     pub classes: Vec<String>,
-    /// The zone of workers that connect here.
+    /// The zone of workers that connect to this listener.
     pub zone: ZoneIx,
-    /// Their kind of machine.
+    /// The kind of machine of workers that connect to this listener.
     pub kind: KindIx,
-    /// Admin commands that change something are carried out.
+    /// Whether admin commands that change state are carried out.
     pub admin_changes: bool,
-    /// How many ends of background jobs are remembered.
+    /// The largest number of finished background jobs whose status is remembered.
     pub max_remembered_jobs: usize,
-    /// The largest workload, in bytes.
+    /// The largest workload of a job, in bytes.
     pub max_workload_bytes: usize,
-    /// What handles begin with.
+    /// The scheduler's name; job handles start with it.
     pub name: String,
 }
 
-/// What can come into force while the program runs.
+/// The settings that can change while the program runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsUpdate {
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
-    /// The names behind the settings' indices.
+    /// The names that belong to the indices in `settings`.
     pub names: Names,
-    /// When a next hop closes an idle connection.
+    /// How long a worker keeps an idle connection open before it closes it.
     pub worker_idle_timeout: Micros,
-    /// Requests that may be open at once.
+    /// The largest number of requests that may be open at once.
     pub max_open_requests: usize,
 }
 
-/// What a scheduler that learns agreed settings is told.
+/// Settings of a scheduler that follows the control machines as a learner.
 pub struct LearnerConfig {
-    /// The control machines.
+    /// The addresses of the control machines.
     pub machines: Vec<SocketAddr>,
-    /// Who has heard nothing of a majority for so long is behind.
+    /// A learner that has heard from no majority of the control machines for this long counts as behind.
     pub max_silence: Micros,
-    /// The settings to begin with, without the keys that are each scheduler's own, ...
+    /// The settings in force until an agreed version is received, without the keys of `local_settings`.
     pub initial_settings: document::Document,
-    /// ... and those keys.
+    /// The settings that each scheduler has for itself; see [`agreed::LOCAL_KEYS`].
     pub local_settings: document::Document,
 }
 
-/// All that the program is told.
+/// The complete configuration of a scheduler.
 pub struct Config {
-    /// Its name.
+    /// The scheduler's name, for logs and job handles.
     pub name: String,
-    /// Where clients connect, and next hops with their call-backs.
+    /// The HTTP address on which clients connect, and workers with their callbacks.
     pub listen: SocketAddr,
-    /// Where discovery is, if there is any.
+    /// The address of the discovery service, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// Where operators call, if they may.
+    /// The listen address of the management interface, if it is enabled.
     pub management: Option<SocketAddr>,
-    /// The descriptor under which the platform passed the clients' socket, if it did.
+    /// The file descriptor of the HTTP listener that the platform passed, if it did.
     pub passed_socket: Option<i32>,
-    /// Where two processes that share that socket meet.
+    /// The path of the Unix socket over which predecessor and successor of an upgrade communicate.
     pub upgrade_socket: Option<PathBuf>,
-    /// For random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The largest number of descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// Where other schedulers are, if there may be messages between them.
+    /// The addresses of the other schedulers, if peer messages are enabled.
     pub peers: Option<PeerConfig>,
-    /// The list of next hops as last known.
+    /// The last known list of workers, used until discovery or the predecessor provides a newer one.
     pub known_workers: Option<ListUpdate>,
-    /// Next hops at fixed addresses.
+    /// HTTP workers with fixed addresses.
     pub static_workers: Vec<StaticWorker>,
-    /// The Gearman side, if there is one.
+    /// The Gearman listener, if it is enabled.
     pub gearman: Option<GearmanConfig>,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
-    /// The names behind the settings' indices.
+    /// The names that belong to the indices in `settings`.
     pub names: Names,
-    /// When a next hop closes an idle connection.
+    /// How long a worker keeps an idle connection open before it closes it.
     pub worker_idle_timeout: Micros,
-    /// Requests that may be open at once.
+    /// The largest number of requests that may be open at once.
     pub max_open_requests: usize,
-    /// The control machines, if settings are agreed.
+    /// The learner's settings, if control machines are configured.
     pub control: Option<LearnerConfig>,
 }
 
 impl Config {
-    /// What of it can come into force while the program runs.
+    /// The part of the configuration that can change while the program runs.
     pub fn settings_update(&self) -> SettingsUpdate {
         let (settings, names) = (self.settings.clone(), self.names.clone());
         SettingsUpdate {
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,6 +1,7 @@
-//! The operator file: the appliance's form, in KDL. One file and no variable, no discovery, no JSON.
+//! Reads the operator file, a KDL file that configures a scheduler without the platform: no environment variables, no
+//! discovery service and no JSON.
 
-use super::sheet::{Faults, Reading, Sheet, like};
+use super::settings_reader::{DiagnosticCollector, Diagnostics, SettingsReader, suggest_name};
 use super::*;
 use calicolb::api::{
     Class, Effect, Group, Limits, Prices, QueueOrder, ReportSource, RuleFigures, SKILLS, Standing, Tenant,
@@ -13,24 +14,24 @@
 const MILLI: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 const DAY: Micros = 24 * 3600 * SECOND;
-/// The largest number of jobs that may be open.
-const MOST_OPEN: u64 = 20_000;
-/// The largest workload that fits into the buffers.
-const WORKLOAD: u64 = 64 * 1024;
+/// The largest value that `open-jobs` may have.
+const MAX_OPEN_JOBS: u64 = 20_000;
+/// The largest Gearman workload, in bytes, that fits into the connection buffers.
+const MAX_WORKLOAD_BYTES: u64 = 64 * 1024;
 
-/// Addresses that the command line gives in the place of the file's.
+/// Listen addresses from the command line, each of which replaces the operator file's if it is set.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Addresses {
-    /// Where HTTP clients connect.
+    /// The HTTP listen address.
     pub listen: Option<SocketAddr>,
-    /// Where Gearman clients and workers connect.
+    /// The Gearman listen address.
     pub gearman: Option<SocketAddr>,
-    /// Where operators call.
+    /// The listen address of the management interface.
     pub management: Option<SocketAddr>,
 }
 
-/// The words that may begin a node.
-const NODES: [&str; 10] = [
+/// The node names that an operator file may contain.
+const NODE_NAMES: [&str; 10] = [
     "name",
     "http",
     "gearman",
@@ -44,100 +45,113 @@
 ];
 
 impl Config {
-    /// Reads an operator file.
+    /// Reads an operator file. Addresses in `overrides` replace the file's.
     ///
     /// # Errors
-    /// A report that names every fault with file, line, column, key and mend.
-    pub fn operator(path: &Path, over: Addresses) -> Result<Config, Report> {
+    /// A report that shows each error in the file with line, column, key and advice on how to correct it.
+    pub fn from_operator_file(path: &Path, overrides: Addresses) -> Result<Config, Report> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .into_diagnostic()
             .wrap_err_with(|| format!("the operator file {name} cannot be read"))?;
-        read(&name, &text, over)
+        read(&name, &text, overrides)
     }
 }
 
-fn read(name: &str, text: &str, over: Addresses) -> Result<Config, Report> {
-    let reading = Reading::new(name, text);
-    let Some(document) = parse(&reading, text) else {
-        return Err(Report::new(reading.end(()).expect_err("a fault was noted")));
+fn read(name: &str, text: &str, overrides: Addresses) -> Result<Config, Report> {
+    let collector = DiagnosticCollector::new(name, text);
+    let Some(document) = parse_kdl(&collector, text) else {
+        return Err(Report::new(
+            collector.finish(()).expect_err("parse_kdl returned None without recording an error"),
+        ));
     };
-    let config = Appliance { reading: &reading, document: &document }.read(over);
-    let whole = reading.end(config).map_err(|faults: Faults| Report::new(faults))?;
-    whole.ok_or_else(|| miette::miette!("{name}: it cannot be used, though no fault was found in it"))
+    let config = FileReader { collector: &collector, document: &document }.read(overrides);
+    let config = collector.finish(config).map_err(|diagnostics: Diagnostics| Report::new(diagnostics))?;
+    config.ok_or_else(|| miette::miette!("{name}: the file is incomplete, but no error was recorded for it"))
 }
 
-/// Takes a file apart; each thing that is no KDL is noted as a fault.
-pub(super) fn parse(reading: &Reading, text: &str) -> Option<KdlDocument> {
+/// Parses a KDL file. Returns `None` after recording each syntax error.
+pub(super) fn parse_kdl(collector: &DiagnosticCollector, text: &str) -> Option<KdlDocument> {
     match KdlDocument::parse_v2(text) {
         Ok(document) => Some(document),
         Err(error) => {
-            for fault in error.diagnostics {
-                let message = fault.message.unwrap_or_else(|| "this is no KDL".to_owned());
-                let mend = fault.help.or(fault.label).unwrap_or_else(|| "see the shipped example".to_owned());
-                reading.fault(fault.span, message, mend);
+            for diagnostic in error.diagnostics {
+                let message = diagnostic.message.unwrap_or_else(|| "this is not valid KDL".to_owned());
+                let help = diagnostic
+                    .help
+                    .or(diagnostic.label)
+                    .unwrap_or_else(|| "see deploy/appliance.kdl".to_owned());
+                collector.report(diagnostic.span, message, help);
             }
             None
         }
     }
 }
 
-struct Appliance<'a> {
-    reading: &'a Reading,
+/// Reads the nodes of a parsed operator file.
+struct FileReader<'a> {
+    collector: &'a DiagnosticCollector,
     document: &'a KdlDocument,
 }
 
-/// A class as it stands in the file.
+/// A class and its name from the file.
 struct NamedClass<'a> {
     name: &'a str,
     class: Class,
 }
 
-impl<'a> Appliance<'a> {
-    fn nodes(&self, word: &str) -> impl Iterator<Item = &'a KdlNode> {
-        self.document.nodes().iter().filter(move |node| node.name().value() == word)
+impl<'a> FileReader<'a> {
+    /// The top-level nodes with this name.
+    fn nodes(&self, node_name: &str) -> impl Iterator<Item = &'a KdlNode> {
+        self.document.nodes().iter().filter(move |node| node.name().value() == node_name)
     }
 
-    /// The one node of this word; a second one is a fault.
-    fn sheet(&self, word: &str) -> Option<Sheet<'a>> {
-        let mut nodes = self.nodes(word);
+    /// Returns the first node with this name, if there is one, and records an error if there is a second one.
+    fn single_node(&self, node_name: &str) -> Option<SettingsReader<'a>> {
+        let mut nodes = self.nodes(node_name);
         let first = nodes.next()?;
         if let Some(second) = nodes.next() {
-            self.reading.fault(second.name().span(), format!("there are two '{word}'"), "keep one of them");
+            self.collector.report(
+                second.name().span(),
+                format!("the node '{node_name}' appears twice"),
+                "keep one of them",
+            );
         }
-        Some(Sheet::new(self.reading, first))
+        Some(SettingsReader::new(self.collector, first))
     }
 
-    fn read(&self, over: Addresses) -> Option<Config> {
+    /// Reads the whole file. Returns `None` if the HTTP listen address is missing; errors are recorded in the collector.
+    fn read(&self, overrides: Addresses) -> Option<Config> {
         for node in self.document.nodes() {
-            let word = node.name().value();
-            if !NODES.contains(&word) {
-                let mend = like(word, NODES.into_iter());
-                self.reading.fault(node.name().span(), format!("nothing is called '{word}'"), mend);
+            let node_name = node.name().value();
+            if !NODE_NAMES.contains(&node_name) {
+                let help = suggest_name(node_name, NODE_NAMES.into_iter());
+                self.collector.report(node.name().span(), format!("unknown node '{node_name}'"), help);
             }
         }
-        let name = self.sheet("name").and_then(|sheet| sheet.name()).unwrap_or("calicolb");
-        let http = self.address("http", "listen");
-        let mgmt = self.address("operators", "listen");
+        let name = self.single_node("name").and_then(|reader| reader.name()).unwrap_or("calicolb");
+        let http_listen = self.address("http", "listen");
+        let management = self.address("operators", "listen");
         let classes = self.classes();
         let names: Vec<&str> = classes.iter().map(|class| class.name).collect();
         let functions = self.functions(&classes, &names);
         let kinds = self.kinds();
-        let fixed = self.fixed(&names, &functions, &kinds);
-        let gearman = self.gearman(name, over.gearman, &names, functions, &kinds);
+        let static_workers = self.static_workers(&names, &functions, &kinds);
+        let gearman = self.gearman(name, overrides.gearman, &names, functions, &kinds);
         let tenants = self.tenants();
-        let limits = self.sheet("limits");
-        let limit = |key, least, most, default| {
-            limits.as_ref().and_then(|sheet| sheet.whole(key, least, most)).unwrap_or(default)
+        let limits = self.single_node("limits");
+        let limit = |key, min, max, default| {
+            limits.as_ref().and_then(|reader| reader.integer(key, min, max)).unwrap_or(default)
         };
-        let sockets = limit("descriptors", MIN_DESCRIPTORS, 65_536, DEFAULT_DESCRIPTORS);
-        let max_open_requests = limit("open-jobs", 1, MOST_OPEN, sockets / 3);
-        if let Some(sheet) = limits.as_ref().filter(|_| max_open_requests > sockets / 3) {
-            let message = format!("'open-jobs' is {max_open_requests}, and 'descriptors' {sockets}");
-            sheet.fault(
+        let max_descriptors = limit("descriptors", MIN_DESCRIPTORS, 65_536, DEFAULT_DESCRIPTORS);
+        let max_open_requests = limit("open-jobs", 1, MAX_OPEN_JOBS, max_descriptors / 3);
+        if let Some(reader) = limits.as_ref().filter(|_| max_open_requests > max_descriptors / 3) {
+            let message =
+                format!("'open-jobs' is {max_open_requests}, and 'descriptors' is {max_descriptors}");
+            reader.report(
                 "open-jobs",
                 message,
-                "keep it to a third: a job of HTTP holds a descriptor until its end",
+                "set it to at most a third of 'descriptors': an HTTP job holds a descriptor until it ends",
             );
         }
         let class_names = names.iter().map(|name| (*name).to_owned()).collect();
@@ -149,10 +163,10 @@
             kinds.len(),
             limits,
         );
-        let Some(listen) = over.listen.or(http) else {
+        let Some(listen) = overrides.listen.or(http_listen) else {
             if self.nodes("http").next().is_none() {
-                let mend = "add: http listen=\"127.0.0.1:8080\"";
-                self.reading.fault((0, 0).into(), "there is no 'http'", mend);
+                let help = "add: http listen=\"127.0.0.1:8080\"";
+                self.collector.report((0, 0).into(), "the node 'http' is missing", help);
             }
             return None;
         };
@@ -160,14 +174,16 @@
             name: name.to_owned(),
             listen,
             discovery: None,
-            management: over.management.or(mgmt),
+            management: overrides.management.or(management),
             passed_socket: None,
             upgrade_socket: None,
-            seed: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_nanos() as u64),
-            max_descriptors: sockets as usize,
+            seed: SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |since_epoch| since_epoch.as_nanos() as u64),
+            max_descriptors: max_descriptors as usize,
             peers: None,
             known_workers: None,
-            static_workers: fixed,
+            static_workers,
             gearman,
             settings,
             names: Names::new(class_names, tenant_names, vec!["site".to_owned()], kind_names),
@@ -177,51 +193,57 @@
         })
     }
 
-    fn address(&self, word: &str, key: &'static str) -> Option<SocketAddr> {
-        let sheet = self.sheet(word)?;
-        let address = sheet.needed(key, "\"127.0.0.1:8080\"", sheet.address(key));
-        sheet.close();
+    /// The address under `key` of a node, which must be set if the node is there.
+    fn address(&self, node_name: &str, key: &'static str) -> Option<SocketAddr> {
+        let reader = self.single_node(node_name)?;
+        let address = reader.required(key, "\"127.0.0.1:8080\"", reader.address(key));
+        reader.report_unknown_keys();
         address
     }
 
+    /// The classes, without those that have an invalid name, aim, deadline or effect.
     fn classes(&self) -> Vec<NamedClass<'a>> {
         let mut classes: Vec<NamedClass<'a>> = Vec::new();
         for node in self.nodes("class") {
-            let sheet = Sheet::new(self.reading, node);
-            let name = sheet.name();
-            let aim = sheet.needed("aim", "\"900ms\"", sheet.time("aim", MILLI, DAY));
-            let give_up = sheet.needed("give-up", "\"5s\"", sheet.time("give-up", MILLI, DAY));
+            let reader = SettingsReader::new(self.collector, node);
+            let name = reader.name();
+            let aim = reader.required("aim", "\"900ms\"", reader.duration("aim", MILLI, DAY));
+            let deadline = reader.required("give-up", "\"5s\"", reader.duration("give-up", MILLI, DAY));
             let effects = [
                 ("safe", Effect::Safe),
                 ("once", Effect::Unsafe),
                 ("keyed", Effect::Keyed { group: Group::All, span: 0 }),
             ];
-            let effect = sheet.needed("effect", "\"safe\"", sheet.choice("effect", &effects));
-            let memory = sheet.time("remembered", MILLI, DAY);
-            let stretch = sheet.number("stretch", 0.0, 1_000.0).unwrap_or(0.0);
-            let worth = sheet.number("worth", 0.0, 1e6).unwrap_or(1.0);
-            let late_worth = sheet.number("late-worth", 0.0, 1.0).unwrap_or(0.0);
-            let priority = sheet.whole("priority", 0, 1_000).unwrap_or(0) as i64;
-            let slots = sheet.whole("slots", 1, 1_024).unwrap_or(1) as u32;
-            sheet.close();
+            let effect = reader.required("effect", "\"safe\"", reader.choice("effect", &effects));
+            let remembered = reader.duration("remembered", MILLI, DAY);
+            let stretch = reader.number("stretch", 0.0, 1_000.0).unwrap_or(0.0);
+            let worth = reader.number("worth", 0.0, 1e6).unwrap_or(1.0);
+            let late_worth = reader.number("late-worth", 0.0, 1.0).unwrap_or(0.0);
+            let priority = reader.integer("priority", 0, 1_000).unwrap_or(0) as i64;
+            let slots = reader.integer("slots", 1, 1_024).unwrap_or(1) as u32;
+            reader.report_unknown_keys();
             let effect = match effect {
                 Some(Effect::Keyed { group, .. }) => {
-                    let span = sheet.needed("remembered", "\"1m\"", memory).unwrap_or(0);
+                    let span = reader.required("remembered", "\"1m\"", remembered).unwrap_or(0);
                     Some(Effect::Keyed { group, span })
                 }
                 effect => effect,
             };
-            if let (Some(aim), Some(give_up)) = (aim, give_up)
-                && give_up < aim
+            if let (Some(aim), Some(deadline)) = (aim, deadline)
+                && deadline < aim
             {
-                sheet.fault("give-up", "'give-up' comes before 'aim'", "make it at least as long as the aim");
+                reader.report(
+                    "give-up",
+                    "'give-up' is shorter than 'aim'",
+                    "make it at least as long as the aim",
+                );
             }
-            let (Some(name), Some(aim), Some(deadline), Some(effect)) = (name, aim, give_up, effect) else {
+            let (Some(name), Some(aim), Some(deadline), Some(effect)) = (name, aim, deadline, effect) else {
                 continue;
             };
             if classes.iter().any(|class| class.name == name) {
-                self.reading.fault(
-                    sheet.at(),
+                self.collector.report(
+                    reader.span(),
                     format!("there are two classes \"{name}\""),
                     "rename one of them",
                 );
@@ -231,65 +253,74 @@
             classes.push(NamedClass { name, class });
         }
         if self.nodes("class").next().is_none() {
-            let mend = "add: class \"stock-check\" aim=\"900ms\" give-up=\"5s\" effect=\"safe\"";
-            self.reading.fault((0, 0).into(), "there is no class", mend);
+            let help = "add: class \"stock-check\" aim=\"900ms\" give-up=\"5s\" effect=\"safe\"";
+            self.collector.report((0, 0).into(), "the file defines no class", help);
         }
         classes
     }
 
+    /// The functions, each with its name and whether HTTP workers may run its jobs.
     fn functions(&self, classes: &[NamedClass<'a>], names: &[&str]) -> Vec<(&'a str, Function, bool)> {
         let mut functions: Vec<(&str, Function, bool)> = Vec::new();
         for node in self.nodes("function") {
-            let sheet = Sheet::new(self.reading, node);
-            let name = sheet.name();
-            let class = sheet.one_of("class", "class", names);
-            let class = sheet.needed("class", "\"stock-check\"", class);
-            let (low, high) = (sheet.one_of("low", "class", names), sheet.one_of("high", "class", names));
-            let background = sheet.time("background", MILLI, DAY);
-            let takes_http = sheet.flag("takes-http").unwrap_or(false);
-            let on_http = sheet.flag("on-http").unwrap_or(false);
-            sheet.close();
+            let reader = SettingsReader::new(self.collector, node);
+            let name = reader.name();
+            let class = reader.name_index("class", "class", names);
+            let class = reader.required("class", "\"stock-check\"", class);
+            let (low, high) =
+                (reader.name_index("low", "class", names), reader.name_index("high", "class", names));
+            let background_timeout = reader.duration("background", MILLI, DAY);
+            let takes_http_jobs = reader.flag("takes-http").unwrap_or(false);
+            let runs_on_http = reader.flag("on-http").unwrap_or(false);
+            reader.report_unknown_keys();
             let (Some(name), Some(class)) = (name, class) else { continue };
             if functions.iter().any(|(known, ..)| *known == name) {
-                self.reading.fault(
-                    sheet.at(),
+                self.collector.report(
+                    reader.span(),
                     format!("there are two functions \"{name}\""),
                     "rename one of them",
                 );
             }
-            let grade =
-                |nr: usize| PriorityClass { class: ClassIx(nr), client_timeout: classes[nr].class.deadline };
-            let grades = [grade(low.unwrap_or(class)), grade(class), grade(high.unwrap_or(class))];
-            if grades.iter().any(|other| classes[other.class.0].class.effect != classes[class].class.effect) {
-                let mend =
-                    "what a repeat would do does not change with the priority: name classes of one effect";
-                sheet.fault("class", format!("the classes of \"{name}\" differ in their effect"), mend);
+            let priority_class = |index: usize| PriorityClass {
+                class: ClassIx(index),
+                client_timeout: classes[index].class.deadline,
+            };
+            let priority_classes = [
+                priority_class(low.unwrap_or(class)),
+                priority_class(class),
+                priority_class(high.unwrap_or(class)),
+            ];
+            if priority_classes
+                .iter()
+                .any(|other| classes[other.class.0].class.effect != classes[class].class.effect)
+            {
+                let help = "name classes with the same effect: it describes the function, whatever the priority of a job";
+                reader.report(
+                    "class",
+                    format!("the classes of function \"{name}\" have different effects"),
+                    help,
+                );
             }
-            let background = background.unwrap_or(grades[1].client_timeout);
+            let background_timeout = background_timeout.unwrap_or(priority_classes[1].client_timeout);
             let skill = (classes.len() + functions.len()) as u32;
-            let name_owned = name.to_owned();
-            let function = Function {
-                name: name_owned,
-                skill,
-                priority_classes: grades,
-                background_timeout: background,
-                takes_http_jobs: takes_http,
-            };
-            functions.push((name, function, on_http));
+            let owned_name = name.to_owned();
+            let function =
+                Function { name: owned_name, skill, priority_classes, background_timeout, takes_http_jobs };
+            functions.push((name, function, runs_on_http));
         }
         if classes.len() + functions.len() > SKILLS {
             let count = classes.len() + functions.len();
-            let mend = format!("keep them to {SKILLS} together");
-            self.reading.fault((0, 0).into(), format!("there are {count} classes and functions"), mend);
+            let help = format!("define at most {SKILLS} classes and functions in total");
+            self.collector.report((0, 0).into(), format!("there are {count} classes and functions"), help);
         }
         functions
     }
 
-    /// The kinds of machine that are named anywhere.
+    /// The kinds of machine of all workers in the file, without duplicates.
     fn kinds(&self) -> Vec<&'a str> {
         let mut kinds: Vec<&str> = Vec::new();
         for node in self.nodes("http-worker").chain(self.nodes("gearman")) {
-            let kind = Sheet::new(self.reading, node).kind();
+            let kind = SettingsReader::new(self.collector, node).kind();
             if !kinds.contains(&kind) {
                 kinds.push(kind);
             }
@@ -300,48 +331,49 @@
         kinds
     }
 
-    fn fixed(
+    /// The HTTP workers.
+    fn static_workers(
         &self,
         classes: &[&str],
         functions: &[(&str, Function, bool)],
         kinds: &[&str],
     ) -> Vec<StaticWorker> {
-        let mut fixed: Vec<(&str, StaticWorker)> = Vec::new();
+        let mut workers: Vec<(&str, StaticWorker)> = Vec::new();
         for node in self.nodes("http-worker") {
-            let sheet = Sheet::new(self.reading, node);
-            let name = sheet.name();
-            let dial = sheet.address("address");
-            let dial = sheet.needed("address", "\"127.0.0.1:9001\"", dial);
-            let lanes = sheet.whole("lanes", 1, 4_096);
-            let weight = sheet.number("weight", 0.001, 1e6).unwrap_or(1.0);
-            let takes = sheet.texts("classes");
-            let kind = sheet.kind();
-            sheet.text("kind");
-            sheet.close();
-            let mut takes_bits = 0_u64;
-            for class in takes.iter().flatten() {
+            let reader = SettingsReader::new(self.collector, node);
+            let name = reader.name();
+            let address = reader.address("address");
+            let address = reader.required("address", "\"127.0.0.1:9001\"", address);
+            let lanes = reader.integer("lanes", 1, 4_096);
+            let weight = reader.number("weight", 0.001, 1e6).unwrap_or(1.0);
+            let class_names = reader.texts("classes");
+            let kind = reader.kind();
+            reader.text("kind");
+            reader.report_unknown_keys();
+            let mut accepted_skills = 0_u64;
+            for class in class_names.iter().flatten() {
                 match classes.iter().position(|known| known == class) {
-                    Some(nr) => takes_bits |= bit(nr as u32),
-                    None => sheet.fault(
+                    Some(index) => accepted_skills |= skill_bit(index as u32),
+                    None => reader.report(
                         "classes",
                         format!("there is no class \"{class}\""),
-                        like(class, classes.iter().copied()),
+                        suggest_name(class, classes.iter().copied()),
                     ),
                 }
             }
-            if takes.is_none() {
-                takes_bits = (0..classes.len() as u32).map(bit).sum();
+            if class_names.is_none() {
+                accepted_skills = (0..classes.len() as u32).map(skill_bit).sum();
             }
-            for (_, function, _) in functions.iter().filter(|(.., on_http)| *on_http) {
-                if takes_bits & bit(function.priority_classes[1].class.0 as u32) != 0 {
-                    takes_bits |= bit(function.skill);
+            for (_, function, _) in functions.iter().filter(|(.., runs_on_http)| *runs_on_http) {
+                if accepted_skills & skill_bit(function.priority_classes[1].class.0 as u32) != 0 {
+                    accepted_skills |= skill_bit(function.skill);
                 }
             }
-            let (Some(name), Some(dial)) = (name, dial) else { continue };
+            let (Some(name), Some(address)) = (name, address) else { continue };
             let worker = calicolb::wire::hop_id(name);
-            if let Some((other, _)) = fixed.iter().find(|(_, other)| other.member.worker == worker) {
-                let message = format!("\"{name}\" and \"{other}\" have the same number");
-                self.reading.fault(sheet.at(), message, "rename one of them");
+            if let Some((other, _)) = workers.iter().find(|(_, other)| other.member.worker == worker) {
+                let message = format!("the names \"{name}\" and \"{other}\" have the same hash");
+                self.collector.report(reader.span(), message, "rename one of them");
             }
             let member = Member {
                 worker,
@@ -349,43 +381,51 @@
                 standing: Standing::On,
                 weight,
                 lanes: lanes.map(|lanes| lanes as u32),
-                refuses: !takes_bits,
+                refuses: !accepted_skills,
                 ..Member::default()
             };
-            fixed.push((name, StaticWorker { member, address: dial }));
+            workers.push((name, StaticWorker { member, address }));
         }
-        fixed.into_iter().map(|(_, fixed)| fixed).collect()
+        workers.into_iter().map(|(_, worker)| worker).collect()
     }
 
+    /// The Gearman listener's settings, `None` if it is not enabled.
     fn gearman(
         &self,
         name: &str,
-        over: Option<SocketAddr>,
+        listen_override: Option<SocketAddr>,
         classes: &[&str],
         functions: Vec<(&str, Function, bool)>,
         kinds: &[&str],
     ) -> Option<GearmanConfig> {
-        let sheet = self.sheet("gearman");
-        if sheet.is_none() && over.is_none() {
+        let reader = self.single_node("gearman");
+        if reader.is_none() && listen_override.is_none() {
             if let Some(node) = self.nodes("function").next() {
-                let mend = "add: gearman listen=\"127.0.0.1:4730\", or remove the functions";
-                self.reading.fault(node.name().span(), "there are functions, and no 'gearman'", mend);
+                let help = "add: gearman listen=\"127.0.0.1:4730\", or remove the functions";
+                self.collector.report(
+                    node.name().span(),
+                    "functions need a 'gearman' node, which is missing",
+                    help,
+                );
             }
             return None;
         }
-        let sheet = sheet.as_ref();
-        let listen = sheet.and_then(|sheet| sheet.address("listen"));
-        let listen = match sheet {
-            Some(sheet) => over.or(sheet.needed("listen", "\"127.0.0.1:4730\"", listen)),
-            None => over,
+        let reader = reader.as_ref();
+        let listen = reader.and_then(|reader| reader.address("listen"));
+        let listen = match reader {
+            Some(reader) => listen_override.or(reader.required("listen", "\"127.0.0.1:4730\"", listen)),
+            None => listen_override,
         };
-        let admin = sheet.and_then(|sheet| sheet.flag("admin")).unwrap_or(false);
-        let ends = sheet.and_then(|sheet| sheet.whole("ends", 1, 1_000_000)).unwrap_or(1_024);
-        let workload = sheet.and_then(|sheet| sheet.size("workload", 1_024, WORKLOAD)).unwrap_or(WORKLOAD);
-        let kind = sheet.map_or(DEFAULT_KIND, Sheet::kind);
-        if let Some(sheet) = sheet {
-            sheet.text("kind");
-            sheet.close();
+        let admin_changes = reader.and_then(|reader| reader.flag("admin")).unwrap_or(false);
+        let max_remembered_jobs =
+            reader.and_then(|reader| reader.integer("ends", 1, 1_000_000)).unwrap_or(1_024);
+        let max_workload_bytes = reader
+            .and_then(|reader| reader.byte_size("workload", 1_024, MAX_WORKLOAD_BYTES))
+            .unwrap_or(MAX_WORKLOAD_BYTES);
+        let kind = reader.map_or(DEFAULT_KIND, SettingsReader::kind);
+        if let Some(reader) = reader {
+            reader.text("kind");
+            reader.report_unknown_keys();
         }
         Some(GearmanConfig {
             listen: listen?,
@@ -393,24 +433,29 @@
             classes: classes.iter().map(|class| (*class).to_owned()).collect(),
             zone: ZoneIx(0),
             kind: KindIx(kinds.iter().position(|known| *known == kind).unwrap_or(0)),
-            admin_changes: admin,
-            max_remembered_jobs: ends as usize,
-            max_workload_bytes: workload as usize,
+            admin_changes,
+            max_remembered_jobs: max_remembered_jobs as usize,
+            max_workload_bytes: max_workload_bytes as usize,
             name: name.to_owned(),
         })
     }
 
+    /// The tenants and their names.
     fn tenants(&self) -> Vec<(&'a str, Tenant)> {
         let mut tenants: Vec<(&str, Tenant)> = Vec::new();
         for node in self.nodes("tenant") {
-            let sheet = Sheet::new(self.reading, node);
-            let name = sheet.name();
-            let quota_per_s = sheet.number("quota-per-second", 0.0, 1e9).unwrap_or(0.0);
-            let share = sheet.number("share", 0.0, 1.0).unwrap_or(1.0);
-            sheet.close();
+            let reader = SettingsReader::new(self.collector, node);
+            let name = reader.name();
+            let quota_per_s = reader.number("quota-per-second", 0.0, 1e9).unwrap_or(0.0);
+            let share = reader.number("share", 0.0, 1.0).unwrap_or(1.0);
+            reader.report_unknown_keys();
             if let Some(name) = name {
                 if tenants.iter().any(|(known, _)| *known == name) {
-                    self.reading.fault(sheet.at(), format!("there are two tenants \"{name}\""), "rename one");
+                    self.collector.report(
+                        reader.span(),
+                        format!("there are two tenants \"{name}\""),
+                        "rename one",
+                    );
                 }
                 tenants.push((name, Tenant { quota_per_s, share }));
             }
@@ -418,32 +463,35 @@
         tenants
     }
 
-    /// The module's settings, and when an HTTP worker closes a connection at rest.
+    /// The decision module's settings, and how long an HTTP worker keeps an idle connection open.
     fn settings(
         &self,
         classes: Vec<Class>,
         tenants: Vec<Tenant>,
         kinds: usize,
-        limits: Option<Sheet<'a>>,
+        limits: Option<SettingsReader<'a>>,
     ) -> (Settings, Micros) {
         let limits = limits.as_ref();
-        let tries = limits.and_then(|sheet| sheet.whole("tries", 1, 6)).unwrap_or(6) as u32;
-        let connect_timeout = limits.and_then(|sheet| sheet.time("connect-timeout", MILLI, 10 * SECOND));
-        let come_back = limits.and_then(|sheet| sheet.time("come-back", MILLI, 3600 * SECOND));
-        if let Some(sheet) = limits {
-            sheet.close();
+        let max_attempts = limits.and_then(|reader| reader.integer("tries", 1, 6)).unwrap_or(6) as u32;
+        let connect_timeout =
+            limits.and_then(|reader| reader.duration("connect-timeout", MILLI, 10 * SECOND));
+        let max_retry_after = limits.and_then(|reader| reader.duration("come-back", MILLI, 3600 * SECOND));
+        if let Some(reader) = limits {
+            reader.report_unknown_keys();
         }
-        let sheet = self.sheet("workers");
-        let workers = sheet.as_ref();
-        let cold = workers.and_then(|sheet| sheet.time("cold", 0, DAY)).unwrap_or(10 * SECOND);
-        let start = workers.and_then(|sheet| sheet.number("start-capacity", 0.01, 1.0)).unwrap_or(0.3);
-        let fall = workers.and_then(|sheet| sheet.number("fall-multiple", 1.0, 100.0)).unwrap_or(4.0);
-        let window = workers.and_then(|sheet| sheet.time("fall-window", 10 * MILLI, 60 * SECOND));
-        let probes = workers.and_then(|sheet| sheet.flag("probes")).unwrap_or(false);
-        let tells_start = workers.and_then(|sheet| sheet.flag("tells-start")).unwrap_or(true);
-        let idle = workers.and_then(|sheet| sheet.time("idle", 100 * MILLI, DAY));
-        if let Some(sheet) = workers {
-            sheet.close();
+        let reader = self.single_node("workers");
+        let workers = reader.as_ref();
+        let cold = workers.and_then(|reader| reader.duration("cold", 0, DAY)).unwrap_or(10 * SECOND);
+        let start_capacity =
+            workers.and_then(|reader| reader.number("start-capacity", 0.01, 1.0)).unwrap_or(0.3);
+        let fall_multiple =
+            workers.and_then(|reader| reader.number("fall-multiple", 1.0, 100.0)).unwrap_or(4.0);
+        let fall_window = workers.and_then(|reader| reader.duration("fall-window", 10 * MILLI, 60 * SECOND));
+        let probes = workers.and_then(|reader| reader.flag("probes")).unwrap_or(false);
+        let tells_start = workers.and_then(|reader| reader.flag("tells-start")).unwrap_or(true);
+        let worker_idle_timeout = workers.and_then(|reader| reader.duration("idle", 100 * MILLI, DAY));
+        if let Some(reader) = workers {
+            reader.report_unknown_keys();
         }
         let settings = Settings {
             rank: 0,
@@ -464,41 +512,44 @@
             queue_order: QueueOrder::Fifo,
             weights: true,
             limits: Limits {
-                tries,
-                // What one branch has passed on to its caller, no other may go on with.
+                tries: max_attempts,
+                // No copies: once part of one attempt's output has been forwarded to the client, another attempt cannot
+                // continue it.
                 copies: false,
                 cancel: true,
                 probes,
                 peers: false,
                 retry_advice: true,
-                retry_advice_max: come_back.unwrap_or(2 * SECOND),
+                retry_advice_max: max_retry_after.unwrap_or(2 * SECOND),
                 connect_timeout: connect_timeout.unwrap_or(250 * MILLI),
             },
             rules: RuleFigures {
                 answer_slack: 8 * MILLI,
                 drain_grace: 2 * SECOND,
                 cold,
-                start_capacity: start,
-                fall_multiple: fall,
-                fall_window: window.unwrap_or(1_500 * MILLI),
+                start_capacity,
+                fall_multiple,
+                fall_window: fall_window.unwrap_or(1_500 * MILLI),
                 ask_every: SECOND,
             },
             prices: Prices::default(),
             tick: MILLI,
         };
-        (settings, idle.unwrap_or(DEFAULT_WORKER_IDLE_TIMEOUT))
+        (settings, worker_idle_timeout.unwrap_or(DEFAULT_WORKER_IDLE_TIMEOUT))
     }
 }
 
-/// The kind of machine of workers that name none.
+/// The kind of machine of workers whose node does not set `kind`.
 const DEFAULT_KIND: &str = "worker";
 
-impl<'a> Sheet<'a> {
+impl<'a> SettingsReader<'a> {
+    /// The kind of machine, [`DEFAULT_KIND`] if the node sets none.
     fn kind(&self) -> &'a str {
-        self.peek("kind").unwrap_or(DEFAULT_KIND)
+        self.peek_text("kind").unwrap_or(DEFAULT_KIND)
     }
 }
 
-fn bit(skill: u32) -> u64 {
+/// The bit of a skill in a set of skills, 0 if the index is too large for the set.
+fn skill_bit(skill: u32) -> u64 {
     1_u64.checked_shl(skill).unwrap_or(0)
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -83,7 +83,7 @@
             // A process that cannot share the clients' socket has nobody to meet.
             upgrade_socket: env("TMPDIR")
                 .filter(|_| passed.is_some())
-                .map(|dir| Path::new(&dir).join(MEETING)),
+                .map(|dir| Path::new(&dir).join(UPGRADE_SOCKET)),
             passed_socket: passed,
             seed: seed(&root)?,
             max_descriptors: sockets as usize,
--- a/src/config/worker_list.rs
+++ b/src/config/worker_list.rs
@@ -1,17 +1,17 @@
-//! The list of next hops in discovery's form, which the configuration holds a copy of.
+//! The list of workers in the JSON form of the discovery service. The platform's configuration may contain a copy.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A version of the list, or the changes since another.
+/// A complete version of the list, or the changes since the version that the reader has.
 #[derive(Serialize, Deserialize)]
 pub struct ListUpdate {
-    /// The version.
+    /// The number of the version.
     pub seq: u64,
-    /// It is the whole list.
+    /// Whether `hosts` is the complete list.
     #[serde(default)]
     pub whole: bool,
-    /// Its lines, not yet read.
+    /// One JSON object for each worker, not yet parsed.
     #[serde(default)]
     pub hosts: Vec<Value>,
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,19 +21,21 @@
         None => run_scheduler(&ServeArgs::default()),
         Some(Command::Serve(args)) => run_scheduler(&args),
         Some(Command::Control(args)) => run_control_machine(&args),
-        Some(Command::Check { operator }) => match Config::operator(&operator, Addresses::default()) {
-            Ok(config) => {
-                println!(
-                    "{} is valid: {} classes, {} functions, {} HTTP workers",
-                    operator.display(),
-                    config.names.classes().count(),
-                    config.gearman.map_or(0, |gearman| gearman.functions.len()),
-                    config.static_workers.len()
-                );
-                ExitCode::SUCCESS
+        Some(Command::Check { operator }) => {
+            match Config::from_operator_file(&operator, Addresses::default()) {
+                Ok(config) => {
+                    println!(
+                        "{} is valid: {} classes, {} functions, {} HTTP workers",
+                        operator.display(),
+                        config.names.classes().count(),
+                        config.gearman.map_or(0, |gearman| gearman.functions.len()),
+                        config.static_workers.len()
+                    );
+                    ExitCode::SUCCESS
+                }
+                Err(report) => report_invalid_configuration(&report),
             }
-            Err(report) => report_invalid_configuration(&report),
-        },
+        }
     }
 }
 
@@ -44,7 +46,7 @@
 
 fn run_scheduler(args: &ServeArgs) -> ExitCode {
     let config = match &args.operator {
-        Some(path) => match Config::operator(path, args.addresses()) {
+        Some(path) => match Config::from_operator_file(path, args.addresses()) {
             Ok(config) => config,
             Err(report) => return report_invalid_configuration(&report),
         },
@@ -72,7 +74,7 @@
 }
 
 fn run_control_machine(args: &ControlArgs) -> ExitCode {
-    let config = match ControlConfig::operator(&args.operator) {
+    let config = match ControlConfig::from_operator_file(&args.operator) {
         Ok(config) => config,
         Err(report) => return report_invalid_configuration(&report),
     };
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Faulty operator files, each told with its place, what is wrong and the mend; and the shipped one, which is sound.
+//! Operator files: each error is reported with its position, a message and help; the shipped files are valid.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -54,7 +54,7 @@
     wrong("900ms", "900", "3:14", "'aim' is \"900\"", "a time with its unit, from \"1ms\" to");
     wrong("\"900ms\"", "900", "3:14", "'aim' is 900", "a time with its unit");
     wrong("900ms", "900 parsecs", "3:14", "'aim' is", "a time with its unit");
-    wrong("20s", "1ms", "3:26", "'give-up' comes before 'aim'", "at least as long");
+    wrong("20s", "1ms", "3:26", "'give-up' is shorter than 'aim'", "at least as long");
     wrong(" aim=\"900ms\"", "", "3:1", "'class' has no 'aim'", "add aim=");
     wrong("aim=", "aims=", "3:14", "'class' has no setting 'aims'", "did you mean \"aim\"?");
     wrong("\"safe\"", "\"safely\"", "3:40", "'effect' is", "one of \"safe\", \"once\", \"keyed\"");
@@ -64,15 +64,9 @@
     wrong("class=\"look\"", "class=\"lok\"", "4:17", "there is no class \"lok\"", "did you mean \"look\"?");
     wrong("class=\"look\"", "class=\"look\" on-http=1", "4:30", "'on-http' is 1", "#true or #false");
     wrong("127.0.0.1:0\"\ng", "localhost\"\ng", "1:6", "'listen' is", "an address with a port");
-    wrong(
-        "gearman listen",
-        "german listen",
-        "2:1",
-        "nothing is called 'german'",
-        "did you mean \"gearman\"?",
-    );
-    wrong("http listen=\"127.0.0.1:0\"\n", "\n", "1:1", "there is no 'http'", "add: http listen=");
-    wrong("\"look\" aim", "\"look it\" aim", "3:1", "no name that can be used", "1 to 64 letters");
+    wrong("gearman listen", "german listen", "2:1", "unknown node 'german'", "did you mean \"gearman\"?");
+    wrong("http listen=\"127.0.0.1:0\"\n", "\n", "1:1", "the node 'http' is missing", "add: http listen=");
+    wrong("\"look\" aim", "\"look it\" aim", "3:1", "'class' has no valid name", "1 to 64 letters");
     wrong("0\"\nclass", "0\" workload=64\nclass", "2:30", "'workload' is 64", "a size with its unit");
     wrong("0\"\nclass", "0\" workload=\"64\"\nclass", "2:30", "'workload' is", "a size with its unit");
     wrong("0\"\nclass", "0\" workload=\"1GiB\"\nclass", "2:30", "'workload' is", "to \"64");
@@ -82,10 +76,10 @@
         "0\"\nlimits open-jobs=999\nclass",
         "3:8",
         "'open-jobs' is 999",
-        "keep it to a third",
+        "set it to at most a third of 'descriptors'",
     );
     wrong("0\"\nclass", "0\"\nlimits descriptors=10\nclass", "3:8", "'descriptors' is 10", "from 64 to");
-    wrong("0\"\nclass", "0\"\nlimits\nlimits\nclass", "4:1", "there are two 'limits'", "keep one");
+    wrong("0\"\nclass", "0\"\nlimits\nlimits\nclass", "4:1", "the node 'limits' appears twice", "keep one");
     wrong("0\"\nclass", "0\"\nhttp-worker \"a\"\nclass", "3:1", "no 'address'", "add address=");
     wrong(
         "function",
@@ -101,10 +95,10 @@
 fn all_faults_of_a_file_are_told_at_once_and_a_missing_file_too() {
     let (code, said) = told("http listen=\"x\"\nclass \"b\" aim=\"150\" give-up=\"1ms\" effect=\"none\"\n");
     assert_eq!(code, Some(2));
-    assert!(said.contains("3 of its settings cannot be used"), "{said}");
+    assert!(said.contains("errors found: 3"), "{said}");
     // Each is told once, though two parts of the program go by it.
     let (_, said) = told(&format!("{SOUND}limits descriptors=10\nworkers idle=5\nworkers\n"));
-    assert!(said.contains("3 of its settings cannot be used"), "{said}");
+    assert!(said.contains("errors found: 3"), "{said}");
     let output = check("/nowhere/at/all.kdl");
     assert!(String::from_utf8_lossy(&output.stderr).contains("/nowhere/at/all.kdl cannot be read"));
 }
@@ -172,8 +166,8 @@
     for (from, to, parts) in [
         ("id 1", "id 6", &["'id' is 6", "a whole number from 1 to 5"][..]),
         ("id 1", "", &["'control' has no 'id'", "add id="]),
-        ("127.0.0.1:7103\"", "here\"", &["'here' is no address"]),
-        ("127.0.0.1:7103\"", "127.0.0.1:7102\"", &["'127.0.0.1:7102' stands there twice"]),
+        ("127.0.0.1:7103\"", "here\"", &["'here' is not an address with a port"]),
+        ("127.0.0.1:7103\"", "127.0.0.1:7102\"", &["'127.0.0.1:7102' is listed twice"]),
         (
             "learners 400",
             "learner 400",
@@ -181,8 +175,12 @@
         ),
         ("store \"control-1\"", "", &["'control' has no 'store'"]),
         ("// settings \"settings.json\"", "settings \"nowhere.json\"", &["nowhere.json cannot be read"]),
-        ("name \"control-1\"", "http listen=\"127.0.0.1:1\"", &["a control machine has no 'http'"]),
-        ("control {", "controls {", &["there is no 'control'"]),
+        (
+            "name \"control-1\"",
+            "http listen=\"127.0.0.1:1\"",
+            &["a control machine's file cannot contain 'http'"],
+        ),
+        ("control {", "controls {", &["the node 'control' is missing"]),
     ] {
         assert!(shipped.contains(from), "{from}");
         let (code, said) = control_told(&shipped.replacen(from, to, 1));
