--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -275,7 +275,7 @@
 /// # Errors
 /// The key at fault, and what is wrong there.
 pub fn check(document: &Document) -> Result<SettingsUpdate, Fault> {
-    platform::settings_update(&from_document(document)?)
+    platform::parse_settings(&from_document(document)?)
 }
 
 #[cfg(test)]
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -47,7 +47,7 @@
 }
 
 fn settings_update(settings: &Value) -> SettingsUpdate {
-    platform::settings_update(settings).unwrap_or_else(|fault| panic!("{fault}"))
+    platform::parse_settings(settings).unwrap_or_else(|fault| panic!("{fault}"))
 }
 
 /// That the document of these settings stands for the same settings, and is the document of those.
@@ -211,7 +211,7 @@
         twice[list].as_array_mut().expect("it is a list").push(first);
         let document = to_document(&twice);
         assert!(document.contains_key(list), "{document:?}");
-        assert_eq!(platform::settings_update(&twice).expect_err("it is there twice").key, key);
+        assert_eq!(platform::parse_settings(&twice).expect_err("it is there twice").key, key);
     }
     let empty = check(&Document::new()).expect_err("nothing can be used");
     assert_eq!(empty.key, "request_classes");
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's form: a JSON file and variables that may stand in for some of its keys.
+//! Reads the platform's configuration: a JSON file, and environment variables that can replace some of its keys.
 
 use super::*;
 use calicolb::api::Effect;
@@ -7,10 +7,10 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The longest span that settings may name, in microseconds: ten years.
-const LONGEST: Micros = 10 * 365 * 24 * 3_600 * 1_000_000;
+/// The largest duration that a setting may have, in microseconds: ten years.
+const MAX_DURATION: Micros = 10 * 365 * 24 * 3_600 * 1_000_000;
 
-/// Which of a key and the variable in its place counts where both are there.
+/// Decides which value is used where both a key of the file and its environment variable are set.
 #[derive(Clone, Copy, PartialEq)]
 enum Precedence {
     Environment,
@@ -18,146 +18,168 @@
 }
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names, and the variables that may stand in for its keys.
+    /// Reads the file that `RELAY_CONFIG` names. Environment variables take precedence over the file's keys.
+    ///
+    /// # Errors
+    /// A message that names the invalid or missing key, or says why the file cannot be read.
     pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        // The environment comes first: it is what a person sets to try something.
+        // A variable is what a person sets to try something, so it overrides the file.
         Config::load_from(env, Precedence::Environment)
     }
 
-    /// Reads the file again. Now its keys come before the variables: these are from the start of the program
-    /// and cannot change, so that, were they first, a replaced file would be replaced in vain.
+    /// Reads the file again. The file's keys now take precedence over environment variables: the variables keep the values
+    /// from the program's start, so if they came first, a change of those keys in the file would have no effect.
+    ///
+    /// # Errors
+    /// A message that names the invalid or missing key, or says why the file cannot be read.
     pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         Config::load_from(env, Precedence::File)
     }
 
-    fn load_from(env: impl Fn(&str) -> Option<String>, first: Precedence) -> Result<Config, String> {
+    fn load_from(env: impl Fn(&str) -> Option<String>, precedence: Precedence) -> Result<Config, String> {
         let path = env("RELAY_CONFIG").ok_or("RELAY_CONFIG is not set")?;
         let text =
             std::fs::read_to_string(&path).map_err(|error| format!("RELAY_CONFIG: {path}: {error}"))?;
-        Config::read(&text, env, first)
+        Config::read(&text, env, precedence)
     }
 
-    fn read(text: &str, env: impl Fn(&str) -> Option<String>, first: Precedence) -> Result<Config, String> {
+    fn read(
+        text: &str,
+        env: impl Fn(&str) -> Option<String>,
+        precedence: Precedence,
+    ) -> Result<Config, String> {
         let json: Value = serde_json::from_str(text).map_err(|error| format!("RELAY_CONFIG: {error}"))?;
-        let root = Section { at: "", map: json.as_object().ok_or("RELAY_CONFIG: it is not a JSON object")? };
-        let told = |key: &str, variable: &str| {
-            let set = env(variable).map(|value| (variable.to_owned(), value));
-            let written = root.text(key)?.map(|value| (key.to_owned(), value.to_owned()));
-            Ok::<_, String>(if first == Precedence::Environment { set.or(written) } else { written.or(set) })
+        let root =
+            Section { prefix: "", map: json.as_object().ok_or("RELAY_CONFIG: it is not a JSON object")? };
+        let lookup = |key: &str, variable: &str| {
+            let from_env = env(variable).map(|value| (variable.to_owned(), value));
+            let from_file = root.text(key)?.map(|value| (key.to_owned(), value.to_owned()));
+            Ok::<_, String>(if precedence == Precedence::Environment {
+                from_env.or(from_file)
+            } else {
+                from_file.or(from_env)
+            })
         };
-        let needed = |key: &str, variable: &str| {
-            told(key, variable)?.ok_or_else(|| format!("'{key}' is missing, and so is {variable}"))
+        let required = |key: &str, variable: &str| {
+            lookup(key, variable)?.ok_or_else(|| format!("'{key}' is missing, and so is {variable}"))
         };
-        let place = |key: &str, variable: &str| {
-            let (from, value) = needed(key, variable)?;
-            address(&from, &value)
+        let required_address = |key: &str, variable: &str| {
+            let (source, value) = required(key, variable)?;
+            parse_address(&source, &value)
         };
-        let mgmt = told("mgmt", "RELAY_MGMT")?.map(|(from, value)| address(&from, &value)).transpose()?;
-        let passed = env("RELAY_PASSED_SOCKET").filter(|text| !text.is_empty());
-        let passed = passed.map(|text| descriptor("RELAY_PASSED_SOCKET", &text)).transpose()?;
+        let management = lookup("mgmt", "RELAY_MGMT")?
+            .map(|(source, value)| parse_address(&source, &value))
+            .transpose()?;
+        let passed_socket = env("RELAY_PASSED_SOCKET").filter(|text| !text.is_empty());
+        let passed_socket =
+            passed_socket.map(|text| parse_descriptor("RELAY_PASSED_SOCKET", &text)).transpose()?;
         let limits = root.section("limits")?;
         let settings = root.map.get("settings").ok_or("'settings' is missing")?;
-        let told_of =
-            settings_update(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.why))?;
-        let SettingsUpdate { settings: module, names, worker_idle_timeout, max_open_requests } = told_of;
-        let known = match root.map.get("known") {
+        let update =
+            parse_settings(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.why))?;
+        let SettingsUpdate { settings: parsed_settings, names, worker_idle_timeout, max_open_requests } =
+            update;
+        let known_workers = match root.map.get("known") {
             None | Some(Value::Null) => None,
             Some(value) => {
                 Some(serde_json::from_value(value.clone()).map_err(|error| format!("'known': {error}"))?)
             }
         };
-        let sockets = match &limits {
-            Some(limits) => limits.whole("sockets")?.unwrap_or(DEFAULT_DESCRIPTORS),
+        let max_descriptors = match &limits {
+            Some(limits) => limits.unsigned("sockets")?.unwrap_or(DEFAULT_DESCRIPTORS),
             None => DEFAULT_DESCRIPTORS,
         };
-        if sockets < MIN_DESCRIPTORS {
+        if max_descriptors < MIN_DESCRIPTORS {
             return Err(format!(
-                "'limits.sockets' is {sockets}: the program needs {MIN_DESCRIPTORS} at least"
+                "'limits.sockets' is {max_descriptors}: the program needs at least {MIN_DESCRIPTORS}"
             ));
         }
         Ok(Config {
-            name: told("name", "RELAY_NAME")?.map_or_else(|| "calicolb".to_owned(), |found| found.1),
-            listen: place("listen", "RELAY_LISTEN")?,
-            discovery: Some(place("discovery", "RELAY_DISCOVERY")?),
-            management: mgmt,
-            // A process that cannot share the clients' socket has nobody to meet.
+            name: lookup("name", "RELAY_NAME")?.map_or_else(|| "calicolb".to_owned(), |found| found.1),
+            listen: required_address("listen", "RELAY_LISTEN")?,
+            discovery: Some(required_address("discovery", "RELAY_DISCOVERY")?),
+            management,
+            // An upgrade needs the shared HTTP listener: without it there is no predecessor or successor to talk to.
             upgrade_socket: env("TMPDIR")
-                .filter(|_| passed.is_some())
-                .map(|dir| Path::new(&dir).join(UPGRADE_SOCKET)),
-            passed_socket: passed,
-            seed: seed(&root)?,
-            max_descriptors: sockets as usize,
-            peers: peers(&root, &module)?,
-            known_workers: known,
+                .filter(|_| passed_socket.is_some())
+                .map(|directory| Path::new(&directory).join(UPGRADE_SOCKET)),
+            passed_socket,
+            seed: parse_seed(&root)?,
+            max_descriptors: max_descriptors as usize,
+            peers: peer_config(&root, &parsed_settings)?,
+            known_workers,
             static_workers: Vec::new(),
             gearman: None,
             worker_idle_timeout,
             max_open_requests,
-            control: control(&root, settings)?,
-            settings: module,
+            control: learner_config(&root, settings)?,
+            settings: parsed_settings,
             names,
         })
     }
 }
 
-/// The settings, checked whole.
-pub(super) fn settings_update(settings: &Value) -> Result<SettingsUpdate, Fault> {
+/// Parses and validates the `settings` object.
+///
+/// # Errors
+/// The first invalid key and the reason.
+pub(super) fn parse_settings(settings: &Value) -> Result<SettingsUpdate, Fault> {
     let ceiling = |key: &str, default: u64| {
-        let at = format!("ceilings.{key}");
+        let path = format!("ceilings.{key}");
         let section = match settings.get("ceilings") {
-            Some(Value::Object(map)) => Section { at: "", map },
+            Some(Value::Object(map)) => Section { prefix: "", map },
             Some(_) => return Err(Fault::new("ceilings", "is not an object")),
             None => return Ok(default),
         };
-        let told = section.whole(key).map_err(|_| Fault::new(at, "is not a number from 0 on"))?;
-        Ok(told.unwrap_or(default))
+        let value = section.unsigned(key).map_err(|_| Fault::new(path, "is not a number of at least 0"))?;
+        Ok(value.unwrap_or(default))
     };
-    let (mut module, names) = wire::settings_of(settings)?;
-    if module.classes.is_empty() {
+    let (mut parsed, names) = wire::settings_of(settings)?;
+    if parsed.classes.is_empty() {
         return Err(Fault::new("request_classes", "is missing or empty"));
     }
-    sound(&module, &names)?;
-    // `retry_after` says what the simulator's clients are given. SchedulerRules a refusal is an HTTP answer, which
-    // may carry Retry-After whatever that says: the module is told that its advice gets through.
-    module.limits.retry_advice = true;
+    check_values(&parsed, &names)?;
+    // The key `retry_after` only applies to the simulator's clients. Here a rejection is an HTTP response, which can always
+    // carry Retry-After, so the decision module may always give retry advice.
+    parsed.limits.retry_advice = true;
     let worker_idle_timeout = ceiling("conn_idle_us", DEFAULT_WORKER_IDLE_TIMEOUT)?;
-    within("ceilings.conn_idle_us", worker_idle_timeout)?;
+    check_duration("ceilings.conn_idle_us", worker_idle_timeout)?;
     let max_open_requests = ceiling("max_open", DEFAULT_MAX_OPEN_REQUESTS)? as usize;
-    Ok(SettingsUpdate { settings: module, names, worker_idle_timeout, max_open_requests })
+    Ok(SettingsUpdate { settings: parsed, names, worker_idle_timeout, max_open_requests })
 }
 
-/// That a span can be added to any time.
-fn within(key: &str, span: Micros) -> Result<(), Fault> {
-    if span > LONGEST {
-        return Err(Fault::new(key, format!("is {span}: {LONGEST} microseconds are the most")));
+/// Checks that a duration is small enough to be added to any point in time without overflow.
+fn check_duration(key: &str, duration: Micros) -> Result<(), Fault> {
+    if duration > MAX_DURATION {
+        return Err(Fault::new(key, format!("is {duration}: the maximum is {MAX_DURATION} microseconds")));
     }
     Ok(())
 }
 
-/// That no figure is beyond what can be reckoned with, and each name is there once.
-fn sound(settings: &Settings, names: &Names) -> Result<(), Fault> {
-    let least = |key: String, figure: f64| {
-        if figure >= 0.0 { Ok(()) } else { Err(Fault::new(key, format!("is {figure}: 0 is the least"))) }
+/// Checks that all durations and figures are in their ranges and that no name of a class or tenant occurs twice.
+fn check_values(settings: &Settings, names: &Names) -> Result<(), Fault> {
+    let not_negative = |key: String, value: f64| {
+        if value >= 0.0 { Ok(()) } else { Err(Fault::new(key, format!("is {value}: the minimum is 0"))) }
     };
-    once("request_classes", names.classes())?;
-    once("orgs", names.tenants())?;
+    check_unique("request_classes", names.classes())?;
+    check_unique("orgs", names.tenants())?;
     for (name, class) in names.classes().zip(&settings.classes) {
-        let at = |field: &str| format!("request_classes.{name}.{field}");
-        within(&at("aim_us"), class.aim)?;
-        within(&at("deadline_us"), class.deadline)?;
+        let path = |field: &str| format!("request_classes.{name}.{field}");
+        check_duration(&path("aim_us"), class.aim)?;
+        check_duration(&path("deadline_us"), class.deadline)?;
         if let Effect::Keyed { span, .. } = class.effect {
-            within(&at("memory_span_us"), span)?;
+            check_duration(&path("memory_span_us"), span)?;
         }
-        least(at("worth"), class.worth)?;
-        least(at("late_worth"), class.late_worth)?;
+        not_negative(path("worth"), class.worth)?;
+        not_negative(path("late_worth"), class.late_worth)?;
     }
     for (name, tenant) in names.tenants().zip(&settings.tenants) {
-        least(format!("orgs.{name}.quota_rps"), tenant.quota_per_s)?;
-        least(format!("orgs.{name}.share"), tenant.share)?;
+        not_negative(format!("orgs.{name}.quota_rps"), tenant.quota_per_s)?;
+        not_negative(format!("orgs.{name}.share"), tenant.share)?;
     }
-    least("over_share_worth".to_owned(), settings.over_share_worth)?;
+    not_negative("over_share_worth".to_owned(), settings.over_share_worth)?;
     let (limits, rules) = (&settings.limits, &settings.rules);
-    for (key, span) in [
+    for (key, duration) in [
         ("ceilings.connect_timeout_us", limits.connect_timeout),
         ("ceilings.max_retry_after_us", limits.retry_advice_max),
         ("rules.answer_slack_us", rules.answer_slack),
@@ -167,73 +189,75 @@
         ("rules.ask_every_us", rules.ask_every),
         ("tick_us", settings.tick),
     ] {
-        within(key, span)?;
+        check_duration(key, duration)?;
     }
-    least("rules.start_capacity".to_owned(), rules.start_capacity)?;
-    least("rules.fall_multiple".to_owned(), rules.fall_multiple)
+    not_negative("rules.start_capacity".to_owned(), rules.start_capacity)?;
+    not_negative("rules.fall_multiple".to_owned(), rules.fall_multiple)
 }
 
-fn once<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), Fault> {
+/// Checks that names are not empty and that none occurs twice.
+fn check_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), Fault> {
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() {
-            return Err(Fault::new(list, "has one without a name"));
+            return Err(Fault::new(list, "contains an entry without a name"));
         }
         if !seen.insert(name) {
-            return Err(Fault::new(format!("{list}.{name}"), "is there twice"));
+            return Err(Fault::new(format!("{list}.{name}"), "appears twice"));
         }
     }
     Ok(())
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, String> {
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| format!("'{key}': '{text}' is not an address with a port"))
 }
 
-fn descriptor(key: &str, text: &str) -> Result<i32, String> {
+fn parse_descriptor(key: &str, text: &str) -> Result<i32, String> {
     let number = text.trim().parse().ok().filter(|number| *number > 2);
-    number.ok_or_else(|| format!("'{key}': '{text}' is not the number of a descriptor from 3 on"))
+    number.ok_or_else(|| format!("'{key}': '{text}' is not a descriptor number of at least 3"))
 }
 
-/// The least silence that can be told from a pause between two lines of a watch.
-const LEAST_SILENCE_MS: u64 = 3_000;
+/// The smallest value of `control_silence_ms`, in milliseconds. A shorter one could not be told from the normal pause
+/// between two lines of a watch.
+const MIN_SILENCE_MS: u64 = 3_000;
 const DEFAULT_SILENCE_MS: u64 = 5_000;
-const MOST_SILENCE_MS: u64 = 3_600_000;
+const MAX_SILENCE_MS: u64 = 3_600_000;
 
-fn control(root: &Section<'_>, settings: &Value) -> Result<Option<LearnerConfig>, String> {
-    let silence = root.whole("control_silence_ms")?.unwrap_or(DEFAULT_SILENCE_MS);
-    if !(LEAST_SILENCE_MS..=MOST_SILENCE_MS).contains(&silence) {
+fn learner_config(root: &Section<'_>, settings: &Value) -> Result<Option<LearnerConfig>, String> {
+    let silence_ms = root.unsigned("control_silence_ms")?.unwrap_or(DEFAULT_SILENCE_MS);
+    if !(MIN_SILENCE_MS..=MAX_SILENCE_MS).contains(&silence_ms) {
         return Err(format!(
-            "'control_silence_ms' is {silence}: it must be from {LEAST_SILENCE_MS} to {MOST_SILENCE_MS}"
+            "'control_silence_ms' is {silence_ms}: it must be from {MIN_SILENCE_MS} to {MAX_SILENCE_MS}"
         ));
     }
-    let machines = addresses(root, "control")?;
+    let machines = parse_addresses(root, "control")?;
     let Some(machines) = machines.filter(|machines| !machines.is_empty()) else { return Ok(None) };
     let settings = document::to_document(settings);
-    let own = agreed::local_settings(&settings);
+    let local_settings = agreed::local_settings(&settings);
     Ok(Some(LearnerConfig {
         machines,
-        max_silence: silence * 1_000,
-        local_settings: own,
+        max_silence: silence_ms * 1_000,
+        local_settings,
         initial_settings: agreed::shared_settings(settings),
     }))
 }
 
-/// A list of addresses, if there is one of this key.
-fn addresses(root: &Section<'_>, key: &str) -> Result<Option<Vec<SocketAddr>>, String> {
+/// Parses the list of addresses under `key`; `None` if the key is missing or null.
+fn parse_addresses(root: &Section<'_>, key: &str) -> Result<Option<Vec<SocketAddr>>, String> {
     let list = match root.map.get(key) {
         None | Some(Value::Null) => return Ok(None),
         Some(Value::Array(list)) => list,
         Some(_) => return Err(format!("'{key}' is not a list")),
     };
-    let each = list.iter().enumerate().map(|(nr, value)| {
-        let key = format!("{key}[{nr}]");
-        address(&key, value.as_str().ok_or_else(|| format!("'{key}' is not text"))?)
+    let addresses = list.iter().enumerate().map(|(index, value)| {
+        let key = format!("{key}[{index}]");
+        parse_address(&key, value.as_str().ok_or_else(|| format!("'{key}' is not text"))?)
     });
-    each.collect::<Result<_, String>>().map(Some)
+    addresses.collect::<Result<_, String>>().map(Some)
 }
 
-fn seed(root: &Section<'_>) -> Result<u64, String> {
+fn parse_seed(root: &Section<'_>) -> Result<u64, String> {
     match root.map.get("seed") {
         None => Ok(0),
         Some(Value::Number(number)) if number.is_u64() => Ok(number.as_u64().unwrap_or(0)),
@@ -243,16 +267,17 @@
     }
 }
 
-fn peers(root: &Section<'_>, settings: &Settings) -> Result<Option<PeerConfig>, String> {
+fn peer_config(root: &Section<'_>, settings: &Settings) -> Result<Option<PeerConfig>, String> {
     let Some(listen) = root.text("peer_listen")?.filter(|_| settings.limits.peers) else { return Ok(None) };
-    let each = addresses(root, "peers")?.unwrap_or_default();
-    let all = root.text("peers_all")?.map(|text| address("peers_all", text)).transpose()?;
-    Ok(Some(PeerConfig { listen: address("peer_listen", listen)?, by_rank: each, broadcast: all }))
+    let by_rank = parse_addresses(root, "peers")?.unwrap_or_default();
+    let broadcast = root.text("peers_all")?.map(|text| parse_address("peers_all", text)).transpose()?;
+    Ok(Some(PeerConfig { listen: parse_address("peer_listen", listen)?, by_rank, broadcast }))
 }
 
-/// An object of the configuration, and where it stands.
+/// A JSON object of the configuration.
 struct Section<'a> {
-    at: &'a str,
+    /// The prefix of the object's keys in error messages.
+    prefix: &'a str,
     map: &'a Map<String, Value>,
 }
 
@@ -261,19 +286,20 @@
         match self.map.get(key) {
             None => Ok(None),
             Some(Value::String(text)) => Ok(Some(text)),
-            Some(other) => Err(format!("'{}{key}': {other} is not text", self.at)),
+            Some(other) => Err(format!("'{}{key}': {other} is not text", self.prefix)),
         }
     }
 
-    fn whole(&self, key: &str) -> Result<Option<u64>, String> {
+    fn unsigned(&self, key: &str) -> Result<Option<u64>, String> {
         match self.map.get(key) {
             None => Ok(None),
             Some(value) => {
-                let number =
-                    value.as_u64().or_else(|| value.as_f64().filter(|n| *n >= 0.0).map(|n| n as u64));
+                let number = value
+                    .as_u64()
+                    .or_else(|| value.as_f64().filter(|number| *number >= 0.0).map(|number| number as u64));
                 number
                     .map(Some)
-                    .ok_or_else(|| format!("'{}{key}': {value} is not a number from 0 on", self.at))
+                    .ok_or_else(|| format!("'{}{key}': {value} is not a number of at least 0", self.prefix))
             }
         }
     }
@@ -281,8 +307,8 @@
     fn section(&self, key: &'a str) -> Result<Option<Section<'a>>, String> {
         match self.map.get(key) {
             None => Ok(None),
-            Some(Value::Object(map)) => Ok(Some(Section { at: "limits.", map })),
-            Some(_) => Err(format!("'{}{key}' is not an object", self.at)),
+            Some(Value::Object(map)) => Ok(Some(Section { prefix: "limits.", map })),
+            Some(_) => Err(format!("'{}{key}' is not an object", self.prefix)),
         }
     }
 }
@@ -292,7 +318,7 @@
     use super::*;
     use std::path::PathBuf;
 
-    const SOUND: &str = r#"{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500",
+    const VALID: &str = r#"{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500",
         "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":900},
         "peer_listen":"127.0.0.1:7946","peers":["127.0.0.3:7946"],"peers_all":"127.0.0.4:7946",
         "settings":{"ceilings":{"peers":true,"max_open":50,"retry_after":false},
@@ -302,16 +328,17 @@
         Config::read(text, |_| None, Precedence::Environment)
     }
 
-    /// Checks the message on a sound file in which one thing is changed.
-    fn wrong(from: &str, to: &str, told: &str) {
-        assert!(SOUND.contains(from));
-        let message = read(&SOUND.replace(from, to)).err().unwrap_or_else(|| panic!("{to} was taken"));
-        assert!(message.contains(told), "'{message}' does not tell of {told}");
+    /// Asserts that replacing `from` with `to` in the valid file makes it invalid, with an error message that contains
+    /// `expected`.
+    fn assert_error(from: &str, to: &str, expected: &str) {
+        assert!(VALID.contains(from));
+        let message = read(&VALID.replace(from, to)).err().unwrap_or_else(|| panic!("{to} was accepted"));
+        assert!(message.contains(expected), "'{message}' does not contain {expected}");
     }
 
     #[test]
-    fn a_sound_file_is_read_and_the_rest_has_defaults() {
-        let config = read(SOUND).expect("it is sound");
+    fn valid_file_is_read_and_missing_keys_get_defaults() {
+        let config = read(VALID).expect("the file is valid");
         assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
         assert_eq!(
             (config.max_descriptors, config.max_open_requests, config.worker_idle_timeout),
@@ -319,57 +346,59 @@
         );
         assert_eq!(config.peers.map(|peers| peers.by_rank.len()), Some(1));
         assert!(config.known_workers.is_none());
-        // Clients of this wire are always told when to come back.
+        // HTTP clients always get retry advice, also with `retry_after` set to false.
         assert!(config.settings.limits.retry_advice);
     }
 
     #[test]
-    fn the_environment_comes_first_at_the_start_and_last_after_it() {
+    fn environment_overrides_file_at_start_and_file_overrides_environment_on_reload() {
         let env = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
-        let listen =
-            |text: &str, first| Config::read(text, env, first).expect("it is sound").listen.to_string();
-        assert_eq!(listen(SOUND, Precedence::Environment), "127.0.0.9:1");
-        assert_eq!(listen(SOUND, Precedence::File), "127.0.0.1:8443");
-        assert_eq!(listen(&SOUND.replace("\"listen\"", "\"l\""), Precedence::File), "127.0.0.9:1");
+        let listen = |text: &str, precedence| {
+            Config::read(text, env, precedence).expect("the file is valid").listen.to_string()
+        };
+        assert_eq!(listen(VALID, Precedence::Environment), "127.0.0.9:1");
+        assert_eq!(listen(VALID, Precedence::File), "127.0.0.1:8443");
+        assert_eq!(listen(&VALID.replace("\"listen\"", "\"l\""), Precedence::File), "127.0.0.9:1");
     }
 
     #[test]
-    fn two_processes_meet_only_where_a_socket_is_passed() {
-        let given = |name: &str, passed: &str| match name {
+    fn upgrade_socket_is_set_only_when_a_listener_is_passed() {
+        let variable = |name: &str, passed: &str| match name {
             "TMPDIR" => Some("/t".to_owned()),
             "RELAY_PASSED_SOCKET" => Some(passed.to_owned()),
             _ => None,
         };
-        let read = |passed: &'static str| Config::read(SOUND, |name| given(name, passed), Precedence::File);
-        let config = read("3").expect("it is sound");
+        let read =
+            |passed: &'static str| Config::read(VALID, |name| variable(name, passed), Precedence::File);
+        let config = read("3").expect("the file is valid");
         assert_eq!(
             (config.passed_socket, config.upgrade_socket),
             (Some(3), Some(PathBuf::from("/t/calicolb.sock")))
         );
-        let config = read("").expect("it is sound");
+        let config = read("").expect("the file is valid");
         assert_eq!((config.passed_socket, config.upgrade_socket), (None, None));
-        for faulty in ["three", "-1", "1"] {
-            assert!(read(faulty).err().is_some_and(|message| message.contains("RELAY_PASSED_SOCKET")));
+        for invalid in ["three", "-1", "1"] {
+            assert!(read(invalid).err().is_some_and(|message| message.contains("RELAY_PASSED_SOCKET")));
         }
     }
 
     #[test]
-    fn messages_name_the_key_at_fault() {
-        wrong("127.0.0.1:8443", "localhost", "'listen'");
-        wrong("\"limits\":", "\"mgmt\":\"door\",\"limits\":", "'mgmt'");
-        wrong("discovery", "discover", "'discovery' is missing, and so is RELAY_DISCOVERY");
-        wrong("8c1f30d27a5be964", "seedling", "'seed'");
-        wrong("900", "\"many\"", "'limits.sockets'");
-        wrong("900", "3", "'limits.sockets'");
-        wrong("[\"127.0.0.3:7946\"]", "[7]", "'peers[0]'");
-        wrong("127.0.0.4:7946", "all", "'peers_all'");
-        wrong("\"limits\":", "\"control\":[\"here\"],\"limits\":", "'control[0]'");
-        wrong("\"limits\":", "\"control\":\"127.0.0.1:1\",\"limits\":", "'control'");
-        wrong("\"limits\":", "\"control_silence_ms\":2999,\"limits\":", "'control_silence_ms'");
-        wrong("_open\":50", "_open\":\"50\"", "'settings.ceilings.max_open'");
-        wrong("read_like", "odd", "'settings.request_classes.look.effect'");
-        wrong("\"limits\":", "\"known\":7,\"limits\":", "'known'");
-        wrong("\"request_classes\"", "\"classes\"", "'settings.request_classes'");
+    fn error_messages_name_the_invalid_key() {
+        assert_error("127.0.0.1:8443", "localhost", "'listen'");
+        assert_error("\"limits\":", "\"mgmt\":\"door\",\"limits\":", "'mgmt'");
+        assert_error("discovery", "discover", "'discovery' is missing, and so is RELAY_DISCOVERY");
+        assert_error("8c1f30d27a5be964", "seedling", "'seed'");
+        assert_error("900", "\"many\"", "'limits.sockets'");
+        assert_error("900", "3", "'limits.sockets'");
+        assert_error("[\"127.0.0.3:7946\"]", "[7]", "'peers[0]'");
+        assert_error("127.0.0.4:7946", "all", "'peers_all'");
+        assert_error("\"limits\":", "\"control\":[\"here\"],\"limits\":", "'control[0]'");
+        assert_error("\"limits\":", "\"control\":\"127.0.0.1:1\",\"limits\":", "'control'");
+        assert_error("\"limits\":", "\"control_silence_ms\":2999,\"limits\":", "'control_silence_ms'");
+        assert_error("_open\":50", "_open\":\"50\"", "'settings.ceilings.max_open'");
+        assert_error("read_like", "odd", "'settings.request_classes.look.effect'");
+        assert_error("\"limits\":", "\"known\":7,\"limits\":", "'known'");
+        assert_error("\"request_classes\"", "\"classes\"", "'settings.request_classes'");
         assert!(Config::load(|_| None).err().is_some_and(|message| message.contains("RELAY_CONFIG")));
     }
 }
