--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -63,7 +63,7 @@
 
 impl Rules for SchedulerRules {
     fn tighter(&self, key: &str) -> Tighter {
-        match document::tighter(key) {
+        match document::tightening_direction(key) {
             Direction::Less => Tighter::Less,
             Direction::Greater => Tighter::Greater,
             Direction::Unknown => Tighter::Unknown,
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,60 +1,60 @@
-//! The settings as a flat document: an ordered map from keys in dots to values, so that a change names just what it
-//! changes.
+//! The settings as a flat document: an ordered map from dotted keys to values, so that a change names exactly the keys that
+//! it changes.
 //!
 //! | in the settings | in the document |
 //! | --- | --- |
 //! | `{"ceilings": {"most_tries": 4}}` | `ceilings.most_tries` |
-//! | `request_classes` and `orgs`, lists of things with a name | `request_classes.look.aim_us`: by name, the list's order is lost; `orgs.acme` with `{}` where nothing but the name is told |
-//! | `extra.class_kind`, `.class_priority`, `.class_stretch`, lists by class | `extra.class_kind.look` |
+//! | `request_classes` and `orgs`, lists of entries with a name | `request_classes.look.aim_us`: by name, so the order of the list is lost; `orgs.acme` with the value `{}` for an entry that has only a name |
+//! | `extra.class_kind`, `.class_priority`, `.class_stretch`, lists with a value per class | `extra.class_kind.look` |
 //! | any other list | one value |
-//! | an object with a key that is empty or has a dot in it | one value |
+//! | an object with a key that is empty or contains a dot | one value |
 //!
-//! A name may have dots in it, a field may not.
+//! The name of an entry may contain dots, the key of a field may not.
 
-#![allow(dead_code, reason = "the control role asks for what SIGHUP does not")]
+#![allow(dead_code, reason = "some functions are only used by the control role, not by SIGHUP")]
 
 use super::platform;
 use super::{Fault, SettingsUpdate};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Settings by keys in dots.
+/// Settings by dotted key.
 pub type Document = BTreeMap<String, Value>;
 
-/// The longest key, in bytes.
-const LONGEST_KEY: usize = 256;
-/// Parts of a key at most.
-const MOST_PARTS: usize = 8;
-/// Keys of a document at most.
-const MOST_KEYS: usize = 65_536;
-/// Lists of things that have a name.
-const NAMED: [&str; 2] = [CLASSES, "orgs"];
+/// The maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// The maximum number of parts of a key.
+const MAX_KEY_PARTS: usize = 8;
+/// The maximum number of keys of a document.
+const MAX_KEYS: usize = 65_536;
+/// Keys of the lists whose entries have a name.
+const NAMED_LISTS: [&str; 2] = [CLASSES, "orgs"];
 const CLASSES: &str = "request_classes";
-/// Lists that have a value for each class, and what stands for one that is not told.
-const BY_CLASS: [(&str, i64); 3] = [("class_kind", -1), ("class_priority", 0), ("class_stretch", 0)];
+/// Keys in `extra` of the lists with a value per class, and the value that stands for a class without one.
+const PER_CLASS_LISTS: [(&str, i64); 3] = [("class_kind", -1), ("class_priority", 0), ("class_stretch", 0)];
 const EXTRA: &str = "extra";
 
-/// Which change of a key's value tightens: lets less be done.
+/// The direction in which a change of a key's value tightens the settings, that is, permits less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// A smaller value, or `false` in the place of `true`.
     Less,
     /// A greater value.
     Greater,
-    /// Not to be told from the value alone.
+    /// Cannot be decided from the values of the key alone.
     Unknown,
 }
 
-/// What is to be done to one document to make it another.
+/// The difference between two documents.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// Keys that are new or have another value.
+    /// Keys that are new or have a different value.
     pub set: Document,
-    /// Keys that are there no longer.
+    /// Keys that have been removed.
     pub unset: BTreeSet<String>,
 }
 
-/// What makes `old` into `new`.
+/// The changes that turn `old` into `new`.
 pub fn diff(old: &Document, new: &Document) -> Diff {
     let changed = new.iter().filter(|(key, value)| old.get(*key) != Some(*value));
     Diff {
@@ -63,12 +63,12 @@
     }
 }
 
-/// Which change of this key tightens. A key that is set for the first time, or unset, is neither: only two values of it
-/// can be compared.
-pub fn tighter(key: &str) -> Direction {
+/// The direction in which a change of this key tightens the settings. It only applies to a change from one value to
+/// another: a key that is set for the first time or removed is neither tightened nor loosened.
+pub fn tightening_direction(key: &str) -> Direction {
     use Direction::{Greater, Less, Unknown};
     let field = key.rsplit_once('.').map_or(key, |(_, field)| field);
-    let by_name = NAMED.iter().any(|list| in_list(key, list).is_some());
+    let in_named_list = NAMED_LISTS.iter().any(|list| strip_group(key, list).is_some());
     match key {
         "over_share_worth" => Less,
         "ceilings.most_tries" | "ceilings.may_duplicate" | "ceilings.max_open" | "ceilings.probes" => Less,
@@ -76,38 +76,38 @@
             Less
         }
         "rules.cold_us" | "rules.fall_us" => Greater,
-        _ if by_name && matches!(field, "quota_rps" | "deadline_us" | "memory_span_us") => Less,
+        _ if in_named_list && matches!(field, "quota_rps" | "deadline_us" | "memory_span_us") => Less,
         _ => Unknown,
     }
 }
 
-/// The settings as a document. What is no object has no keys.
+/// Converts settings to a document. A value that is not an object gives an empty document.
 pub fn to_document(settings: &Value) -> Document {
     let mut document = Document::new();
     let Some(root) = settings.as_object() else { return document };
-    let classes = root.get(CLASSES).and_then(names_of);
+    let classes = root.get(CLASSES).and_then(unique_names);
     for (key, value) in root {
         match value {
-            Value::Array(list) if NAMED.contains(&key.as_str()) && names_of(value).is_some() => {
-                for thing in list {
-                    name_out(key, thing, &mut document);
+            Value::Array(list) if NAMED_LISTS.contains(&key.as_str()) && unique_names(value).is_some() => {
+                for entry in list {
+                    flatten_named_entry(key, entry, &mut document);
                 }
             }
-            Value::Object(extra) if key == EXTRA && clean(extra) => {
+            Value::Object(extra) if key == EXTRA && has_plain_keys(extra) => {
                 for (key, value) in extra {
-                    let list = value.as_array().filter(|_| is_by_class(key));
+                    let list = value.as_array().filter(|_| is_per_class(key));
                     match (list, &classes) {
                         (Some(list), Some(classes)) => {
-                            let each = classes.iter().zip(list);
+                            let values = classes.iter().zip(list);
                             document.extend(
-                                each.map(|(name, value)| (format!("{EXTRA}.{key}.{name}"), value.clone())),
+                                values.map(|(name, value)| (format!("{EXTRA}.{key}.{name}"), value.clone())),
                             );
                         }
                         _ => flatten(format!("{EXTRA}.{key}"), value, 2, &mut document),
                     }
                 }
             }
-            _ if NAMED.contains(&key.as_str()) || key == EXTRA => {
+            _ if NAMED_LISTS.contains(&key.as_str()) || key == EXTRA => {
                 document.insert(key.clone(), value.clone());
             }
             _ => flatten(key.clone(), value, 1, &mut document),
@@ -116,164 +116,181 @@
     document
 }
 
-/// The names of a list of things that all have one, each another.
-fn names_of(list: &Value) -> Option<Vec<&str>> {
+/// The names of the entries of a list, in its order; `None` unless all entries are objects with plain keys, no nested
+/// objects, and a name of their own.
+fn unique_names(list: &Value) -> Option<Vec<&str>> {
     let mut seen = BTreeSet::new();
-    let each = list.as_array()?.iter().map(|thing| {
-        let fields = thing.as_object().filter(|fields| clean(fields))?;
+    let names = list.as_array()?.iter().map(|entry| {
+        let fields = entry.as_object().filter(|fields| has_plain_keys(fields))?;
         let name = fields.get("name")?.as_str().filter(|name| !name.is_empty())?;
-        let plain = fields.values().all(|value| !value.is_object());
-        (plain && seen.insert(name)).then_some(name)
+        let is_flat = fields.values().all(|value| !value.is_object());
+        (is_flat && seen.insert(name)).then_some(name)
     });
-    each.collect()
+    names.collect()
 }
 
-/// An object whose keys can be parts of keys in dots.
-fn clean(object: &Map<String, Value>) -> bool {
+/// Whether all keys of an object can be parts of a dotted key: not empty and without a dot.
+fn has_plain_keys(object: &Map<String, Value>) -> bool {
     object.keys().all(|key| !key.is_empty() && !key.contains('.'))
 }
 
-fn is_by_class(key: &str) -> bool {
-    BY_CLASS.iter().any(|(list, _)| *list == key)
+fn is_per_class(key: &str) -> bool {
+    PER_CLASS_LISTS.iter().any(|(list, _)| *list == key)
 }
 
-fn name_out(list: &str, thing: &Value, document: &mut Document) {
+/// Adds an entry of a named list to the document, one key per field.
+fn flatten_named_entry(list: &str, entry: &Value, document: &mut Document) {
     let Some((fields, name)) =
-        thing.as_object().and_then(|fields| Some((fields, fields.get("name")?.as_str()?)))
+        entry.as_object().and_then(|fields| Some((fields, fields.get("name")?.as_str()?)))
     else {
         return;
     };
-    let told = fields.iter().filter(|(key, _)| *key != "name");
-    document.extend(told.map(|(key, value)| (format!("{list}.{name}.{key}"), value.clone())));
+    let other_fields = fields.iter().filter(|(key, _)| *key != "name");
+    document.extend(other_fields.map(|(key, value)| (format!("{list}.{name}.{key}"), value.clone())));
     if fields.len() == 1 {
         document.insert(format!("{list}.{name}"), Value::Object(Map::new()));
     }
 }
 
-fn flatten(at: String, value: &Value, parts: usize, document: &mut Document) {
+/// Adds the value at a key to the document, objects with plain keys as one key per field. `parts` is the number of parts of
+/// the key.
+fn flatten(key: String, value: &Value, parts: usize, document: &mut Document) {
     match value {
-        Value::Object(fields) if !fields.is_empty() && clean(fields) && parts < MOST_PARTS => {
-            for (key, value) in fields {
-                flatten(format!("{at}.{key}"), value, parts + 1, document);
+        Value::Object(fields) if !fields.is_empty() && has_plain_keys(fields) && parts < MAX_KEY_PARTS => {
+            for (field, value) in fields {
+                flatten(format!("{key}.{field}"), value, parts + 1, document);
             }
         }
         _ => {
-            document.insert(at, value.clone());
+            document.insert(key, value.clone());
         }
     }
 }
 
-/// What follows the list's name and a dot in a key.
-fn in_list<'a>(key: &'a str, list: &str) -> Option<&'a str> {
-    key.strip_prefix(list)?.strip_prefix('.')
+/// The rest of a key after the name of its group and a dot; `None` if the key is not in this group.
+fn strip_group<'a>(key: &'a str, group: &str) -> Option<&'a str> {
+    key.strip_prefix(group)?.strip_prefix('.')
 }
 
-/// The settings that a document stands for; lists of named things by their names.
+/// Converts a document back to settings. The entries of named lists are sorted by name.
 ///
 /// # Errors
-/// The key that has no place in settings.
+/// The first key that cannot be part of settings, and the reason.
 pub fn from_document(document: &Document) -> Result<Value, Fault> {
-    if document.len() > MOST_KEYS {
-        return Err(Fault::new("", format!("has {} keys: {MOST_KEYS} are the most", document.len())));
+    if document.len() > MAX_KEYS {
+        return Err(Fault::new("", format!("has {} keys: the maximum is {MAX_KEYS}", document.len())));
     }
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
-    let mut by_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
+    let mut per_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
     for (key, value) in document {
-        if key.len() > LONGEST_KEY {
-            return Err(Fault::new(key.clone(), format!("is longer than {LONGEST_KEY} bytes")));
+        if key.len() > MAX_KEY_BYTES {
+            return Err(Fault::new(key.clone(), format!("is longer than {MAX_KEY_BYTES} bytes")));
         }
-        let list = NAMED.iter().find_map(|list| Some((*list, in_list(key, list)?)));
-        let extra =
-            in_list(key, EXTRA).and_then(|rest| rest.split_once('.')).filter(|(list, _)| is_by_class(list));
-        if let Some((list, rest)) = list {
-            whole(document, key, list)?;
-            let things = named.entry(list).or_default();
+        let named_list = NAMED_LISTS.iter().find_map(|list| Some((*list, strip_group(key, list)?)));
+        let per_class_value = strip_group(key, EXTRA)
+            .and_then(|rest| rest.split_once('.'))
+            .filter(|(list, _)| is_per_class(list));
+        if let Some((list, rest)) = named_list {
+            check_group_has_no_value(document, key, list)?;
+            let entries = named.entry(list).or_default();
             let (name, field) = match rest.rsplit_once('.') {
                 _ if value.as_object().is_some_and(Map::is_empty) => (rest, None),
                 Some((name, field)) if !name.is_empty() && !field.is_empty() && field != "name" => {
                     (name, Some(field))
                 }
-                _ => return Err(Fault::new(key.clone(), "names no field of something with a name")),
+                _ => return Err(Fault::new(key.clone(), "is not of the form list.name.field")),
             };
             if name.is_empty() {
-                return Err(Fault::new(key.clone(), "has no name in it"));
+                return Err(Fault::new(key.clone(), "has an empty entry name"));
             }
-            let fields = things.entry(name).or_default();
+            let fields = entries.entry(name).or_default();
             if let Some(field) = field {
                 fields.insert(field.to_owned(), value.clone());
             }
-        } else if let Some((list, name)) = extra {
-            whole(document, key, EXTRA)?;
-            whole(document, key, &format!("{EXTRA}.{list}"))?;
-            by_class.entry(list).or_default().insert(name, value);
+        } else if let Some((list, name)) = per_class_value {
+            check_group_has_no_value(document, key, EXTRA)?;
+            check_group_has_no_value(document, key, &format!("{EXTRA}.{list}"))?;
+            per_class.entry(list).or_default().insert(name, value);
         } else {
-            put(document, key, value, &mut root)?;
+            insert_nested(document, key, value, &mut root)?;
         }
     }
-    for (list, values) in by_class {
-        let known = named.get(CLASSES);
-        let classes: Vec<&str> = known.into_iter().flatten().map(|(name, _)| *name).collect();
+    for (list, values) in per_class {
+        let class_entries = named.get(CLASSES);
+        let classes: Vec<&str> = class_entries.into_iter().flatten().map(|(name, _)| *name).collect();
         if let Some(name) = values.keys().find(|name| !classes.contains(name)) {
-            return Err(Fault::new(format!("{EXTRA}.{list}.{name}"), "is of a class that there is not"));
+            return Err(Fault::new(
+                format!("{EXTRA}.{list}.{name}"),
+                "belongs to a class that does not exist",
+            ));
         }
-        let none = BY_CLASS.iter().find(|(other, _)| *other == list).map_or(0, |(_, none)| *none);
-        let told = classes.iter().rposition(|name| values.contains_key(name)).map_or(0, |last| last + 1);
-        let each = classes[..told].iter().map(|name| match values.get(name) {
+        let default =
+            PER_CLASS_LISTS.iter().find(|(other, _)| *other == list).map_or(0, |(_, default)| *default);
+        let length = classes.iter().rposition(|name| values.contains_key(name)).map_or(0, |last| last + 1);
+        let list_values = classes[..length].iter().map(|name| match values.get(name) {
             Some(value) => (*value).clone(),
-            None => Value::from(none),
+            None => Value::from(default),
         });
         let extra = root.entry(EXTRA).or_insert_with(|| Value::Object(Map::new()));
         if let Some(extra) = extra.as_object_mut() {
-            extra.insert(list.to_owned(), each.collect());
+            extra.insert(list.to_owned(), list_values.collect());
         }
     }
-    for (list, things) in named {
-        let each = things.into_iter().map(|(name, mut fields)| {
+    for (list, entries) in named {
+        let entries = entries.into_iter().map(|(name, mut fields)| {
             fields.insert("name".to_owned(), Value::from(name));
             Value::Object(fields)
         });
-        root.insert(list.to_owned(), each.collect());
+        root.insert(list.to_owned(), entries.collect());
     }
     Ok(Value::Object(root))
 }
 
-/// That the document has no value for the group that this key is in.
-fn whole(document: &Document, key: &str, group: &str) -> Result<(), Fault> {
+/// Checks that the document has no value for the group that a key belongs to.
+fn check_group_has_no_value(document: &Document, key: &str, group: &str) -> Result<(), Fault> {
     match document.contains_key(group) {
-        true => Err(Fault::new(key, format!("stands beside '{group}', which is one value"))),
+        true => Err(Fault::new(key, format!("cannot be set beside '{group}', which has a value of its own"))),
         false => Ok(()),
     }
 }
 
-/// Puts a value at the place that its key names.
-fn put(document: &Document, key: &str, value: &Value, root: &mut Map<String, Value>) -> Result<(), Fault> {
+/// Inserts a value into nested objects by the parts of its key, which are created as needed.
+fn insert_nested(
+    document: &Document,
+    key: &str,
+    value: &Value,
+    root: &mut Map<String, Value>,
+) -> Result<(), Fault> {
     let parts: Vec<&str> = key.split('.').collect();
-    if parts.len() > MOST_PARTS || parts.iter().any(|part| part.is_empty()) {
-        return Err(Fault::new(key, format!("is no key: it has an empty part, or more than {MOST_PARTS}")));
+    if parts.len() > MAX_KEY_PARTS || parts.iter().any(|part| part.is_empty()) {
+        return Err(Fault::new(
+            key,
+            format!("is not a valid key: it has an empty part or more than {MAX_KEY_PARTS} parts"),
+        ));
     }
     let dots = key.char_indices().filter(|(_, letter)| *letter == '.');
     for (dot, _) in dots {
-        whole(document, key, &key[..dot])?;
+        check_group_has_no_value(document, key, &key[..dot])?;
     }
-    let mut place = root;
+    let mut object = root;
     for part in &parts[..parts.len() - 1] {
-        let group = place.entry(*part).or_insert_with(|| Value::Object(Map::new()));
+        let group = object.entry(*part).or_insert_with(|| Value::Object(Map::new()));
         let Some(next) = group.as_object_mut() else {
-            return Err(Fault::new(key, "stands in what is no group of keys"));
+            return Err(Fault::new(key, "belongs to a key that has a value of its own"));
         };
-        place = next;
+        object = next;
     }
     if let Some(last) = parts.last() {
-        place.insert((*last).to_owned(), value.clone());
+        object.insert((*last).to_owned(), value.clone());
     }
     Ok(())
 }
 
-/// The settings of this document, checked whole.
+/// Converts a document to settings and validates them.
 ///
 /// # Errors
-/// The key at fault, and what is wrong there.
+/// The first invalid key and the reason.
 pub fn check(document: &Document) -> Result<SettingsUpdate, Fault> {
     platform::parse_settings(&from_document(document)?)
 }
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -1,4 +1,4 @@
-//! The document and the settings that it stands for.
+//! Tests of the conversion between settings and documents, and of the validation of documents.
 
 use super::*;
 use calicolb::api::{Effect, Settings};
@@ -12,8 +12,8 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
 }
 
-/// A site's settings with all that they may have.
-fn site() -> Value {
+/// Settings in which every key is set.
+fn full_settings() -> Value {
     json!({
         "azs": ["north", "south"], "kinds": ["big", "small"], "zone": "north", "n_instances": 2, "rank": 0,
         "ceilings": {"cancelling": true, "connect_timeout_us": 250_000, "max_retry_after_us": 2_000_000,
@@ -36,39 +36,39 @@
     })
 }
 
-/// The settings' classes and tenants by name: their order does not count.
-fn by_name(renewal: &SettingsUpdate) -> (BTreeMap<String, String>, BTreeMap<String, String>) {
-    let classes = renewal.names.classes().zip(&renewal.settings.classes);
-    let tenants = renewal.names.tenants().zip(&renewal.settings.tenants);
+/// The classes and tenants of the settings by name, so that comparisons ignore their order.
+fn by_name(update: &SettingsUpdate) -> (BTreeMap<String, String>, BTreeMap<String, String>) {
+    let classes = update.names.classes().zip(&update.settings.classes);
+    let tenants = update.names.tenants().zip(&update.settings.tenants);
     (
         classes.map(|(name, class)| (name.to_owned(), format!("{class:?}"))).collect(),
         tenants.map(|(name, tenant)| (name.to_owned(), format!("{tenant:?}"))).collect(),
     )
 }
 
-fn settings_update(settings: &Value) -> SettingsUpdate {
+fn parse(settings: &Value) -> SettingsUpdate {
     platform::parse_settings(settings).unwrap_or_else(|fault| panic!("{fault}"))
 }
 
-/// That the document of these settings stands for the same settings, and is the document of those.
-fn there_and_back(settings: &Value) {
+/// Asserts that converting settings to a document and back gives equivalent settings and the same document.
+fn assert_round_trip(settings: &Value) {
     let document = to_document(settings);
     let back = from_document(&document).unwrap_or_else(|fault| panic!("{fault}: {document:?}"));
     assert_eq!(to_document(&back), document);
-    let (here, there) = (settings_update(settings), settings_update(&back));
-    assert_eq!(by_name(&here), by_name(&there));
+    let (original, converted) = (parse(settings), parse(&back));
+    assert_eq!(by_name(&original), by_name(&converted));
     assert_eq!(
-        (here.worker_idle_timeout, here.max_open_requests),
-        (there.worker_idle_timeout, there.max_open_requests)
+        (original.worker_idle_timeout, original.max_open_requests),
+        (converted.worker_idle_timeout, converted.max_open_requests)
     );
-    let bare =
-        |renewal: SettingsUpdate| Settings { classes: Vec::new(), tenants: Vec::new(), ..renewal.settings };
-    assert_eq!(bare(here), bare(there));
+    let without_lists =
+        |update: SettingsUpdate| Settings { classes: Vec::new(), tenants: Vec::new(), ..update.settings };
+    assert_eq!(without_lists(original), without_lists(converted));
 }
 
 #[test]
-fn a_document_stands_for_the_settings_that_it_was_made_of() {
-    let document = to_document(&site());
+fn settings_survive_conversion_to_a_document_and_back() {
+    let document = to_document(&full_settings());
     for (key, value) in [
         ("request_classes.look.aim_us", json!(900_000)),
         ("request_classes.fit.late_worth", json!(0.5)),
@@ -81,46 +81,47 @@
     ] {
         assert_eq!(document.get(key), Some(&value), "{key} of {document:?}");
     }
-    there_and_back(&site());
-    // The shortest that can be used; an object that has a key with a dot; what is not a list of named things.
-    there_and_back(&json!({"request_classes": [{"name": "a", "effect": "read_like"}]}));
-    there_and_back(
+    assert_round_trip(&full_settings());
+    // The smallest valid settings; then objects whose key contains a dot, an empty named list and objects nested deeper
+    // than a key may have parts.
+    assert_round_trip(&json!({"request_classes": [{"name": "a", "effect": "read_like"}]}));
+    assert_round_trip(
         &json!({"request_classes": [{"name": "a", "effect": "read_like"}], "odd": {"x.y": 1, "z": {}},
         "orgs": [], "empty": {}, "deep": {"a": {"b": {"c": {"d": {"e": {"f": {"g": {"h": {"i": 1}}}}}}}}}}),
     );
 }
 
 #[test]
-fn settings_of_any_size_and_order_come_back_the_same() {
+fn settings_with_any_number_and_order_of_entries_survive_conversion() {
     let class = (0..3_usize, 1..9_u64, -1..2_i64, 0..4_i64, 0.0..9.0_f64);
-    let sites = (
+    let inputs = (
         proptest::collection::vec(class, 1..12),
         proptest::collection::vec((any::<bool>(), 0.0..99.0_f64), 0..30),
         any::<u64>(),
     );
-    let checked = runner(11, 200).run(&sites, |(classes, tenants, order)| {
+    let checked = runner(11, 200).run(&inputs, |(classes, tenants, order)| {
         let effects = ["read_like", "idempotency_key", "non_idempotent"];
-        // Names in an order that is not theirs.
-        let name = |nr: usize| format!("{:x}.{nr}", (nr as u64 + 1).wrapping_mul(order | 1) >> 40);
+        // Names whose sorted order differs from the order of the list.
+        let name = |index: usize| format!("{:x}.{index}", (index as u64 + 1).wrapping_mul(order | 1) >> 40);
         let extra = |field: fn(&(usize, u64, i64, i64, f64)) -> Value| classes.iter().map(field).collect::<Vec<_>>();
-        let mut site = site();
-        site["request_classes"] = (0..).zip(&classes).map(|(nr, class)| {
-            json!({"name": name(nr), "effect": effects[class.0], "aim_us": class.1, "deadline_us": class.1 * 2})
+        let mut settings = full_settings();
+        settings["request_classes"] = (0..).zip(&classes).map(|(index, class)| {
+            json!({"name": name(index), "effect": effects[class.0], "aim_us": class.1, "deadline_us": class.1 * 2})
         }).collect();
-        site["orgs"] = (0..).zip(&tenants).map(|(nr, (told, quota))| {
-            if *told { json!({"name": name(nr), "quota_rps": quota}) } else { json!({"name": name(nr)}) }
+        settings["orgs"] = (0..).zip(&tenants).map(|(index, (has_quota, quota))| {
+            if *has_quota { json!({"name": name(index), "quota_rps": quota}) } else { json!({"name": name(index)}) }
         }).collect();
-        site["extra"]["class_kind"] = extra(|class| json!(class.2)).into();
-        site["extra"]["class_priority"] = extra(|class| json!(class.3)).into();
-        site["extra"]["class_stretch"] = extra(|class| json!(class.4)).into();
-        there_and_back(&site);
+        settings["extra"]["class_kind"] = extra(|class| json!(class.2)).into();
+        settings["extra"]["class_priority"] = extra(|class| json!(class.3)).into();
+        settings["extra"]["class_stretch"] = extra(|class| json!(class.4)).into();
+        assert_round_trip(&settings);
         Ok(())
     });
     checked.unwrap_or_else(|failure| panic!("seed 11: {failure}"));
 }
 
-/// Values that may stand at a key by mistake.
-fn oddity(nr: usize) -> Value {
+/// One of several values that are invalid for most keys.
+fn unexpected_value(index: usize) -> Value {
     let all = [
         json!(null),
         json!(true),
@@ -137,20 +138,20 @@
         json!({"a": {"b": 1}}),
         json!("\u{0}"),
     ];
-    all[nr % all.len()].clone()
+    all[index % all.len()].clone()
 }
 
 #[test]
-fn whatever_is_done_to_a_document_it_is_taken_whole_or_a_key_is_named() {
-    let sound = to_document(&site());
-    let keys: Vec<String> = sound.keys().cloned().collect();
-    let mangled = (any::<u8>(), 0..keys.len(), any::<usize>(), "[a-z._\u{0}-\u{ff}]{0,12}");
-    let changes = proptest::collection::vec(mangled, 1..4);
-    let (taken, faulty) = (Cell::new(0), Cell::new(0));
+fn mangled_document_is_accepted_or_rejected_with_its_key() {
+    let valid = to_document(&full_settings());
+    let keys: Vec<String> = valid.keys().cloned().collect();
+    let mutation = (any::<u8>(), 0..keys.len(), any::<usize>(), "[a-z._\u{0}-\u{ff}]{0,12}");
+    let changes = proptest::collection::vec(mutation, 1..4);
+    let (accepted, rejected) = (Cell::new(0), Cell::new(0));
     let checked = runner(12, 4_000).run(&changes, |changes| {
-        let mut document = sound.clone();
-        for (what, at, value, text) in changes {
-            let key = match what % 6 {
+        let mut document = valid.clone();
+        for (operation, at, value, text) in changes {
+            let key = match operation % 6 {
                 0 => keys[at].clone(),
                 1 => format!("{}.{text}", keys[at]),
                 2 => format!("{text}.{}", keys[at]),
@@ -161,94 +162,94 @@
                     continue;
                 }
             };
-            document.insert(key, oddity(value));
+            document.insert(key, unexpected_value(value));
         }
         match check(&document) {
-            Ok(_) => taken.set(taken.get() + 1),
+            Ok(_) => accepted.set(accepted.get() + 1),
             Err(fault) => {
-                faulty.set(faulty.get() + 1);
-                let named = !fault.key.is_empty() || document.contains_key("");
-                prop_assert!(named && !fault.why.is_empty(), "{:?} of {:?}", fault, document);
+                rejected.set(rejected.get() + 1);
+                let names_a_key = !fault.key.is_empty() || document.contains_key("");
+                prop_assert!(names_a_key && !fault.why.is_empty(), "{:?} of {:?}", fault, document);
             }
         }
         Ok(())
     });
     checked.unwrap_or_else(|failure| panic!("seed 12: {failure}"));
-    let (taken, faulty) = (taken.get(), faulty.get());
-    assert!(taken > 100 && faulty > 1_000, "{taken} were taken, {faulty} refused");
+    let (accepted, rejected) = (accepted.get(), rejected.get());
+    assert!(accepted > 100 && rejected > 1_000, "{accepted} accepted, {rejected} rejected");
 }
 
 #[test]
-fn a_fault_names_its_key() {
-    let wrong = |key: &str, value: Value, told: &str| {
-        let mut document = to_document(&site());
+fn validation_error_names_the_invalid_key() {
+    let assert_error = |key: &str, value: Value, expected_key: &str| {
+        let mut document = to_document(&full_settings());
         document.insert(key.to_owned(), value);
-        let fault = check(&document).err().unwrap_or_else(|| panic!("{key} was taken"));
-        assert_eq!(fault.key, told, "{fault}");
+        let fault = check(&document).err().unwrap_or_else(|| panic!("{key} was accepted"));
+        assert_eq!(fault.key, expected_key, "{fault}");
     };
     for key in ["request_classes.look.aim_us", "ceilings.most_tries", "orgs.zeta.quota_rps", "rules.cold_us"]
     {
-        wrong(key, json!("many"), key);
-        wrong(key, json!(-3), key);
+        assert_error(key, json!("many"), key);
+        assert_error(key, json!(-3), key);
     }
-    wrong("request_classes.look.effect", json!("odd"), "request_classes.look.effect");
-    wrong("request_classes.look.deadline_us", json!(u64::MAX), "request_classes.look.deadline_us");
-    wrong("request_classes.new.aim_us", json!(7), "request_classes.new.effect");
-    wrong("request_classes.look.name", json!("book"), "request_classes.look.name");
-    wrong("request_classes.look", json!(7), "request_classes.look");
-    wrong("request_classes", json!([]), "request_classes.book.aim_us");
-    wrong("ceilings", json!(7), "ceilings.cancelling");
-    wrong("ceilings.max_open", json!("50"), "ceilings.max_open");
-    wrong("extra.class_kind.lost", json!(1), "extra.class_kind.lost");
-    wrong("extra.class_kind.look", json!("big"), "extra.class_kind.look");
-    wrong("a..b", json!(1), "a..b");
-    wrong(&"a.".repeat(20), json!(1), &"a.".repeat(20));
-    wrong(&"a".repeat(300), json!(1), &"a".repeat(300));
-    // A list whose names do not tell its things apart stays one value, and is at fault.
+    assert_error("request_classes.look.effect", json!("odd"), "request_classes.look.effect");
+    assert_error("request_classes.look.deadline_us", json!(u64::MAX), "request_classes.look.deadline_us");
+    assert_error("request_classes.new.aim_us", json!(7), "request_classes.new.effect");
+    assert_error("request_classes.look.name", json!("book"), "request_classes.look.name");
+    assert_error("request_classes.look", json!(7), "request_classes.look");
+    assert_error("request_classes", json!([]), "request_classes.book.aim_us");
+    assert_error("ceilings", json!(7), "ceilings.cancelling");
+    assert_error("ceilings.max_open", json!("50"), "ceilings.max_open");
+    assert_error("extra.class_kind.lost", json!(1), "extra.class_kind.lost");
+    assert_error("extra.class_kind.look", json!("big"), "extra.class_kind.look");
+    assert_error("a..b", json!(1), "a..b");
+    assert_error(&"a.".repeat(20), json!(1), &"a.".repeat(20));
+    assert_error(&"a".repeat(300), json!(1), &"a".repeat(300));
+    // A list in which a name occurs twice stays one value in the document, and validation rejects it.
     for (list, key) in [("request_classes", "request_classes.look"), ("orgs", "orgs.zeta")] {
-        let mut twice = site();
-        let first = twice[list][0].clone();
-        twice[list].as_array_mut().expect("it is a list").push(first);
-        let document = to_document(&twice);
+        let mut duplicated = full_settings();
+        let first = duplicated[list][0].clone();
+        duplicated[list].as_array_mut().expect("the key holds a list").push(first);
+        let document = to_document(&duplicated);
         assert!(document.contains_key(list), "{document:?}");
-        assert_eq!(platform::parse_settings(&twice).expect_err("it is there twice").key, key);
+        assert_eq!(platform::parse_settings(&duplicated).expect_err("a name occurs twice").key, key);
     }
-    let empty = check(&Document::new()).expect_err("nothing can be used");
+    let empty = check(&Document::new()).expect_err("an empty document has no class");
     assert_eq!(empty.key, "request_classes");
 }
 
 #[test]
-fn a_difference_makes_the_one_document_the_other() {
-    let old = to_document(&site());
+fn diff_applied_to_the_old_document_gives_the_new_one() {
+    let old = to_document(&full_settings());
     let mut new = old.clone();
     new.insert("orgs.acme.quota_rps".to_owned(), json!(3.0));
     new.insert("ceilings.most_tries".to_owned(), json!(2));
     new.remove("orgs.zeta.share");
     let Diff { set, unset } = diff(&old, &new);
     assert_eq!((set.len(), unset.len()), (2, 1));
-    let mut made = old.clone();
-    made.extend(set);
-    made.retain(|key, _| !unset.contains(key));
-    assert_eq!(made, new);
+    let mut patched = old.clone();
+    patched.extend(set);
+    patched.retain(|key, _| !unset.contains(key));
+    assert_eq!(patched, new);
     assert_eq!(diff(&old, &old), Diff::default());
 }
 
 #[test]
-fn a_class_that_loses_its_kind_has_none() {
-    let mut document = to_document(&site());
+fn removing_a_class_kind_leaves_the_class_without_kind() {
+    let mut document = to_document(&full_settings());
     document.remove("extra.class_kind.book");
-    let renewal = check(&document).expect("it is sound");
+    let update = check(&document).expect("class_kind is optional");
     let kind = |name: &str| {
-        let at = renewal.names.class(name).expect("it is there").0;
-        renewal.settings.classes[at].kind.map(|kind| kind.0)
+        let at = update.names.class(name).expect("the class exists").0;
+        update.settings.classes[at].kind.map(|kind| kind.0)
     };
     assert_eq!((kind("book"), kind("fit"), kind("look")), (None, Some(0), None));
-    let keyed = renewal.settings.classes.iter().filter(|class| matches!(class.effect, Effect::Keyed { .. }));
+    let keyed = update.settings.classes.iter().filter(|class| matches!(class.effect, Effect::Keyed { .. }));
     assert_eq!(keyed.count(), 1);
 }
 
 #[test]
-fn what_tightens_is_told_by_the_key() {
+fn tightening_direction_depends_on_the_key() {
     for (key, direction) in [
         ("orgs.acme.quota_rps", Direction::Less),
         ("orgs.a.b.quota_rps", Direction::Less),
@@ -262,6 +263,6 @@
         ("orgs", Direction::Unknown),
         ("anything", Direction::Unknown),
     ] {
-        assert_eq!(tighter(key), direction, "{key}");
+        assert_eq!(tightening_direction(key), direction, "{key}");
     }
 }
