--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -2,7 +2,7 @@
 //! and the module's actions into commands for the event loop. It depends on no protocol and on no sockets, so that
 //! requests of all protocols are subject to the same decisions, and it makes no decisions itself.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::counters::Counters;
 use crate::net::core::deadlines::{Deadline, Deadlines};
 use crate::net::core::network_delay;
@@ -138,7 +138,7 @@
             streaming: false,
             attempts: Vec::new(),
         };
-        note!(debug: request = number, name = %entry.name, class = entry.class.0, expires = expires, "request arrived");
+        log_line!(debug: request = number, name = %entry.name, class = entry.class.0, expires = expires, "request arrived");
         self.requests.insert(number, entry);
         self.events.push_back(Event::Arrival(Arrival {
             request: RequestId(number),
--- a/src/net/core/request_table/attempts.rs
+++ b/src/net/core/request_table/attempts.rs
@@ -148,7 +148,7 @@
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
         let Some(attempt) = attempt.filter(|attempt| attempt.may_run) else { return };
         attempt.may_run = false;
-        note!(debug: request = id.request, attempt = id.number, hop = attempt.worker.0, "attempt is over at its worker");
+        log_line!(debug: request = id.request, attempt = id.number, hop = attempt.worker.0, "attempt is over at its worker");
         let note = AttemptNote::Over;
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
--- a/src/net/event_loop/management.rs
+++ b/src/net/event_loop/management.rs
@@ -13,11 +13,16 @@
     }
 
     /// Executes a management command, and sends its reply. `None`: the command is unknown.
-    pub(super) fn execute_management_command(&mut self, now: Micros, token: usize, command: Option<Order>) {
+    pub(super) fn execute_management_command(
+        &mut self,
+        now: Micros,
+        token: usize,
+        command: Option<ManagementCommand>,
+    ) {
         let reply = match command {
-            Some(Order::Ping) if self.ready_to_serve => "done\n".to_owned(),
-            Some(Order::Ping) => "error no list of stock workers is known yet\n".to_owned(),
-            Some(Order::Info) => {
+            Some(ManagementCommand::Ping) if self.ready_to_serve => "done\n".to_owned(),
+            Some(ManagementCommand::Ping) => "error no list of stock workers is known yet\n".to_owned(),
+            Some(ManagementCommand::Info) => {
                 let list = self.discovery.metrics(now);
                 let gauges = Gauges {
                     in_flight: self.request_table.unanswered_requests(),
@@ -34,21 +39,22 @@
                 self.request_table.counters().render(self.names.classes(), gauges, others)
             }
             // The successor accepts the clients now, so it has to drain them.
-            Some(Order::Lameduck | Order::Rejoin) if self.handed_over => {
-                self.upgrade_link.send(Role::Successor, &Message::Drain(command == Some(Order::Lameduck)));
+            Some(ManagementCommand::Lameduck | ManagementCommand::Rejoin) if self.handed_over => {
+                self.upgrade_link
+                    .send(Role::Successor, &Message::Drain(command == Some(ManagementCommand::Lameduck)));
                 "done\n".to_owned()
             }
-            Some(Order::Lameduck) => {
-                self.begin_drain(now, Why::Asked);
+            Some(ManagementCommand::Lameduck) => {
+                self.begin_drain(now, DrainReason::OperatorRequest);
                 "done\n".to_owned()
             }
-            Some(Order::Rejoin) if self.end_drain() => "done\n".to_owned(),
-            Some(Order::Rejoin) => "error the program is ending\n".to_owned(),
+            Some(ManagementCommand::Rejoin) if self.end_drain() => "done\n".to_owned(),
+            Some(ManagementCommand::Rejoin) => "error the program is ending\n".to_owned(),
             None => "error unknown call\n".to_owned(),
         };
         let (mut ctx, components) = self.split(now);
         if let Some(management) = components.management {
-            management.answer(&mut ctx, token, &reply);
+            management.respond(&mut ctx, token, &reply);
         }
     }
 }
--- a/src/net/event_loop/settings_update.rs
+++ b/src/net/event_loop/settings_update.rs
@@ -1,8 +1,8 @@
 //! Settings updates at run time. Either all new settings come into force, between two batches of events, or none does.
 
 use super::{ControlClient, EventLoop};
-use crate::config::{Config, Renewal, SettingsError};
-use crate::log::note;
+use crate::config::{Config, SettingsError, SettingsUpdate};
+use crate::log::log_line;
 use crate::net::platform::upgrade::IndexedNames;
 use calicolb::api::Micros;
 use calicolb::rules::Dispatcher;
@@ -22,28 +22,28 @@
     /// file that cannot be read changes nothing.
     pub(super) fn reload(&mut self, now: Micros) {
         if self.uses_operator_file {
-            return note!(
+            return log_line!(
                 "SIGHUP: the operator file is read only at the start; the settings in force are kept"
             );
         }
         let config = match Config::reload(|name| std::env::var(name).ok()) {
             Ok(config) => config,
             Err(message) => {
-                return note!(
+                return log_line!(
                     "SIGHUP: cannot read the configuration: {message}; the settings in force are kept"
                 );
             }
         };
         if let Some(discovery) = config.discovery {
-            note!("SIGHUP: the address of discovery is {discovery}");
+            log_line!("SIGHUP: the address of discovery is {discovery}");
         }
         let (mut ctx, components) = self.split(now);
         components.discovery.set_address(&mut ctx, config.discovery);
         if let (Some(peers), Some(new)) = (components.peers, &config.peers) {
-            peers.set_addresses(new.each.clone(), new.all);
+            peers.set_addresses(new.by_rank.clone(), new.broadcast);
         }
         if let (Some(old), Some(new)) = (&mut self.peer_config, &config.peers) {
-            (old.each, old.all) = (new.each.clone(), new.all);
+            (old.by_rank, old.broadcast) = (new.by_rank.clone(), new.broadcast);
         }
         if let Some(machines) = config.control.as_ref().map(|control| control.machines.clone()) {
             let (mut ctx, components) = self.split(now);
@@ -52,12 +52,12 @@
             }
         }
         if self.control.as_ref().is_some_and(ControlClient::has_agreed_version) {
-            return note!(
+            return log_line!(
                 "SIGHUP: the settings are agreed with the control machines; those of the file are ignored"
             );
         }
-        if let Err(error) = self.apply_settings(now, config.renewal()) {
-            note!("SIGHUP: 'settings.{}' {}; the old settings stay in force", error.key, error.reason);
+        if let Err(error) = self.apply_settings(now, config.settings_update()) {
+            log_line!("SIGHUP: 'settings.{}' {}; the old settings stay in force", error.key, error.reason);
         }
     }
 
@@ -78,11 +78,11 @@
     ///
     /// # Errors
     /// Returns the first key that cannot change at run time. In that case nothing has changed.
-    pub fn apply_settings(&mut self, now: Micros, new: Renewal) -> Result<(), SettingsError> {
+    pub fn apply_settings(&mut self, now: Micros, new: SettingsUpdate) -> Result<(), SettingsError> {
         let started = Instant::now();
         let old = (self.request_table.settings(), &self.names);
         let (settings, names) = merge(old, (&new.settings, &new.names))?;
-        let Renewal { conn_idle, most_open, .. } = new;
+        let SettingsUpdate { worker_idle_timeout: conn_idle, max_open_requests: most_open, .. } = new;
         let unchanged = (self.worker_idle_timeout, self.max_open) == (conn_idle, most_open);
         if unchanged && settings == *old.0 && names == *old.1 {
             return Ok(());
@@ -101,7 +101,7 @@
         self.request_table.apply_settings(now, settings, &mut self.deadlines);
         self.names = names;
         (self.worker_idle_timeout, self.max_open) = (conn_idle, most_open);
-        if !self.drain.ending() {
+        if !self.drain.is_process_exiting() {
             self.grace = super::grace_period(&classes);
         }
         let (mut ctx, components) = self.split(now);
@@ -111,7 +111,7 @@
         self.distribute_descriptors(now);
         self.settings_updates += 1;
         let elapsed_us = started.elapsed().as_micros();
-        note!(
+        log_line!(
             "new settings are in force: applied in {elapsed_us} us, {} requests are open",
             self.request_table.unanswered_requests()
         );
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -17,34 +17,40 @@
 impl EventLoop {
     /// Ends the process once all accepted requests are answered, without a time limit.
     pub(super) fn begin_graceful_shutdown(&mut self, now: Micros) {
-        note!(
+        log_line!(
             "graceful shutdown: waiting for the answers to {} requests",
             self.request_table.unanswered_requests()
         );
-        self.graceful = !self.drain.ending();
-        if self.drain.begin(Why::Ending) {
-            self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill_after * 3 / 5));
+        self.graceful = !self.drain.is_process_exiting();
+        if self.drain.begin(DrainReason::ProcessExit) {
+            self.deadlines.set(
+                Deadline::DrainClients,
+                now + CLIENT_DISCONNECT_DELAY.min(self.grace.kill_after * 3 / 5),
+            );
         }
     }
 
     /// Begins a drain. Requests are still accepted and processed; when clients have had the time to notice the drain,
     /// their connections are closed. After SIGTERM only requests that can be finished before the end of the process are
     /// accepted.
-    pub(super) fn begin_drain(&mut self, now: Micros, why: Why) {
-        if why == Why::Ending && self.termination.is_none() {
+    pub(super) fn begin_drain(&mut self, now: Micros, why: DrainReason) {
+        if why == DrainReason::ProcessExit && self.termination.is_none() {
             self.graceful = false;
-            note!("SIGTERM: {} requests are open", self.request_table.unanswered_requests());
+            log_line!("SIGTERM: {} requests are open", self.request_table.unanswered_requests());
             self.termination = Some(Termination { since: now, limited: false });
             self.request_table.set_process_end(now + self.grace.final_answer_at());
         }
-        if why == Why::Ending && self.handed_over && !self.drain.ending() {
+        if why == DrainReason::ProcessExit && self.handed_over && !self.drain.is_process_exiting() {
             // The clients' connections were closed when the successor took over.
-            self.drain.part();
+            self.drain.start_disconnecting();
         }
         self.upgrade_link.send(Role::Predecessor, &Message::Drain(true));
         if self.drain.begin(why) {
-            note!("draining clients: {} requests are open", self.request_table.unanswered_requests());
-            self.deadlines.set(Deadline::DrainClients, now + PARTING.min(self.grace.kill_after * 3 / 5));
+            log_line!("draining clients: {} requests are open", self.request_table.unanswered_requests());
+            self.deadlines.set(
+                Deadline::DrainClients,
+                now + CLIENT_DISCONNECT_DELAY.min(self.grace.kill_after * 3 / 5),
+            );
         }
         self.http.clients.accepts_clients = self.ready_to_serve && self.accepts_clients();
         self.process_open_requests(now);
@@ -76,7 +82,7 @@
         let accepts_clients = self.drain.rejoin();
         if accepts_clients {
             self.upgrade_link.send(Role::Predecessor, &Message::Drain(false));
-            note!("drain ended: accepting clients");
+            log_line!("drain ended: accepting clients");
             self.deadlines.clear(Deadline::DrainClients);
             self.http.resume();
             self.other_protocols.iter_mut().for_each(|other| other.resume());
--- a/src/net/event_loop/upgrade.rs
+++ b/src/net/event_loop/upgrade.rs
@@ -10,11 +10,11 @@
     /// Hands over to a successor: from now on it accepts all new requests. Requests that were accepted here are
     /// answered here.
     pub(super) fn hand_over_to_successor(&mut self, now: Micros) {
-        note!(
+        log_line!(
             "handing over to the successor process: {} requests are open",
             self.request_table.unanswered_requests()
         );
-        self.successor_accepts_clients = !self.drain.asked();
+        self.successor_accepts_clients = !self.drain.is_operator_drain();
         self.handed_over = true;
         // The successor binds the same address.
         self.peers = None;
@@ -29,11 +29,11 @@
             dispatcher_state: ctx.request_table.hand_over(),
             names: Some(IndexedNames::new(ctx.names)),
             open_requests: ctx.request_table.track_open_names(),
-            draining: components.drain.asked(),
+            draining: components.drain.is_operator_drain(),
         };
         components.upgrade_link.send(Role::Successor, &Message::Handover(Box::new(handover)));
-        if components.drain.ending() {
-            components.drain.part();
+        if components.drain.is_process_exiting() {
+            components.drain.start_disconnecting();
         }
         self.distribute_descriptors(now);
         self.process_open_requests(now);
@@ -42,7 +42,7 @@
     /// Handles the end of the other process. If it was a successor that had taken over, this process accepts clients
     /// again.
     pub(super) fn other_process_gone(&mut self, now: Micros, role: Role) {
-        note!("the link to the {role:?} process is closed");
+        log_line!("the link to the {role:?} process is closed");
         if !self.upgrade_link.is_connected() {
             self.request_table.other_process_gone();
         }
@@ -59,13 +59,13 @@
                 let opened = self.open_peer_socket(now);
                 let (mut ctx, components) = self.split(now);
                 ctx.request_table.successor_gone();
-                if components.drain.open() {
+                if components.drain.accepts_clients() {
                     components.http.resume();
                 }
                 let listening = opened.and_then(|()| components.http.listen(&mut ctx));
                 components.upgrade_link.listen(ctx.registry, UPGRADE_LISTENER);
                 if let Err(error) = listening {
-                    note!("cannot accept clients again: {error}");
+                    log_line!("cannot accept clients again: {error}");
                 }
                 self.process_open_requests(now);
             }
@@ -92,9 +92,9 @@
         let (envelope, unread) = ((*envelope).clone(), unread.to_vec());
         let transfer = Transfer { envelope, keep_alive, unread, history, clock: now };
         if !self.upgrade_link.send_transfer(stream, &transfer) {
-            return note!(request = number, "request cannot be sent to the successor process yet");
+            return log_line!(request = number, "request cannot be sent to the successor process yet");
         }
-        note!(
+        log_line!(
             request = number,
             attempts = transfer.history.attempts.len(),
             "request sent to the successor process"
@@ -107,7 +107,7 @@
 
     /// Continues a request here that had been sent to the successor.
     fn restore_request(&mut self, now: Micros, pending: PendingTransfer) {
-        note!("a request returned from the successor process");
+        log_line!("a request returned from the successor process");
         let (mut ctx, components) = self.split(now);
         components.http.clients.resume_connection(&mut ctx, pending.client, pending.transfer);
         for body in pending.callbacks {
@@ -131,7 +131,7 @@
             components.http.clients.adopt_connection(&mut ctx, stream, transfer).is_ok()
         });
         if !accepted {
-            note!("a request of the predecessor process cannot be continued");
+            log_line!("a request of the predecessor process cannot be continued");
         }
         if wants_reply {
             let message =
@@ -188,7 +188,7 @@
                 }
             }
             (Message::Drain(draining), Role::Successor) => self.successor_accepts_clients = !draining,
-            (Message::Drain(true), Role::Predecessor) => self.begin_drain(now, Why::Asked),
+            (Message::Drain(true), Role::Predecessor) => self.begin_drain(now, DrainReason::OperatorRequest),
             (Message::Drain(false), Role::Predecessor) => drop(self.end_drain()),
             (
                 Message::HandoverRequest
@@ -198,7 +198,7 @@
                 | Message::TransferAccepted(_)
                 | Message::TransferDeclined(_),
                 _,
-            ) => note!("the {role:?} process sent a message that its role does not allow"),
+            ) => log_line!("the {role:?} process sent a message that its role does not allow"),
         }
     }
 
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -9,8 +9,8 @@
 mod tests;
 mod workers;
 
-use crate::config::{Function, GearmanConfig, Grade};
-use crate::log::note;
+use crate::config::{Function, GearmanConfig, PriorityClass};
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::Payload;
@@ -83,7 +83,7 @@
             conns: HashMap::new(),
             most: 0,
             fleet: Fleet::default(),
-            book: Book::new(config.ends),
+            book: Book::new(config.max_remembered_jobs),
             boot: format!("{:08x}", hash[0].hash_one(ctx.now) as u32),
             offers: HashMap::new(),
             asking: Vec::new(),
@@ -131,7 +131,7 @@
             ConnectionTimer::ContinueRead => self.on_ready(ctx, token),
             ConnectionTimer::OfferTimeout => {
                 if let Some(attempt) = self.fleet.expire(token) {
-                    note!(request = attempt.request, "a worker was woken and did not ask");
+                    log_line!(request = attempt.request, "a worker was woken and did not ask");
                     self.offers.remove(&attempt);
                     ctx.request_table.connection_broken(ctx.now, attempt);
                 }
@@ -196,7 +196,8 @@
             return ctx.request_table.connection_broken(ctx.now, attempt);
         };
         let fits = |function: &&Function| {
-            let as_http = function.takes_http && function.grades[1].class.0 as u32 == payload.skill;
+            let as_http =
+                function.takes_http_jobs && function.priority_classes[1].class.0 as u32 == payload.skill;
             function.skill == payload.skill || as_http
         };
         let functions: Vec<&str> =
@@ -254,7 +255,7 @@
             if self.told.insert(change.nr, now) == Some(now) {
                 continue;
             }
-            note!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
+            log_line!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
             let standing = match (change.here, change.functions.is_empty()) {
                 (false, _) => WorkerStatus::Gone,
                 (true, true) => WorkerStatus::Draining,
@@ -291,7 +292,7 @@
     fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
         if !self.listening {
             ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
-            note!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
+            log_line!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
         }
         self.listening = true;
         Ok(())
@@ -316,14 +317,14 @@
 
     fn check_settings(&self, names: &Names, classes: &[Class]) -> Result<(), SettingsError> {
         for function in &self.config.functions {
-            let effect = |grade: &Grade| classes.get(grade.class.0).map(|class| class.effect);
-            for grade in &function.grades {
+            let effect = |grade: &PriorityClass| classes.get(grade.class.0).map(|class| class.effect);
+            for grade in &function.priority_classes {
                 let Some(class) = self.config.classes.get(grade.class.0) else { continue };
                 if names.class(class).is_err() {
                     let why = format!("is the class of the function '{}', and cannot go", function.name);
                     return Err(SettingsError::new(format!("request_classes.{class}"), why));
                 }
-                if effect(grade) != effect(&function.grades[1]) {
+                if effect(grade) != effect(&function.priority_classes[1]) {
                     let why = format!("differs from that of the other classes of '{}'", function.name);
                     return Err(SettingsError::new(format!("request_classes.{class}.effect"), why));
                 }
@@ -335,12 +336,13 @@
     fn apply_settings(&mut self, classes: &[Class]) {
         for function in &mut self.config.functions {
             // A background job that was given no time of its own has its class's.
-            let as_class = function.background == function.grades[1].patience;
-            for grade in &mut function.grades {
-                grade.patience = classes.get(grade.class.0).map_or(grade.patience, |class| class.deadline);
+            let as_class = function.background_timeout == function.priority_classes[1].client_timeout;
+            for grade in &mut function.priority_classes {
+                grade.client_timeout =
+                    classes.get(grade.class.0).map_or(grade.client_timeout, |class| class.deadline);
             }
             if as_class {
-                function.background = function.grades[1].patience;
+                function.background_timeout = function.priority_classes[1].client_timeout;
             }
         }
     }
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -2,7 +2,7 @@
 
 use super::Gearman;
 use crate::config::Function;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::Envelope;
@@ -96,7 +96,7 @@
             (Kind::CantDo, Some(function)) => self.fleet.cant_do(token, function),
             // Workers may do more than this site asks for; who announces it without end must not fill the memory.
             (_, Some(function)) if !self.config.functions.iter().any(|known| known.name == function) => {
-                return note!(debug: function, "a worker can do what no function of the operator file is");
+                return log_line!(debug: function, "a worker can do what no function of the operator file is");
             }
             (kind, Some(function)) => {
                 let limit = if kind == Kind::CanDoTimeout { number(second) } else { Some(0) };
@@ -128,8 +128,9 @@
         if self.parting {
             return self.error(ctx, token, "DRAINING", "clients are sent away: submit it elsewhere");
         }
-        if workload.len() > self.config.workload || unique.len() > NAME {
-            let text = format!("a workload is {} bytes at most, a unique id {NAME}", self.config.workload);
+        if workload.len() > self.config.max_workload_bytes || unique.len() > NAME {
+            let text =
+                format!("a workload is {} bytes at most, a unique id {NAME}", self.config.max_workload_bytes);
             return self.error(ctx, token, "TOO_LARGE", &text);
         }
         let unique = if unique == b"-" {
@@ -151,7 +152,7 @@
         if self.book.full(&function.name) {
             return self.error(ctx, token, "QUEUE_FULL", "as many jobs of this function are open as may be");
         }
-        let grade = function.grades[priority];
+        let grade = function.priority_classes[priority];
         let class = &self.config.classes[grade.class.0];
         let client = ctx.next_token();
         let name = format!("{}-{client:x}", self.boot);
@@ -174,7 +175,7 @@
             class: grade.class,
             tenant: None,
             hint: None,
-            client_timeout: if background { function.background } else { grade.patience },
+            client_timeout: if background { function.background_timeout } else { grade.client_timeout },
             slots: None,
             memory: 0.0,
             key: None,
@@ -248,7 +249,7 @@
             conn.parts.extend_from_slice(&part);
         } else {
             // It ran, and what it gave cannot be served whole: it must not be served in part either.
-            note!(warn: request = attempt.request, "a result is too large for its client");
+            log_line!(warn: request = attempt.request, "a result is too large for its client");
             ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Error, None);
             self.fleet.give_up(attempt);
         }
--- a/src/net/http/callback.rs
+++ b/src/net/http/callback.rs
@@ -1,7 +1,7 @@
 //! Callbacks in which workers report the state of jobs that they accepted, and the load reports that come
 //! with them.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::request_table::AttemptUpdate;
 use crate::net::http::framing::Reject;
@@ -41,7 +41,7 @@
         ("returned", _) => AttemptUpdate::Ended(Ending::Full),
         ("lost", _) => AttemptUpdate::Ended(Ending::Broken),
         (other, _) => {
-            note!("ignored a callback with unknown state '{}'", other.escape_debug());
+            log_line!("ignored a callback with unknown state '{}'", other.escape_debug());
             return Ok(());
         }
     };
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -1,6 +1,6 @@
 //! Connections that clients open, and connections on which workers send callbacks. One listener accepts both.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
@@ -154,7 +154,7 @@
                 Err(error) => {
                     // No descriptor or memory is available: an idle connection is closed, and accepting is
                     // tried again later.
-                    note!("failed to accept a connection: {error}");
+                    log_line!("failed to accept a connection: {error}");
                     self.release_idle(ctx);
                     return ctx.deadlines.set(
                         Deadline::Connection(self.listener_token, ConnectionTimer::Accept),
@@ -176,7 +176,7 @@
         if let Err(error) =
             ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE)
         {
-            return note!("failed to register a client connection: {error}");
+            return log_line!("failed to register a client connection: {error}");
         }
         ctx.deadlines.set(
             Deadline::Connection(token, ConnectionTimer::Timeout),
@@ -368,7 +368,7 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut connection.stream, Token(token), interest) {
-            note!("failed to register a client connection again: {error}");
+            log_line!("failed to register a client connection again: {error}");
         }
         match job_from_transfer(ctx, &transfer) {
             Ok(job) => ctx.request_table.adopt(ctx.now, token, job, &transfer.history, ctx.deadlines),
--- a/src/net/http/upstream.rs
+++ b/src/net/http/upstream.rs
@@ -3,7 +3,7 @@
 //! This module never retries. A request that fails on a stale kept connection is reported as a broken
 //! attempt, and the dispatcher decides whether it is sent again.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
@@ -364,7 +364,7 @@
         if self.connections.len() >= self.max_connections {
             let idle = self.workers.values().find_map(|worker| worker.idle.first().copied());
             let Some(token) = idle else {
-                note!(
+                log_line!(
                     "no connection available for another attempt: {} connections are open",
                     self.connections.len()
                 );
@@ -382,14 +382,14 @@
         let mut stream = match connect_result {
             Ok(stream) => stream,
             Err(error) => {
-                note!("failed to connect to worker at {address}: {error}");
+                log_line!("failed to connect to worker at {address}: {error}");
                 return None;
             }
         };
         let token = ctx.next_token();
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            note!("failed to register the connection to {address}: {error}");
+            log_line!("failed to register the connection to {address}: {error}");
             return None;
         }
         ctx.deadlines
@@ -551,7 +551,7 @@
             Ok(None) if filled == FillOutcome::WouldBlock => {}
             Ok(None) => self.handle_failure(ctx, token),
             Err(_) => {
-                note!("malformed response from a worker");
+                log_line!("malformed response from a worker");
                 self.handle_failure(ctx, token);
             }
         }
@@ -642,7 +642,7 @@
         503 | 504 if unstarted => ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, report),
         status => {
             if status != 500 {
-                note!("a worker answered with status {status}");
+                log_line!("a worker answered with status {status}");
             }
             // An error in the client's request must not count against the worker, nor be tried at all other
             // workers.
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -2,12 +2,12 @@
 //! which version is in force here. It opens connections but accepts none. [`calicolb_agreed::Learner`]
 //! decides which messages count; the event loop applies a new version between two iterations.
 
-use crate::config::agreed::{Here, whole};
+use crate::config::agreed::{SchedulerRules, with_local_settings};
 use crate::config::document::{self, Document};
-use crate::config::{LearnerConfig, Renewal, SettingsError};
-use crate::log::note;
+use crate::config::{LearnerConfig, SettingsError, SettingsUpdate};
+use crate::log::log_line;
 use crate::net::Context;
-use crate::net::control::form::{InForce as InForceReport, Line};
+use crate::net::control::messages::{InForceReport, WatchLine};
 use crate::net::core::buffer::Buffer;
 use crate::net::core::deadlines::Deadline;
 use crate::net::http::framing;
@@ -76,17 +76,17 @@
     pub fn new(config: LearnerConfig, name: &str, seed: u64) -> ControlClient {
         let machines = shuffled_machines(config.machines, name);
         // The settings of the local configuration are in force until a version is agreed.
-        let initial = Version::new(0, config.settings);
-        let rules = Here { own: config.own.clone() };
-        let learner = Learner::with(config.silence, Box::new(rules), initial);
+        let initial = Version::new(0, config.initial_settings);
+        let rules = SchedulerRules { local_settings: config.local_settings.clone() };
+        let learner = Learner::with(config.max_silence, Box::new(rules), initial);
         let in_force = learner.in_force(0);
         ControlClient {
             machines,
             current: 0,
             name: name.to_owned(),
-            majority_timeout: config.silence,
+            majority_timeout: config.max_silence,
             learner,
-            local_settings: config.own,
+            local_settings: config.local_settings,
             watch: None,
             opened_at: 0,
             last_input: None,
@@ -106,7 +106,7 @@
 
     /// Opens the watch.
     pub fn start(&mut self, ctx: &mut Context<'_>) {
-        note!(
+        log_line!(
             "settings are agreed by {} control machines; connecting to {} first",
             self.machines.len(),
             self.machines[0]
@@ -152,7 +152,7 @@
                 Some(Call { token, stream, buffer, head_received: false, pending: Vec::new() })
             }
             Err(error) => {
-                note!(debug: "failed to call a control machine: {error}");
+                log_line!(debug: "failed to call a control machine: {error}");
                 None
             }
         }
@@ -179,7 +179,7 @@
     }
 
     fn handle_loss(&mut self, ctx: &mut Context<'_>, why: &str) {
-        note!(debug: "control machine {}: {why}", self.machines[self.current]);
+        log_line!(debug: "control machine {}: {why}", self.machines[self.current]);
         for call in [self.watch.take(), self.report_call.take()].into_iter().flatten() {
             close_call(ctx, call);
         }
@@ -199,7 +199,7 @@
                 }
             }
         } else if let Some(mut call) = self.watch.take_if(|call| call.token == token) {
-            let mut lines: Vec<Line> = Vec::new();
+            let mut lines: Vec<WatchLine> = Vec::new();
             let WatchRead { input, end } = read_watch(&mut call, &mut lines);
             self.watch = Some(call);
             if input != WatchInput::None {
@@ -207,7 +207,7 @@
                 // An empty line means that nothing is new and is sent only by a machine with a majority. An
                 // incomplete line means nothing.
                 if input == WatchInput::Complete && lines.is_empty() {
-                    lines.push(Line { seq: self.machine_seq, majority: true, ..Line::default() });
+                    lines.push(WatchLine { seq: self.machine_seq, majority: true, ..WatchLine::default() });
                 }
             }
             let result = lines.into_iter().try_for_each(|line| self.apply_line(ctx, line));
@@ -219,7 +219,7 @@
         self.update_deadlines(ctx);
     }
 
-    fn apply_line(&mut self, ctx: &mut Context<'_>, line: Line) -> Result<(), &'static str> {
+    fn apply_line(&mut self, ctx: &mut Context<'_>, line: WatchLine) -> Result<(), &'static str> {
         self.failures = 0;
         self.machine_seq = line.seq;
         let (seq, majority) = (line.seq, line.majority);
@@ -227,20 +227,20 @@
             self.last_majority = ctx.now;
         }
         let digest = |text: &str| text.parse().map_err(|_| "received a malformed digest");
-        let message = if line.whole {
+        let message = if line.complete {
             let version = Version { seq, digest: digest(&line.digest)?, document: Arc::new(line.settings) };
             Message::Whole { version, majority }
-        } else if line.from.is_empty() {
+        } else if line.base_digest.is_empty() {
             Message::Here { seq, majority }
         } else {
             let change = Change { set: line.set, unset: line.unset };
-            let (from_digest, digest) = (digest(&line.from)?, digest(&line.digest)?);
+            let (from_digest, digest) = (digest(&line.base_digest)?, digest(&line.digest)?);
             Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
         };
         match self.learner.hear(ctx.now, message) {
             Taken::Gap => Err("received a change that does not follow the known version"),
             Taken::Refused(fault) => {
-                note!(warn: "version {seq} cannot be applied: '{}' {}", fault.key, fault.why);
+                log_line!(warn: "version {seq} cannot be applied: '{}' {}", fault.key, fault.why);
                 Ok(())
             }
             Taken::Nothing | Taken::InForce | Taken::Tightened => Ok(()),
@@ -248,13 +248,16 @@
     }
 
     /// Returns a version that has not been offered to the event loop yet, with its checked settings.
-    pub fn next_version(&mut self, now: Micros) -> Option<(Arc<InForce>, Result<Renewal, SettingsError>)> {
+    pub fn next_version(
+        &mut self,
+        now: Micros,
+    ) -> Option<(Arc<InForce>, Result<SettingsUpdate, SettingsError>)> {
         let latest = self.learner.in_force(now);
         if Arc::ptr_eq(&latest, &self.offered) {
             return None;
         }
         self.offered = Arc::clone(&latest);
-        let checked = document::check(&whole(&latest.document, &self.local_settings));
+        let checked = document::check(&with_local_settings(&latest.document, &self.local_settings));
         Some((latest, checked))
     }
 
@@ -266,16 +269,16 @@
         outcome: Result<(), SettingsError>,
     ) {
         match (outcome, version.tightened_to) {
-            (Ok(()), None) => note!(seq = version.seq, "version {} is in force", version.seq),
+            (Ok(()), None) => log_line!(seq = version.seq, "version {} is in force", version.seq),
             (Ok(()), Some(seq)) => {
-                note!(
+                log_line!(
                     seq,
                     "applied only the tightening settings of version {seq}: the control machine had no majority"
                 );
             }
             (Err(fault), _) => {
                 let seq = version.tightened_to.unwrap_or(version.seq);
-                note!(warn: "version {seq} cannot be applied: '{}' {}; version {} stays in force", fault.key, fault.reason,
+                log_line!(warn: "version {seq} cannot be applied: '{}' {}; version {} stays in force", fault.key, fault.reason,
                     self.in_force.seq);
                 return;
             }
@@ -338,10 +341,10 @@
         if behind != self.behind && (past_start || !behind) {
             self.behind = behind;
             if behind {
-                note!(warn: "behind: no recent message from a majority of the control machines, or the agreed version cannot \
+                log_line!(warn: "behind: no recent message from a majority of the control machines, or the agreed version cannot \
                     be applied; version {} stays in force", self.in_force.seq);
             } else {
-                note!("up to date with the control machines at version {}", self.in_force.seq);
+                log_line!("up to date with the control machines at version {}", self.in_force.seq);
             }
         }
         let mut deadline = self.retry_at;
--- a/src/net/platform/discovery/mod.rs
+++ b/src/net/platform/discovery/mod.rs
@@ -8,8 +8,8 @@
 mod versions;
 
 use self::entry::Entry;
-use crate::config::list::Update;
-use crate::log::note;
+use crate::config::worker_list::ListUpdate;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::buffer::Buffer;
 use crate::net::core::deadlines::Deadline;
@@ -104,7 +104,7 @@
         &mut self,
         ctx: &mut Context<'_>,
         workers: &mut UpstreamConnections,
-        initial: Option<Update>,
+        initial: Option<ListUpdate>,
         since_confirmation: Option<Micros>,
     ) {
         // With a local agent the lease starts with the process, whatever the predecessor was notified of.
@@ -112,7 +112,7 @@
         {
             self.clock.confirm(self.clock.started().saturating_sub(elapsed));
         }
-        let update = initial.unwrap_or(Update { seq: 0, whole: true, hosts: Vec::new() });
+        let update = initial.unwrap_or(ListUpdate { seq: 0, whole: true, hosts: Vec::new() });
         self.apply(ctx, workers, update, ListKind::Saved);
         ctx.deadlines.set(Deadline::Readiness, self.clock.started() + READY_TIMEOUT);
         self.update_deadlines(ctx);
@@ -153,9 +153,9 @@
     }
 
     /// The known list, for the handover to a successor.
-    pub fn known_list(&self) -> Update {
+    pub fn known_list(&self) -> ListUpdate {
         let hosts = self.listed.values().filter_map(|entry| serde_json::to_value(entry).ok()).collect();
-        Update { seq: self.seq, whole: true, hosts }
+        ListUpdate { seq: self.seq, whole: true, hosts }
     }
 
     /// Requests the whole list once.
@@ -214,7 +214,7 @@
         }
         let usable = !self.stale(ctx.now);
         if usable && !self.usable && self.discovery.is_some() {
-            note!(seq = self.seq, "discovery: the list is confirmed");
+            log_line!(seq = self.seq, "discovery: the list is confirmed");
         }
         self.usable = usable;
     }
@@ -229,7 +229,7 @@
     pub fn handle_expiry(&mut self, now: Micros) {
         if self.stale(now) {
             self.usable = false;
-            note!(warn: seq = self.seq, "discovery: the list is too old: nothing new is sent until it is confirmed");
+            log_line!(warn: seq = self.seq, "discovery: the list is too old: nothing new is sent until it is confirmed");
         }
     }
 
@@ -257,7 +257,7 @@
     ) -> Option<Call> {
         let discovery = self.discovery?;
         self.counters.calls += 1;
-        note!(seq = self.seq, %discovery, target, "discovery: opening a call");
+        log_line!(seq = self.seq, %discovery, target, "discovery: opening a call");
         let mut connect_result = TcpStream::connect(discovery);
         // The connect fails when the process is out of descriptors, for example. Nothing can be sent without
         // the list, so an idle client connection is closed to free one.
@@ -278,7 +278,7 @@
                 Some(Call { token, stream, buffer, head_received: false, pending: Vec::new() })
             }
             Err(error) => {
-                note!("failed to call discovery: {error}");
+                log_line!("failed to call discovery: {error}");
                 self.report_loss(ctx);
                 None
             }
@@ -341,7 +341,7 @@
             // A list older than the known one confirms nothing about the known one.
             _ if applied.is_err() => {}
             _ if overdue => {
-                note!("discovery: input that stayed unread past its deadline does not confirm the list")
+                log_line!("discovery: input that stayed unread past its deadline does not confirm the list")
             }
             WatchInput::Partial => self.clock.bytes_received(ctx.now),
             WatchInput::Complete => {
@@ -386,7 +386,7 @@
 
     fn handle_loss(&mut self, ctx: &mut Context<'_>, call: Call, due: Deadline, why: &str) {
         self.counters.lost += 1;
-        note!(seq = self.seq, "discovery: {why}");
+        log_line!(seq = self.seq, "discovery: {why}");
         close_call(ctx, call);
         if due == Deadline::DiscoveryFetch {
             ctx.deadlines.clear(due);
--- a/src/net/platform/discovery/peer_queries.rs
+++ b/src/net/platform/discovery/peer_queries.rs
@@ -3,7 +3,7 @@
 
 use super::DiscoveryClient;
 use super::digest::list_digest;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::{Context, PeerTarget};
 use calicolb_freshness::witness::{Inquiry, Message, PEERS_PER_QUESTION, Verdict};
 
@@ -33,7 +33,7 @@
                     Verdict::Confirmed => self.counters.confirmed_by_peer += 1,
                     Verdict::Behind => self.counters.newer_at_peer += 1,
                 }
-                note!(
+                log_line!(
                     seq = self.seq,
                     from,
                     age_ms,
--- a/src/net/platform/discovery/versions.rs
+++ b/src/net/platform/discovery/versions.rs
@@ -2,8 +2,8 @@
 
 use super::entry::{Entry, read_member};
 use super::{DiscoveryClient, MAX_WORKERS};
-use crate::config::list::Update;
-use crate::log::note;
+use crate::config::worker_list::ListUpdate;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::worker_registry::WorkerSource;
 use crate::net::http::upstream::UpstreamConnections;
@@ -21,7 +21,7 @@
         &mut self,
         ctx: &mut Context<'_>,
         workers: &mut UpstreamConnections,
-        update: Update,
+        update: ListUpdate,
     ) -> Result<(), &'static str> {
         let confirmed = self.clock.confirmed().unwrap_or(self.clock.started());
         if update.seq < self.seq && ctx.now < confirmed + MISSED_CHANGE_DELAY {
@@ -39,7 +39,7 @@
         &mut self,
         ctx: &mut Context<'_>,
         workers: &mut UpstreamConnections,
-        update: Update,
+        update: ListUpdate,
         kind: ListKind,
     ) {
         let (before, entry_count) = (self.seq, update.hosts.len());
@@ -49,7 +49,7 @@
         for value in update.hosts {
             match self.read_entry(ctx, workers, value) {
                 Ok(member) => members.push(member),
-                Err(error) => note!("a line of the list is dropped: {error}"),
+                Err(error) => log_line!("a line of the list is dropped: {error}"),
             }
         }
         if kind != ListKind::Changes {
@@ -72,7 +72,7 @@
         let (draining, gone) = (count(WorkerStatus::Draining), count(WorkerStatus::Gone));
         self.counters.versions += 1;
         if self.discovery.is_some() {
-            note!(
+            log_line!(
                 seq = self.seq,
                 before,
                 ?kind,
--- a/src/net/platform/inherited_socket.rs
+++ b/src/net/platform/inherited_socket.rs
@@ -1,6 +1,6 @@
 //! The clients' listening socket, which may be a file descriptor that this process was started with.
 
-use crate::log::note;
+use crate::log::log_line;
 use listenfd::ListenFd;
 use mio::net::TcpListener;
 use std::ffi::OsString;
@@ -30,7 +30,7 @@
         }
         Err(error) => error,
     };
-    note!("failed to use the passed socket: {error}");
+    log_line!("failed to use the passed socket: {error}");
 }
 
 /// Returns the passed socket, or else a newly bound one, and whether it was passed.
@@ -41,8 +41,8 @@
                 listener.set_nonblocking(true)?;
                 return Ok((TcpListener::from_std(listener), true));
             }
-            Ok(None) => note!("the configured descriptor holds no passed socket"),
-            Err(error) => note!("failed to use the passed socket: {error}"),
+            Ok(None) => log_line!("the configured descriptor holds no passed socket"),
+            Err(error) => log_line!("failed to use the passed socket: {error}"),
         }
     }
     Ok((TcpListener::bind(listen)?, false))
--- a/src/net/platform/peer_socket.rs
+++ b/src/net/platform/peer_socket.rs
@@ -1,6 +1,6 @@
 //! Datagrams between schedulers. Only datagrams from the configured addresses are accepted.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::deadlines::Deadline;
 use crate::net::{Context, PeerTarget};
 use calicolb_freshness::witness::{self, Message};
@@ -66,8 +66,8 @@
                         Some(rank) if length <= MAX_MESSAGE_BYTES => {
                             ctx.request_table.peer_message(rank as u32, bytes[..length].to_vec())
                         }
-                        Some(_) => note!("ignored a datagram from {from}: it is too long"),
-                        None => note!("ignored a datagram from {from}, which is not a peer"),
+                        Some(_) => log_line!("ignored a datagram from {from}: it is too long"),
+                        None => log_line!("ignored a datagram from {from}, which is not a peer"),
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return list_messages,
@@ -105,11 +105,11 @@
         };
         match address {
             Some(_) if body.len() > MAX_MESSAGE_BYTES => {
-                note!("cannot send a message of {} bytes: it is too long", body.len())
+                log_line!("cannot send a message of {} bytes: it is too long", body.len())
             }
             // Datagrams may be lost on the network anyway, so send errors are ignored.
             Some(address) => drop(self.socket.send_to(body, address)),
-            None => note!("cannot send a message to {to:?}, which is not a peer"),
+            None => log_line!("cannot send a message to {to:?}, which is not a peer"),
         }
     }
 }
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -4,8 +4,8 @@
 //!
 //! This module only carries messages. The event loop acts on them.
 
-use crate::config::list::Update;
-use crate::log::note;
+use crate::config::worker_list::ListUpdate;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::core::transfer::{AnyTransfer, Transfer};
@@ -73,7 +73,7 @@
 pub struct Handover {
     /// The list of workers and its version.
     #[serde(rename = "routes")]
-    pub worker_list: Update,
+    pub worker_list: ListUpdate,
     /// The predecessor's clock when this message was written, in microseconds. Older versions do not send it.
     #[serde(default)]
     pub clock: Option<Micros>,
@@ -207,7 +207,7 @@
         match bind() {
             Ok(listener) => self.listener = Some(listener),
             // Serving takes precedence: without the listener only the next upgrade fails to hand over.
-            Err(error) => note!("failed to listen for a successor at {}: {error}", path.display()),
+            Err(error) => log_line!("failed to listen for a successor at {}: {error}", path.display()),
         }
     }
 
@@ -254,7 +254,7 @@
             match serde_json::from_slice(&link.buffer.input()[..end]) {
                 Ok(message) => messages.push(message),
                 Err(error) => {
-                    note!("malformed message from the {role:?}: {error}");
+                    log_line!("malformed message from the {role:?}: {error}");
                     intact = false;
                 }
             }
@@ -271,14 +271,14 @@
     pub fn send(&mut self, role: Role, message: &Message) {
         let Some(link) = self.link(role) else { return };
         let Ok(mut line) = serde_json::to_vec(message) else {
-            return note!("failed to serialize a message to the {role:?}");
+            return log_line!("failed to serialize a message to the {role:?}");
         };
         line.push(b'\n');
         link.buffer.append_output(&line);
         // A broken link is also reported by the poll and handled there.
         let _ = link.buffer.flush(&mut link.stream);
         if link.buffer.pending_output() > MAX_MESSAGE_BYTES {
-            note!("the {role:?} does not read its messages");
+            log_line!("the {role:?} does not read its messages");
             let _ = link.stream.shutdown(Shutdown::Both);
             link.buffer = Buffer::default();
         }
@@ -354,7 +354,7 @@
     match ctx.registry.register(&mut stream, Token(token), Interest::READABLE | Interest::WRITABLE) {
         Ok(()) => Some(Link { token, stream, buffer: Buffer::default() }),
         Err(error) => {
-            note!("failed to register the link to another process: {error}");
+            log_line!("failed to register the link to another process: {error}");
             None
         }
     }
