--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -35,7 +35,7 @@
         let request = Request {
             deadline,
             queue_key: order,
-            over_share: over_share,
+            over_share,
             worth_per_work: value,
             lower_bound_factor: doubt,
             ..attributes
