--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -1,252 +1,263 @@
-//! How fresh a scheduler's list of stock workers is.
+//! Freshness of a scheduler's worker list.
 //!
-//! What discovery has to tell counts as told at some time, whether it arrived or not; from then on a scheduler has a
-//! grace to stop sending to what drains or has gone. The list is therefore held like a lease: each whole word of discovery
-//! renews it, and when it runs out nothing may be sent by it. This crate is the one place that knows when that is. It has
-//! no I/O and no clock: whoever holds the connections says what happened and when, asks when to look again
-//! ([`ListLease::due`]) and what to do then ([`ListLease::poll`]), and tells the decision module until when the list may
-//! be acted on ([`ListLease::lease_end`]).
+//! A change in the discovery service counts as notified to a scheduler at a certain time, whether the scheduler
+//! received it or not. From then on the scheduler has a grace period to stop sending to workers that drain or were
+//! removed. The list is therefore held under a lease: each complete message of discovery renews the lease, and when the
+//! lease ends, the list must not be used to send anything. This crate computes the end of the lease. It has no I/O and
+//! no clock: the owner of the connections reports what happened and when, asks for the time of the next check
+//! ([`ListLease::due`]) and for the action that is due then ([`ListLease::poll`]), and passes the end of the lease
+//! ([`ListLease::lease_end`]) to the decision module.
 //!
 //! | state | begins | ends |
 //! | --- | --- | --- |
-//! | [`WatchState::Opening`] | with a call | with the first word of its answer, its end, or [`AGENT_TIMEOUT`] |
-//! | [`WatchState::Open`] | with a whole word of the watch: a change or an empty line | when none came for [`SILENCE_TIMEOUT`], or it broke |
-//! | [`WatchState::Closed`] | with the end, or the silence, of what was open | with the next call |
+//! | [`WatchState::Opening`] | with a call | with the first message of the answer, the end of the call, or [`AGENT_TIMEOUT`] or [`SERVICE_TIMEOUT`] |
+//! | [`WatchState::Open`] | with a complete message of the watch: a change or an empty line | when there was none for [`SILENCE_TIMEOUT`], or the watch broke |
+//! | [`WatchState::Closed`] | with the end or the silence of the watch or call | with the next call |
 //!
-//! A list that discovery has never confirmed to this process, such as the one saved in its configuration, may be of any
-//! age: where the list is asked for, nothing may be sent by it. Only a whole word renews the lease; bytes of a change that
-//! is not complete keep the watch open for [`MISSED_CHANGE_DELAY`] at most.
+//! A list that discovery has never confirmed to this process, such as the one stored in its configuration, may be of
+//! any age: with a shared service, nothing may be sent by it. Only a complete message renews the lease. Bytes of an
+//! incomplete change keep the watch open, but for no longer than [`MISSED_CHANGE_DELAY`].
 //!
-//! What was missed counts as told [`MISSED_CHANGE_DELAY`] after discovery had it and could be reached. A call that it refuses or ends tells
-//! that it could not be reached when the call was made, so that the time runs anew from there; silence, of a watch or of a
-//! call, tells nothing of the kind, and after it the time runs on until a word comes. The same holds once another scheduler
-//! has reached discovery meanwhile ([`ListLease::discovery_reachable`]).
+//! A missed change counts as notified [`MISSED_CHANGE_DELAY`] after discovery had it and could be reached. If discovery
+//! refuses or ends a call, it could not be reached when the call was made, so the delay starts again at that time. The
+//! silence of a watch or a call does not show this, so after a silence the delay keeps running until a message arrives.
+//! The same applies if another scheduler has reached discovery in the meantime ([`ListLease::discovery_reachable`]).
 //!
-//! Where the list is *pushed*, an agent on the scheduler's own machine answers at once and at no cost: the clock itself
-//! asks for each call ([`Act::Open`]), again and again while nobody answers. Where it is *asked for*, one service serves
-//! the whole fleet and calls have a price: when to ask is the decision module's, and the clock only tells that a watch
-//! or a call has fallen silent ([`WatchAction::GiveUp`]). See `docs/freshness.md`.
+//! With a *local agent* ([`ListSource::LocalAgent`]), an agent on the scheduler's own machine answers at once and at no
+//! cost: the lease requests each call itself ([`WatchAction::Open`]) and repeats it until there is an answer. With a
+//! *shared service* ([`ListSource::SharedService`]), one service serves the whole fleet and calls have a cost: the
+//! decision module decides when to call, and the lease only reports that a watch or a call has fallen silent
+//! ([`WatchAction::GiveUp`]).
 
 pub mod witness;
 
-/// A time on the caller's clock, or a span, in microseconds.
+/// A point in time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
 const MILLI: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// While nothing changes a watch brings an empty line at this interval.
+/// Interval of the empty lines that a watch sends while nothing changes.
 pub const KEEPALIVE_INTERVAL: Micros = 2 * SECOND;
-/// A watch that brought nothing for this long is silent: one beat, and what a busy machine may add to it.
+/// A watch is silent if nothing arrived for this time: one keepalive interval, and the delay that a busy machine may
+/// add.
 pub const SILENCE_TIMEOUT: Micros = KEEPALIVE_INTERVAL + 750 * MILLI;
-/// What a silent watch misses counts as told so long after it fell silent.
+/// Changes that a silent watch missed count as notified this long after the watch fell silent.
 pub const MISSED_CHANGE_DELAY: Micros = 6 * SECOND;
-/// After a move of discovery, what is to be had there counts as told so long after the move.
+/// Changes at the new address of discovery count as notified this long after the move.
 pub const MOVE_DELAY: Micros = 4 * SECOND;
-/// An agent answers at once: a call that brought no word for this long meets one that is silent.
+/// A call to a local agent is silent if there was no message for this time, since an agent answers at once.
 pub const AGENT_TIMEOUT: Micros = SECOND;
-/// A call that waits its turn at a service that is asked has this long: such a service answers, or refuses, within 2 s, and
-/// a second call has to fit in before what the first one missed counts.
+/// A call to a shared service, which may have to queue there, is silent if there was no message for this time. The
+/// service answers or refuses within 2 s, and a second call must fit in before changes that the first one missed count.
 pub const SERVICE_TIMEOUT: Micros = 3 * SECOND;
-/// A scheduler may be held up for so long between reading its clock and writing: the lease ends earlier by as much.
+/// Maximum delay of a scheduler between reading its clock and writing to a connection. The lease ends earlier by this
+/// time.
 pub const WRITE_DELAY_MARGIN: Micros = 150 * MILLI;
-/// Calls to an agent follow each other at this distance at the soonest.
+/// Minimum interval between two calls to a local agent.
 pub const MIN_CALL_INTERVAL: Micros = 250 * MILLI;
 
-/// How a scheduler comes by the list.
+/// Source of a scheduler's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// An agent on its own machine holds what it was sent, and counts as having told it.
+    /// An agent on the scheduler's machine. Changes that the agent has received count as notified.
     LocalAgent,
-    /// One service for the fleet is asked.
+    /// One service for the whole fleet, which the scheduler calls.
     SharedService,
-    /// There is no discovery: nobody has anything to tell, and the list holds without a limit.
+    /// There is no discovery: the list never changes, and the lease has no end.
     Fixed,
 }
 
-/// See the head of this crate.
+/// State of the watch. The table in the crate documentation shows how the states follow each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchState {
-    /// A call is out, since this time, and has brought no word yet.
+    /// A call was made at this time and has brought no complete message yet.
     Opening(Micros),
-    /// A watch is open; its last whole word came at this time.
+    /// A watch is open, and its last complete message arrived at this time.
     Open(Micros),
-    /// No watch is open, and no call is out, since this time.
+    /// Since this time no watch is open and no call is outstanding.
     Closed(Micros),
 }
 
-/// What is to be done.
+/// An action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchAction {
-    /// Begin a watch. One that is open is silent; it may be read on until the new one has brought a word.
+    /// Open a new watch. A watch that is still open is silent; it may be read until the new one has brought a message.
     Open,
-    /// What is open, or was called, is silent: it is to be ended, and the decision module to be told.
+    /// The watch or call is silent: end it, and notify the decision module.
     GiveUp,
 }
 
-/// See the head of this crate.
+/// Lease on the worker list. The crate documentation describes how it is renewed.
 #[derive(Clone, Debug)]
 pub struct ListLease {
-    mode: ListSource,
+    source: ListSource,
+    /// Time after the notification of a change for which a scheduler may still act on the old list.
     grace: Micros,
+    /// Start of the process.
     started: Micros,
     state: WatchState,
-    /// The time of the last call.
-    called: Option<Micros>,
-    /// When bytes last came that were no whole word yet.
-    received: Micros,
-    /// When the list was last known to be complete.
+    /// Time of the last call.
+    last_call: Option<Micros>,
+    /// Time at which bytes, complete message or not, last arrived.
+    last_bytes: Micros,
+    /// Time at which the list was last known to be complete.
     confirmed: Option<Micros>,
-    /// By this time what may have been missed counts as told; `None`: at any time before the process began.
-    told: Option<Micros>,
-    /// Since the list was confirmed discovery may have been reachable: a refused call proves nothing of that time.
-    silent: bool,
-    /// Discovery is to be had elsewhere, and has not spoken from there yet: what others heard may be of the old place.
+    /// Time at which changes that may have been missed count as notified; `None`: at a time before the process started.
+    notified_at: Option<Micros>,
+    /// Whether discovery may have been reachable since the list was confirmed. A refused call then does not extend the
+    /// lease.
+    maybe_reachable: bool,
+    /// Whether discovery has moved and no message has arrived from the new address yet. Confirmations of other
+    /// schedulers may then refer to the old address.
     moved: bool,
 }
 
 impl ListLease {
-    /// The clock of a process that starts now. `grace`: how long after it was told of a change a scheduler may go on
-    /// as before.
-    pub fn new(mode: ListSource, grace: Micros, now: Micros) -> Self {
-        // What an agent holds counts as told from the first moment of a process.
-        let told = (mode == ListSource::LocalAgent).then_some(now);
+    /// Creates the lease of a process that starts at `now`. `grace` is the time after the notification of a change for
+    /// which a scheduler may still act on the old list.
+    pub fn new(source: ListSource, grace: Micros, now: Micros) -> Self {
+        // Changes that a local agent has received count as notified from the start of the process.
+        let notified_at = (source == ListSource::LocalAgent).then_some(now);
         ListLease {
-            mode,
+            source,
             grace,
             started: now,
             state: WatchState::Closed(now),
-            called: None,
-            received: now,
+            last_call: None,
+            last_bytes: now,
             confirmed: None,
-            told,
-            silent: true,
+            notified_at,
+            maybe_reachable: true,
             moved: false,
         }
     }
 
-    /// Another grace is in force; tells whether it differs.
+    /// Changes the grace period, and returns whether it differs from the previous one.
     pub fn set_grace(&mut self, grace: Micros) -> bool {
         std::mem::replace(&mut self.grace, grace) != grace
     }
 
-    /// How the list is come by.
+    /// Returns the source of the list.
     pub fn source(&self) -> ListSource {
-        self.mode
+        self.source
     }
 
-    /// What is known of the watch.
+    /// Returns the state of the watch.
     pub fn state(&self) -> WatchState {
         self.state
     }
 
-    /// When the process of this clock began.
+    /// Returns the start time of the process.
     pub fn started(&self) -> Micros {
         self.started
     }
 
-    /// When the list was last known to be complete; `None`: never in this process.
+    /// Returns the time at which the list was last known to be complete; `None` if it never was in this process.
     pub fn confirmed(&self) -> Option<Micros> {
         self.confirmed
     }
 
-    /// A call for a watch goes out.
+    /// Records that a call for a watch is made.
     pub fn watch_requested(&mut self, now: Micros) {
-        self.called = Some(now);
+        self.last_call = Some(now);
         self.state = WatchState::Opening(now);
     }
 
-    /// The watch has brought a whole word, a change or an empty line, and nothing of a change is outstanding. Its first
-    /// word brings all that was missed, or tells that there was nothing.
+    /// Records a complete message of the watch, a change or an empty line, after which no part of a change is
+    /// outstanding. The first message of a watch contains all changes that were missed, if there were any.
     pub fn message_received(&mut self, now: Micros) {
         self.state = WatchState::Open(now);
-        self.received = now;
+        self.last_bytes = now;
         self.moved = false;
         self.confirm(now);
     }
 
-    /// The watch has brought bytes that are not whole yet: it is open, and the list is no fresher.
+    /// Records bytes of an incomplete message: the watch is open, but the lease is not renewed.
     pub fn bytes_received(&mut self, now: Micros) {
-        self.received = now;
+        self.last_bytes = now;
     }
 
-    /// The list was complete at this time, as somebody knows who has the same list; tells whether that counts. After a move
-    /// of discovery it does not before the next own word.
+    /// Records that the list was complete at this time, as confirmed by a scheduler with the same list. Returns whether
+    /// the confirmation counts: after a move of discovery it does not until the watch has brought a message.
     pub fn confirm(&mut self, at: Micros) -> bool {
         if self.moved {
             return false;
         }
         if self.confirmed.is_none_or(|confirmed| at >= confirmed) {
             self.confirmed = Some(at);
-            self.silent = false;
+            self.maybe_reachable = false;
         }
-        self.told = self.told.max(Some(at + MISSED_CHANGE_DELAY));
+        self.notified_at = self.notified_at.max(Some(at + MISSED_CHANGE_DELAY));
         true
     }
 
-    /// Discovery could be reached by somebody at this time, after the list was last confirmed: what it had by then counts
-    /// in its time, and calls that are refused prove nothing any more.
+    /// Records that another scheduler could reach discovery at this time, after the list was last confirmed. Changes
+    /// that discovery had by then count as notified after the usual delay, and refused calls no longer extend the
+    /// lease.
     pub fn discovery_reachable(&mut self, at: Micros) {
-        self.silent = true;
-        self.told = self.told.map(|told| told.min(at + MISSED_CHANGE_DELAY));
+        self.maybe_reachable = true;
+        self.notified_at = self.notified_at.map(|notified_at| notified_at.min(at + MISSED_CHANGE_DELAY));
     }
 
-    /// The call or the watch has been refused or ended from outside.
+    /// Records that discovery refused the call, or that it ended the call or the watch.
     pub fn watch_failed(&mut self, now: Micros) {
-        if let (WatchState::Opening(called), ListSource::SharedService, Some(told), false) =
-            (self.state, self.mode, self.told, self.silent)
+        if let (WatchState::Opening(called), ListSource::SharedService, Some(notified_at), false) =
+            (self.state, self.source, self.notified_at, self.maybe_reachable)
         {
-            self.told = Some(told.max(called + MISSED_CHANGE_DELAY));
+            self.notified_at = Some(notified_at.max(called + MISSED_CHANGE_DELAY));
         }
         self.state = WatchState::Closed(now);
     }
 
-    /// The watch was ended here, is not wanted, or could not be asked for.
+    /// Records that this scheduler ended the watch, or could not or did not want to request one.
     pub fn watch_closed(&mut self, now: Micros) {
-        self.silent = true;
+        self.maybe_reachable = true;
         self.state = WatchState::Closed(now);
     }
 
-    /// Discovery is to be had elsewhere from now on. What is there counts soon; what was missed before, no later for it.
+    /// Records that discovery has moved to another address. Changes at the new address count as notified after
+    /// [`MOVE_DELAY`]; changes that were missed before do not count any later because of the move.
     pub fn discovery_moved(&mut self, now: Micros) {
-        self.told = self.told.map(|told| told.min(now + MOVE_DELAY));
+        self.notified_at = self.notified_at.map(|notified_at| notified_at.min(now + MOVE_DELAY));
         self.moved = true;
         self.state = WatchState::Closed(now);
-        self.called = None;
+        self.last_call = None;
     }
 
-    /// When [`ListLease::poll`] is to be asked next, if nothing happens before.
+    /// Returns the time at which [`ListLease::poll`] is to be called next, if nothing happens before.
     pub fn due(&self) -> Option<Micros> {
-        match (self.state, self.mode) {
+        match (self.state, self.source) {
             (_, ListSource::Fixed) | (WatchState::Closed(_), ListSource::SharedService) => None,
             (WatchState::Opening(since), ListSource::LocalAgent) => {
-                Some(self.silence_after(since, AGENT_TIMEOUT))
+                Some(self.silent_at(since, AGENT_TIMEOUT))
             }
             (WatchState::Opening(since), ListSource::SharedService) => {
-                Some(self.silence_after(since, SERVICE_TIMEOUT))
+                Some(self.silent_at(since, SERVICE_TIMEOUT))
             }
-            (WatchState::Open(heard), _) => Some(self.silence_after(heard, SILENCE_TIMEOUT)),
+            (WatchState::Open(last), _) => Some(self.silent_at(last, SILENCE_TIMEOUT)),
             (WatchState::Closed(since), ListSource::LocalAgent) => {
-                // One that ends at once, again and again, is called at a pace.
-                Some(self.called.map_or(since, |called| since.max(called + MIN_CALL_INTERVAL)))
+                // The minimum interval limits the calls if each watch ends at once.
+                Some(self.last_call.map_or(since, |called| since.max(called + MIN_CALL_INTERVAL)))
             }
         }
     }
 
-    /// When a watch counts as silent whose last whole word, or whose call, was at this time: bytes that are no whole word
-    /// put it off, but not for ever.
-    fn silence_after(&self, word: Micros, patience: Micros) -> Micros {
-        let most = word + MISSED_CHANGE_DELAY.max(patience);
-        (self.received.max(word) + patience).min(most)
+    /// Returns the time at which a watch counts as silent if its last complete message, or its call, was at `last`.
+    /// Bytes of an incomplete message postpone this time by up to `timeout` after them, but to no later than
+    /// [`MISSED_CHANGE_DELAY`], or `timeout` if that is longer, after `last`.
+    fn silent_at(&self, last: Micros, timeout: Micros) -> Micros {
+        let max = last + MISSED_CHANGE_DELAY.max(timeout);
+        (self.last_bytes.max(last) + timeout).min(max)
     }
 
-    /// What is to be done now.
+    /// Returns the action that is due at `now`, if any.
     pub fn poll(&mut self, now: Micros) -> Option<WatchAction> {
         if self.due().is_none_or(|due| due > now) {
             return None;
         }
-        self.silent = true;
-        match self.mode {
+        self.maybe_reachable = true;
+        match self.source {
             ListSource::LocalAgent => Some(WatchAction::Open),
             ListSource::SharedService | ListSource::Fixed => {
                 self.state = WatchState::Closed(now);
@@ -255,12 +266,13 @@
         }
     }
 
-    /// Until when the list may be acted on: from then on, what was not heard counts as told for longer than the grace.
-    /// `None`: without a limit, as there is no discovery. A list that was never confirmed may not be acted on at all.
+    /// Returns the end of the lease. From then on, changes that may have been missed count as notified for longer than
+    /// the grace period, and the list must not be used. `None`: the lease has no end, since there is no discovery. The
+    /// lease on a list that was never confirmed ends at the start of the process.
     pub fn lease_end(&self) -> Option<Micros> {
-        let Some(told) = self.told else {
-            return (self.mode != ListSource::Fixed).then_some(self.started);
+        let Some(notified_at) = self.notified_at else {
+            return (self.source != ListSource::Fixed).then_some(self.started);
         };
-        Some((told + self.grace).saturating_sub(WRITE_DELAY_MARGIN))
+        Some((notified_at + self.grace).saturating_sub(WRITE_DELAY_MARGIN))
     }
 }
--- a/crates/freshness/src/witness.rs
+++ b/crates/freshness/src/witness.rs
@@ -1,12 +1,13 @@
-//! Witnesses: what schedulers tell each other of how fresh their lists are.
+//! Witnesses: schedulers that confirm the freshness of each other's worker lists.
 //!
-//! A scheduler that has had no word of discovery for a while, or none at all since it started, asks a few others. One
-//! that has the same list (by its digest) and has had a word of discovery vouches for it: the list was complete at least
-//! as late as the question was asked, less the age that is told. One that has had a word later than the asker, and has
-//! another list, shows that discovery can be reached, so that the asker's refused calls are no sign of an outage.
+//! A scheduler that has received no message from discovery for some time, or none since it started, asks a few others.
+//! A scheduler whose list has the same digest, and which has received a message from discovery, confirms the list: the
+//! list was complete at the time of the question minus the age in the answer, or later. A scheduler that has another
+//! list and a later message than the asker shows that discovery can be reached, so the asker's refused calls do not
+//! mean an outage.
 //!
-//! Clocks are never compared: an age counts from the time at which the asker put the question, which is no later than
-//! the answer was made.
+//! Clocks are never compared: an age counts from the time at which the asker sent the question, and the answer was made
+//! no earlier than that.
 //!
 //! | message | bytes (little-endian) |
 //! | --- | --- |
@@ -15,41 +16,44 @@
 
 use crate::{ListLease, ListSource, Micros};
 
-/// The version of the messages: no message of the decision module begins so.
+/// Version of the messages. No message of the decision module begins with this byte.
 pub const VERSION: u8 = 0xf1;
-/// So many others are asked at once.
+/// Number of other schedulers that get each question.
 pub const PEERS_PER_QUESTION: usize = 3;
-/// A list that was confirmed so lately needs no witness: discovery itself has time to speak.
-const RECENT: Micros = 4_000_000;
-/// Questions follow each other at this distance at first, and at twice the last one after each.
-const FIRST_REST: Micros = 300_000;
-/// The longest distance between two questions.
-const LONGEST_REST: Micros = 2_400_000;
+/// Age of the last confirmation from which on a scheduler asks. Before, there is time for a message of discovery
+/// itself.
+const MIN_AGE_TO_ASK: Micros = 4_000_000;
+/// Interval between the first two questions. Each further interval is twice the previous one.
+const FIRST_INTERVAL: Micros = 300_000;
+/// Maximum interval between two questions.
+const MAX_INTERVAL: Micros = 2_400_000;
 
+/// Type byte of a question.
 const QUESTION: u8 = 1;
+/// Type byte of an answer.
 const ANSWER: u8 = 2;
 
 /// A message between two schedulers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// How fresh is your list?
+    /// Asks for the age of the receiver's last confirmation.
     Question {
-        /// Comes back with the answer.
+        /// Number that the answer returns.
         number: u16,
     },
-    /// The list with this digest was complete so long ago.
+    /// States that the list with this digest was complete at this age.
     Answer {
-        /// The number of the question.
+        /// Number of the question.
         number: u16,
-        /// The digest of the answering scheduler's list.
+        /// Digest of the answering scheduler's list.
         digest: u64,
-        /// Milliseconds since it was confirmed, rounded up.
+        /// Time since the list was confirmed, in milliseconds, rounded up.
         age_ms: u32,
     },
 }
 
 impl Message {
-    /// Writes the message.
+    /// Encodes the message.
     pub fn encode(self) -> Vec<u8> {
         match self {
             Message::Question { number } => {
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Reads a message; `None` for any other bytes.
+    /// Decodes a message. Returns `None` for any other bytes.
     pub fn decode(body: &[u8]) -> Option<Self> {
         let (&[VERSION, kind, low, high], rest) = body.split_first_chunk::<4>()? else { return None };
         let number = u16::from_le_bytes([low, high]);
@@ -83,77 +87,81 @@
     }
 }
 
-/// What an answer meant for the asker's list.
+/// Effect of an answer on the asker's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing: it is old, or tells nothing new.
+    /// No effect: the answer is outdated or not newer than what the asker knows.
     Nothing,
-    /// The same list was complete later than was known here.
+    /// The same list was complete at a later time than the asker knew.
     Confirmed,
-    /// Discovery could be reached later than was known here, and has another list.
+    /// Discovery could be reached at a later time than the asker knew, and has another list.
     Behind,
 }
 
-/// The questions of one scheduler.
+/// State of the questions of one scheduler.
 #[derive(Clone, Debug)]
 pub struct Inquiry {
+    /// Number of the last question.
     number: u16,
-    asked: Option<Micros>,
-    rest: Micros,
+    /// Time of the last question; `None` if there was none since the last message of discovery.
+    asked_at: Option<Micros>,
+    /// Interval until the next question.
+    interval: Micros,
 }
 
 impl Default for Inquiry {
     fn default() -> Self {
-        Inquiry { number: 0, asked: None, rest: FIRST_REST }
+        Inquiry { number: 0, asked_at: None, interval: FIRST_INTERVAL }
     }
 }
 
 impl Inquiry {
-    /// When the next question is due; `None` where nobody needs to be asked.
-    pub fn due(&self, clock: &ListLease) -> Option<Micros> {
-        if clock.source() != ListSource::SharedService {
+    /// Returns the time at which the next question is due; `None` if the list does not come from a shared service.
+    pub fn due(&self, lease: &ListLease) -> Option<Micros> {
+        if lease.source() != ListSource::SharedService {
             return None;
         }
-        let needed = clock.confirmed().map_or(clock.started(), |confirmed| confirmed + RECENT);
-        Some(self.asked.map_or(needed, |asked| needed.max(asked + self.rest)))
+        let needed = lease.confirmed().map_or(lease.started(), |confirmed| confirmed + MIN_AGE_TO_ASK);
+        Some(self.asked_at.map_or(needed, |asked_at| needed.max(asked_at + self.interval)))
     }
 
-    /// A question goes out now.
+    /// Returns a question to send at `now`.
     pub fn ask(&mut self, now: Micros) -> Message {
-        self.rest = if self.asked.is_some() { (self.rest * 2).min(LONGEST_REST) } else { FIRST_REST };
-        self.asked = Some(now);
+        self.interval =
+            if self.asked_at.is_some() { (self.interval * 2).min(MAX_INTERVAL) } else { FIRST_INTERVAL };
+        self.asked_at = Some(now);
         self.number = self.number.wrapping_add(1);
         Message::Question { number: self.number }
     }
 
-    /// Discovery has spoken itself: the next time of doubt begins with quick questions again.
+    /// Records that discovery has sent a message: the next questions start at the shortest interval again.
     pub fn reset(&mut self) {
-        self.asked = None;
+        self.asked_at = None;
     }
 
-    /// The answer to a question, for a list of this digest.
-    pub fn answer(number: u16, clock: &ListLease, digest: u64, now: Micros) -> Option<Message> {
-        let age = now.saturating_sub(clock.confirmed()?);
+    /// Returns the answer to a question, for a list with this digest; `None` if the list was never confirmed.
+    pub fn answer(number: u16, lease: &ListLease, digest: u64, now: Micros) -> Option<Message> {
+        let age = now.saturating_sub(lease.confirmed()?);
         let age_ms = u32::try_from(age.div_ceil(1_000)).unwrap_or(u32::MAX);
         Some(Message::Answer { number, digest, age_ms })
     }
 
-    /// Takes in an answer, for a list of this digest.
+    /// Applies an answer to the lease. `own_digest` is the digest of this scheduler's list.
     pub fn handle_answer(
         &self,
-        clock: &mut ListLease,
-        own: u64,
+        lease: &mut ListLease,
+        own_digest: u64,
         (number, digest, age_ms): (u16, u64, u32),
     ) -> Verdict {
-        let Some(asked) = self.asked.filter(|_| number == self.number) else { return Verdict::Nothing };
-        let at = asked.saturating_sub(Micros::from(age_ms) * 1_000);
-        if clock.confirmed().is_some_and(|confirmed| at <= confirmed) {
+        let Some(asked_at) = self.asked_at.filter(|_| number == self.number) else { return Verdict::Nothing };
+        let at = asked_at.saturating_sub(Micros::from(age_ms) * 1_000);
+        if lease.confirmed().is_some_and(|confirmed| at <= confirmed) {
             return Verdict::Nothing;
         }
-        if digest == own {
-            return if clock.confirm(at) { Verdict::Confirmed } else { Verdict::Nothing };
+        if digest == own_digest {
+            return if lease.confirm(at) { Verdict::Confirmed } else { Verdict::Nothing };
         }
-        clock.discovery_reachable(at);
+        lease.discovery_reachable(at);
         Verdict::Behind
     }
 }
