--- a/crates/decisions/src/handover.rs
+++ b/crates/decisions/src/handover.rs
@@ -61,7 +61,7 @@
             Some((workers, maps, know)) => {
                 self.worker_index = workers.iter().enumerate().map(|(at, worker)| (worker.id, at)).collect();
                 (self.workers, self.size_maps, self.knowledge) = (workers, maps, know);
-                let ranks = self.knowledge.zones_by_rank.len().max(self.company.size() as usize);
+                let ranks = self.knowledge.zones_by_rank.len().max(self.peer_set.size() as usize);
                 self.knowledge.zones_by_rank.resize(ranks, None);
             }
             None => self.actions.push(Action::Log(
--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -34,8 +34,8 @@
             job.worth_per_work * YIELD_VALUE_RATIO <= request.worth_per_work && late_worth(job) > 0.0
         };
         let mut placed = None;
-        for &(order, other) in self.workers[index].planned.iter().filter(|plan| plan.1 != id) {
-            if placed.is_none() && (order, other) > (request.queue_key, id) {
+        for &(queue_key, other) in self.workers[index].planned.iter().filter(|plan| plan.1 != id) {
+            if placed.is_none() && (queue_key, other) > (request.queue_key, id) {
                 placed = Some(place_job(request));
             }
             let job = &self.requests[&other];
@@ -61,8 +61,8 @@
         self.meets_deadline(job, now, now + self.run_time(index, job.size, now))
     }
 
-    /// Whether a job with this start and end meets its deadline. For a job that can still meet its aim, the run time
-    /// is scaled by the uncertainty of its size.
+    /// Whether a job with this start and end meets its deadline. While a job can still meet its aim, the lower bound
+    /// of its size counts, since a job that is smaller than its hint has less time until its aim.
     pub(super) fn meets_deadline(&self, job: &Request, start: Micros, end: Micros) -> bool {
         let run_time = (end - start) as f64 * if job.late { 1.0 } else { job.lower_bound_factor };
         start + run_time as Micros <= job.deadline
@@ -116,9 +116,10 @@
         };
         let neighbours =
             (1..ranges.len()).flat_map(|distance| [range + distance, range.wrapping_sub(distance)]);
-        let homes = std::iter::once(range).chain(neighbours.filter(|&number| number < ranges.len()));
-        let homes = homes.flat_map(|number| ranges[number].own_cohort.iter());
-        for &index in homes.filter(|&&index| self.is_usable(index, now, request)) {
+        let own_cohort_workers =
+            std::iter::once(range).chain(neighbours.filter(|&number| number < ranges.len()));
+        let own_cohort_workers = own_cohort_workers.flat_map(|number| ranges[number].own_cohort.iter());
+        for &index in own_cohort_workers.filter(|&&index| self.is_usable(index, now, request)) {
             let Some((start, end)) = self.demand_test(index, now, id, &mut lane_ends) else { continue };
             if start <= now {
                 if free_lanes(index) > most_free {
@@ -158,8 +159,10 @@
     /// of the own zone count double. More weight for them would let all dispatchers of a crowded zone examine its few
     /// workers and send on the same aged report.
     pub(super) fn sample_outside_workers(&self, range: &SizeRange) -> Vec<usize> {
-        let (near, far) = (range.same_zone.len(), range.other_zones.len());
-        let near_count = (MAX_SAMPLED_WORKERS * 2 * near).div_ceil((2 * near + far).max(1)).min(near);
+        let (same_zone, other_zones) = (range.same_zone.len(), range.other_zones.len());
+        let near_count = (MAX_SAMPLED_WORKERS * 2 * same_zone)
+            .div_ceil((2 * same_zone + other_zones).max(1))
+            .min(same_zone);
         let sample = |workers: &[usize], count: usize| {
             let offset = self.sample_offset % workers.len().max(1);
             workers.iter().cycle().skip(offset).take(count.min(workers.len())).copied().collect::<Vec<_>>()
@@ -185,6 +188,6 @@
             Some((tenant_index, self.settings.tenants.get(tenant_index)?.quota_per_s))
         });
         let Some((tenant_index, quota)) = quota.filter(|entry| entry.1 > 0.0) else { return false };
-        !self.knowledge.buckets[tenant_index].take(now, quota / f64::from(self.company.size()))
+        !self.knowledge.buckets[tenant_index].take(now, quota / f64::from(self.peer_set.size()))
     }
 }
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -23,7 +23,7 @@
 
     /// Removes a request that has been transferred to another process. That process counts the lanes of its attempts
     /// from now on.
-    pub(super) fn on_moved_away(&mut self, now: Micros, id: RequestId) {
+    pub(super) fn on_request_transferred(&mut self, now: Micros, id: RequestId) {
         self.unhold(id);
         let attempts = self.requests.remove(&id).map(|request| request.attempts).unwrap_or_default();
         for index in attempts.into_iter().map(|attempt| attempt.worker) {
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -8,7 +8,7 @@
     /// Large cohorts span all zones, small ones lie in one zone.
     pub(super) fn form_cohorts(&mut self) {
         let workers = self.workers.iter().filter(|worker| worker.status == WorkerStatus::On).count().max(1);
-        let size = (MIN_WORKERS_PER_COHORT * self.company.size() as usize / workers)
+        let size = (MIN_WORKERS_PER_COHORT * self.peer_set.size() as usize / workers)
             .clamp(1, MAX_COHORT_SIZE)
             .next_power_of_two();
         self.cohorts.clear();
@@ -16,7 +16,7 @@
         let zones = (0..self.settings.zones).map(|zone| Some(zone as u8)).filter(|_| by_zone);
         for zone in zones.chain([None]) {
             let in_zone = |rank: &u32| !by_zone || self.knowledge.zones_by_rank[*rank as usize] == zone;
-            let ranks: Vec<u32> = (0..self.company.size()).filter(in_zone).collect();
+            let ranks: Vec<u32> = (0..self.peer_set.size()).filter(in_zone).collect();
             let count = (ranks.len() / size).max(usize::from(!ranks.is_empty()));
             let members_of = |number: usize| {
                 ranks[number * ranks.len() / count..(number + 1) * ranks.len() / count].to_vec()
@@ -128,24 +128,25 @@
         let rank = self.settings.rank;
         let mut ranges = Vec::with_capacity(count);
         for (number, &upper) in bounds.iter().enumerate() {
-            let (mut home, others): (Vec<usize>, Vec<usize>) =
+            let (mut own_cohort, others): (Vec<usize>, Vec<usize>) =
                 workers_of(number).iter().partition(|&&index| self.workers[index].in_own_cohort);
             let own_zone = |&index: &usize| self.workers[index].zone == self.settings.zone;
-            let (mut near, mut far): (Vec<usize>, Vec<usize>) = others.into_iter().partition(own_zone);
+            let (mut same_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
+                others.into_iter().partition(own_zone);
             let draw_key = |&index: &usize| mix(u64::from(rank), u64::from(self.workers[index].id.0));
             if !self.settings.limits.peers {
-                home.sort_by_key(draw_key);
-            } else if let Some(&first) = home.first() {
+                own_cohort.sort_by_key(draw_key);
+            } else if let Some(&first) = own_cohort.first() {
                 // Each member of the cohort begins at another worker of the share.
                 let cohort = &self.cohorts[self.workers[first].cohort].1;
                 let place = cohort.iter().position(|&member| member == rank).unwrap_or(0);
-                let offset = place * home.len() / cohort.len();
-                home.rotate_left(offset);
-                home.sort_by_key(|&index| self.workers[index].zone != self.settings.zone);
+                let offset = place * own_cohort.len() / cohort.len();
+                own_cohort.rotate_left(offset);
+                own_cohort.sort_by_key(|&index| self.workers[index].zone != self.settings.zone);
             }
-            near.sort_by_key(draw_key);
-            far.sort_by_key(draw_key);
-            ranges.push(SizeRange { upper, own_cohort: home, same_zone: near, other_zones: far });
+            same_zone.sort_by_key(draw_key);
+            other_zones.sort_by_key(draw_key);
+            ranges.push(SizeRange { upper, own_cohort, same_zone, other_zones });
         }
         self.size_maps[map_index].ranges = ranges;
     }
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -52,7 +52,7 @@
         // Rule 4 limits the work sent to a cold worker. The successor continues this count, so a process with a
         // successor sends nothing to cold workers.
         let work = request.size * request.slots as f64;
-        self.warmth(index, now) >= 1.0
+        self.capacity_fraction(index, now) >= 1.0
             || (!self.has_successor && self.cold_allowance(now, index, work) == Allowance::Yes)
     }
 
@@ -74,16 +74,18 @@
         let (worker, rules) = (&self.workers[index], &self.settings.rules);
         let (capacity, window) =
             (self.lane_count(index) as f64 * self.speed(index), rules.fall_window as f64);
-        let budget = COLD_BUDGET_SHARE * rules.fall_multiple * self.warmth(index, now) * capacity * window;
+        let budget =
+            COLD_BUDGET_SHARE * rules.fall_multiple * self.capacity_fraction(index, now) * capacity * window;
         let work_per_window =
             (self.knowledge.work_rate.per_s() / SECOND as f64 * window).max(self.knowledge.mean_run_time);
         let draw = mix(u64::from(worker.id.0), worker.started.unwrap_or(0));
         let (rank, sent) = (self.settings.rank, self.cold_work_sent(now, index));
         if !self.settings.limits.peers {
-            let rota = ColdRotation::new(budget, work_per_window, self.company.size(), self.settings.zones);
+            let rotation =
+                ColdRotation::new(budget, work_per_window, self.peer_set.size(), self.settings.zones);
             let (own_zone, draw_and_window) =
                 (worker.zone == self.settings.zone, (draw, now / rules.fall_window.max(1)));
-            return self.shared_spending.count_allowance(rota.allows(
+            return self.shared_spending.count_allowance(rotation.allows(
                 own_zone,
                 draw_and_window,
                 rank,
@@ -92,11 +94,12 @@
             ));
         }
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
-        let share = ColdBudget::new(budget, members, work_per_window, self.company.size());
-        let sender = Sender::of(worker.in_own_cohort, share.is_designated(draw, rank, self.company.size()));
+        let cold_budget = ColdBudget::new(budget, members, work_per_window, self.peer_set.size());
+        let sender =
+            Sender::of(worker.in_own_cohort, cold_budget.is_designated(draw, rank, self.peer_set.size()));
         let recent = |peer: &&PeerLoad| peer.received_at + rules.fall_window > now && peer.from != rank;
         let sent_by_peers = worker.peers.iter().filter(recent).map(|peer| peer.cold_work).sum();
-        self.shared_spending.count_allowance(share.allows(sender, sent, sent_by_peers, work))
+        self.shared_spending.count_allowance(cold_budget.allows(sender, sent, sent_by_peers, work))
     }
 
     /// Sends an attempt of a request to a worker. Returns `false` without sending if the rules forbid it.
@@ -111,12 +114,12 @@
         lanes.sort_unstable();
         let start = lanes[slots.min(lanes.len()) - 1];
         let end = start + self.run_time(index, size, now);
-        let cold = self.warmth(index, now) < 1.0;
+        let cold = self.capacity_fraction(index, now) < 1.0;
         let attempt = self.requests[&id].attempts.len() as u32;
         let new_attempt = Attempt { worker: index, sent: now, state: AttemptState::InFlight };
         self.requests.entry(id).and_modify(|request| request.attempts.push(new_attempt));
         let worker = &mut self.workers[index];
-        let (clean, awaits_start, progress) = (start <= now, self.settings.tells_start, None);
+        let (measures_size, awaits_start, progress) = (start <= now, self.settings.tells_start, None);
         let own = OwnAttempt {
             request: id,
             attempt,
@@ -124,7 +127,7 @@
             sent: now,
             end,
             start,
-            measures_size: clean,
+            measures_size,
             awaits_start,
             progress,
         };
@@ -155,8 +158,8 @@
             let limits = &self.settings.limits;
             let left = request.expires.saturating_sub(now);
             let pause = (self.knowledge.mean_run_time / 4.0) as Micros;
-            let come_back = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
-            self.actions.push(Action::Refuse { request: id, retry_after: come_back, reason });
+            let retry_after = limits.retry_advice.then_some(pause.min(limits.retry_advice_max).min(left / 4));
+            self.actions.push(Action::Refuse { request: id, retry_after, reason });
         } else {
             self.actions.push(Action::Fail(id));
         }
@@ -165,7 +168,7 @@
 
     /// Handles the departure of a client: cancels attempts in flight, whose results nobody would receive, and closes
     /// the request.
-    pub(super) fn on_lapsed(&mut self, id: RequestId) {
+    pub(super) fn on_request_abandoned(&mut self, id: RequestId) {
         self.cancel_attempts(id);
         self.close(id);
     }
@@ -179,7 +182,7 @@
     }
 
     /// Sends the final answer to a request that has no result when the process ends, and cancels its attempts.
-    pub(super) fn on_conclude(&mut self, now: Micros, id: RequestId) {
+    pub(super) fn on_finish_request(&mut self, now: Micros, id: RequestId) {
         if !self.requests.contains_key(&id) {
             return self.actions.push(Action::Fail(id));
         }
@@ -312,13 +315,13 @@
         }
         let may_have_run = request.may_have_run();
         let not_repeatable = request.effect == Effect::Unsafe && may_have_run;
-        let tries_used_up = request.attempts.len() >= self.settings.limits.max_attempts as usize;
+        let attempts_used_up = request.attempts.len() >= self.settings.limits.max_attempts as usize;
         let expired = now + 2 * self.settings.tick >= request.expires;
         let rejection = match ending {
             Ending::Unusable => Some(Rejection::Unusable),
             Ending::NotSent => Some(Rejection::SentTooLate),
             _ if not_repeatable => Some(Rejection::NotRepeatable),
-            _ if tries_used_up => Some(Rejection::AttemptsSpent),
+            _ if attempts_used_up => Some(Rejection::AttemptsSpent),
             _ if expired => Some(Rejection::Expired),
             _ => None,
         };
--- a/crates/decisions/src/rules/estimates.rs
+++ b/crates/decisions/src/rules/estimates.rs
@@ -11,7 +11,8 @@
 
     /// Returns the estimated run time of a job of this size at the worker, one hour at most.
     pub(super) fn run_time(&self, index: usize, size: f64, now: Micros) -> Micros {
-        (size / (self.speed(index) * self.warmth(index, now))).min(3600.0 * SECOND as f64) as Micros
+        (size / (self.speed(index) * self.capacity_fraction(index, now))).min(3600.0 * SECOND as f64)
+            as Micros
     }
 
     /// Learns from the measured run time of a job: the ratio of its class to the hint, and the speed of the worker and
@@ -23,7 +24,7 @@
         class_and_hint: ClassAndHint,
         time: Micros,
     ) -> Option<f64> {
-        if self.warmth(index, now) < 1.0 || time == 0 {
+        if self.capacity_fraction(index, now) < 1.0 || time == 0 {
             return None;
         }
         let speed = self.speed(index);
@@ -43,7 +44,7 @@
     }
 
     /// Returns the share of its full capacity that the worker has reached since its start, 1 if it is warm.
-    pub(super) fn warmth(&self, index: usize, now: Micros) -> f64 {
+    pub(super) fn capacity_fraction(&self, index: usize, now: Micros) -> f64 {
         let (rules, started) = (&self.settings.rules, self.workers[index].started);
         started.map_or(1.0, |started_at| {
             capacity_fraction(now.saturating_sub(started_at), rules.cold, rules.start_capacity)
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -33,15 +33,15 @@
         members.into_iter().for_each(|member| self.update_worker(member));
         self.rebuild_size_maps();
         if kind == ListKind::Saved {
-            if self.company.sends_peer_messages() {
+            if self.peer_set.sends_peer_messages() {
                 self.actions.push(Action::SendMessage {
                     to: None,
                     body: peer_message::encode_hello(self.settings.zone.0, true),
                 });
             }
-            let home_workers: Vec<usize> =
+            let own_workers: Vec<usize> =
                 (0..self.workers.len()).filter(|&index| self.workers[index].in_own_cohort).collect();
-            self.probe_home_workers(now, &home_workers, home_workers.len());
+            self.probe_own_cohort(now, &own_workers, own_workers.len());
         }
         self.process_hold_queue(now);
     }
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -82,6 +82,7 @@
     pub(crate) settings: Settings,
     /// Actions collected while an event is handled.
     pub(crate) actions: Vec<Action>,
+    /// Random number generator, seeded by the host.
     pub(crate) rng: fastrand::Rng,
     /// All workers seen so far, including those that left the worker list.
     pub(crate) workers: Vec<Worker>,
@@ -108,7 +109,7 @@
     /// known.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
     /// Membership of the other dispatchers, and how far their messages are relied on.
-    pub(crate) company: PeerSet,
+    pub(crate) peer_set: PeerSet,
     /// Use of resources that all dispatchers share, for operators.
     pub shared_spending: Usage,
     /// Counts of requests without a result by reason, for operators.
@@ -118,13 +119,13 @@
 impl Dispatcher {
     /// Creates a dispatcher that knows only its settings. `now` is in microseconds.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let company = PeerSet::new(settings.instances, settings.rank, settings.limits.peers);
+        let peer_set = PeerSet::new(settings.instances, settings.rank, settings.limits.peers);
         Dispatcher {
             actions: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             workers: Vec::new(),
             worker_index: IdMap::default(),
-            knowledge: Knowledge::new(&settings, company.size(), now),
+            knowledge: Knowledge::new(&settings, peer_set.size(), now),
             size_maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
             size_maps_stale: true,
             requests: IdMap::default(),
@@ -133,7 +134,7 @@
             worker_list: ListState::default(),
             sample_offset: 0,
             cohorts: Vec::new(),
-            company,
+            peer_set,
             shared_spending: Usage::default(),
             rejections: Rejections::default(),
             settings,
@@ -158,8 +159,8 @@
                 }
             }
             Event::Timer(_) => self.subscribe_to_list(),
-            Event::ListLease(until) => {
-                self.worker_list.lease_end = until;
+            Event::ListLease(lease_end) => {
+                self.worker_list.lease_end = lease_end;
                 self.process_hold_queue(now);
             }
             Event::ListMoved => {
@@ -168,8 +169,8 @@
             }
             Event::Settings(settings) => self.on_settings(now, *settings),
             Event::KnowledgeReceived(knowledge) => self.on_knowledge_received(knowledge),
-            Event::SuccessorActive(succeeded) => {
-                self.has_successor = succeeded;
+            Event::SuccessorActive(active) => {
+                self.has_successor = active;
                 (0..self.workers.len()).for_each(|index| self.send_load(now, index, None));
             }
             Event::Streaming { request, attempt } => {
@@ -191,10 +192,10 @@
                 }
                 self.offer_freed_lane(now, index);
             }
-            Event::RequestAbandoned(request) => self.on_lapsed(request),
-            Event::ShutdownAt(end) => self.on_process_end(now, end),
-            Event::RequestTransferred(request) => self.on_moved_away(now, request),
-            Event::FinishRequest(request) => self.on_conclude(now, request),
+            Event::RequestAbandoned(request) => self.on_request_abandoned(request),
+            Event::ShutdownAt(end) => self.on_shutdown_at(now, end),
+            Event::RequestTransferred(request) => self.on_request_transferred(now, request),
+            Event::FinishRequest(request) => self.on_finish_request(now, request),
             Event::Peer { from, body } => self.on_peer(now, from, &body),
         }
     }
--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -19,27 +19,21 @@
         let arrived = arrival.transferred.as_ref().map_or(now, |transferred| transferred.arrived.min(now));
         let origin =
             if arrival.retry { arrival.expires.saturating_sub(spec.deadline).min(arrived) } else { arrived };
-        let doubt = self.knowledge.classes[class].lower_bound_factor();
-        let aim = origin + spec.aim + (spec.stretch.max(0.0) * size * doubt) as Micros;
+        let lower_bound_factor = self.knowledge.classes[class].lower_bound_factor();
+        let aim = origin + spec.aim + (spec.stretch.max(0.0) * size * lower_bound_factor) as Micros;
         let deadline = aim.min(arrival.expires);
-        let order = if over_share { arrival.expires } else { deadline };
+        let queue_key = if over_share { arrival.expires } else { deadline };
         let work = size * slots as f64;
         let worth = spec.worth * if over_share { self.settings.over_share_worth } else { 1.0 };
-        let value = if self.settings.worth_by_work { worth } else { worth / work };
+        let worth_per_work = if self.settings.worth_by_work { worth } else { worth / work };
         self.knowledge.work_rate.add(now, work);
         let map = &mut self.size_maps[spec.kind.map_or(0, |kind| kind.0 + 1)];
         self.size_maps_stale |= map.sizes.add(work, MIN_SIZES_PER_RANGE * 2);
         let Arrival { hint, expires, skill, .. } = arrival;
         let attributes =
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
-        let request = Request {
-            deadline,
-            queue_key: order,
-            over_share: over_share,
-            worth_per_work: value,
-            lower_bound_factor: doubt,
-            ..attributes
-        };
+        let request =
+            Request { deadline, queue_key, over_share, worth_per_work, lower_bound_factor, ..attributes };
         self.requests.insert(arrival.request, request);
         if let Some(transferred) = arrival.transferred {
             return self.adopt_request(now, arrival.request, transferred);
@@ -89,7 +83,7 @@
 
     /// Limits the deadlines of all open requests to the end of the process. Held jobs are sent or rejected by then, in
     /// the new order.
-    pub(super) fn on_process_end(&mut self, now: Micros, end: Micros) {
+    pub(super) fn on_shutdown_at(&mut self, now: Micros, end: Micros) {
         let later = |entry: &(&RequestId, &Request)| !entry.1.done && entry.1.expires > end;
         let mut later: Vec<RequestId> = self.requests.iter().filter(later).map(|(&id, _)| id).collect();
         later.sort_unstable();
@@ -136,8 +130,8 @@
         self.move_unstarted_jobs(now);
         let (mut wake, mut blocked, mut from) = (Micros::MAX, 0, (0, RequestId(0)));
         while blocked < MAX_BLOCKED_JOBS_PER_PASS {
-            let Some(&(order, id)) = self.hold_queue.held.range(from..).next() else { break };
-            from = (order, RequestId(id.0.wrapping_add(1)));
+            let Some(&(queue_key, id)) = self.hold_queue.held.range(from..).next() else { break };
+            from = (queue_key, RequestId(id.0.wrapping_add(1)));
             blocked += usize::from(!self.release_job(now, id, &mut wake));
         }
         self.schedule_hold_queue(now, wake);
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -38,7 +38,7 @@
     }
 
     /// Probes workers of the own share, where load reports come with probe results only.
-    pub(super) fn probe_home_workers(&mut self, now: Micros, candidates: &[usize], max_probes: usize) {
+    pub(super) fn probe_own_cohort(&mut self, now: Micros, candidates: &[usize], max_probes: usize) {
         let needed = self.settings.reports == ReportSource::Probes;
         self.probe_workers(now, candidates, if needed { max_probes } else { 0 });
     }
@@ -48,9 +48,9 @@
     pub(super) fn probe_for_job(&mut self, now: Micros, id: RequestId, spill: bool) {
         let Some((map_index, range)) = self.size_range(&self.requests[&id]) else { return };
         let range = &self.size_maps[map_index].ranges[range];
-        let (home, sample) =
+        let (own_cohort, sample) =
             (range.own_cohort[..range.own_cohort.len().min(2)].to_vec(), self.sample_outside_workers(range));
-        self.probe_home_workers(now, &home, 1);
+        self.probe_own_cohort(now, &own_cohort, 1);
         self.probe_workers(now, &sample, if spill { MAX_SAMPLED_WORKERS } else { 0 });
     }
 
@@ -65,7 +65,7 @@
     /// Sends a fault report about the worker to all dispatchers if one is due.
     pub(super) fn send_fault_report(&mut self, now: Micros, index: usize, strikes_before: u32) {
         let report = self.workers[index].health.take_report(now, strikes_before);
-        if let Some(strikes) = report.filter(|_| self.company.sends_peer_messages()) {
+        if let Some(strikes) = report.filter(|_| self.peer_set.sends_peer_messages()) {
             self.actions.push(Action::SendMessage {
                 to: None,
                 body: peer_message::encode_fault_report(self.workers[index].id, strikes),
@@ -78,8 +78,8 @@
         let from_own_rank = from == self.settings.rank;
         let message = peer_message::decode(body).filter(|_| from < MAX_RANKS);
         // A sender with this rank implies at least that many dispatchers.
-        if message.is_some() && !from_own_rank && self.company.record_message(now, from) {
-            self.knowledge.zones_by_rank.resize(self.company.size() as usize, None);
+        if message.is_some() && !from_own_rank && self.peer_set.record_message(now, from) {
+            self.knowledge.zones_by_rank.resize(self.peer_set.size() as usize, None);
             self.size_maps_stale = true;
         }
         let load = match message {
@@ -139,7 +139,7 @@
     /// Sends the load of this dispatcher at the worker to the worker's cohort. The load includes both processes of
     /// this dispatcher if there are two: the process with a successor sends its own load to the successor.
     pub(super) fn send_load(&mut self, now: Micros, index: usize, ln_speed: Option<f64>) {
-        if !self.has_successor && !self.company.sends_peer_messages() {
+        if !self.has_successor && !self.peer_set.sends_peer_messages() {
             return;
         }
         let (worker, rank) = (&self.workers[index], self.settings.rank);
--- a/crates/decisions/src/settings_update.rs
+++ b/crates/decisions/src/settings_update.rs
@@ -139,7 +139,7 @@
     /// Adds tokens at the old quotas up to now, then cuts the saved tokens to the capacity at the new quotas. Each
     /// dispatcher gets an equal share of a quota.
     fn update_buckets(&mut self, now: Micros, new: &Settings) {
-        let schedulers = f64::from(self.company.size());
+        let schedulers = f64::from(self.peer_set.size());
         let quotas = self.settings.tenants.iter().zip(&new.tenants);
         for (bucket, (old, new)) in self.knowledge.buckets.iter_mut().zip(quotas) {
             bucket.set_rate(now, old.quota_per_s / schedulers, new.quota_per_s / schedulers);
