--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -149,14 +149,14 @@
         let ends = worker.own.iter().map(|own| own.end);
         let soonest = span(ends.clone().chain(predecessor.map(|predecessor| predecessor.soonest)).min());
         let latest = span(ends.chain(predecessor.map(|predecessor| predecessor.latest)).max());
-        let cold =
+        let cold_work =
             self.cold_work_sent(now, index) + predecessor.map_or(0.0, |predecessor| predecessor.cold_work);
         let body = peer_message::encode_load(&Load {
             worker: worker.id,
             lanes,
             soonest,
             latest,
-            cold_work: cold,
+            cold_work,
             ln_speed,
         });
         if self.has_successor {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -356,9 +356,9 @@
                 push_number(out, "\tgive_up_after_us=", *span);
             }
         }
-        Action::Refuse { request, retry_after: come_back, .. } => {
+        Action::Refuse { request, retry_after, .. } => {
             push_number(out, "\ttxn=", request.0.into());
-            if let Some(span) = come_back {
+            if let Some(span) = retry_after {
                 push_number(out, "\tcome_back_us=", *span);
             }
         }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -73,7 +73,7 @@
         let mut actions = bench.arrive(1, 0, 100 * MS);
         actions.extend(bench.wait(10 * SECOND));
         let advice = actions.iter().find_map(|action| match action {
-            Action::Refuse { retry_after: come_back, .. } => Some(come_back.is_some()),
+            Action::Refuse { retry_after, .. } => Some(retry_after.is_some()),
             _ => None,
         });
         assert_eq!(advice, Some(allowed));
