--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl Dispatcher {
-    /// EDF demand test: whether this job and the jobs planned for the worker, taken in order of their deadlines, each
-    /// end by their deadlines. Returns the start and end of this job, or `None` if the test fails. `lane_ends` is a
-    /// buffer that the call overwrites.
+    /// Runs the EDF demand test for a job at a worker: this job and the jobs planned there, taken in order of their
+    /// deadlines, must each end by their deadlines. Returns the start and end of this job, or `None` if the test
+    /// fails. `lane_ends` is a buffer that the call overwrites.
     pub(super) fn demand_test(
         &self,
         index: usize,
@@ -55,21 +55,21 @@
         (self.meets_deadline(request, start, end)).then_some((start, end))
     }
 
-    /// Whether the job would meet its aim if it started at once. A job that would miss the aim in any case loses
+    /// Returns true if the job would meet its aim by starting at once. A job that would miss the aim in any case loses
     /// nothing to other jobs.
     fn can_meet_aim(&self, index: usize, now: Micros, job: &Request) -> bool {
         self.meets_deadline(job, now, now + self.run_time(index, job.size, now))
     }
 
-    /// Whether a job with this start and end meets its deadline. While a job can still meet its aim, the lower bound
-    /// of its size counts, since a job that is smaller than its hint has less time until its aim.
+    /// Returns true if a job with this start and end meets its deadline. While a job can still meet its aim, the lower
+    /// bound of its size counts, since a job that is smaller than its hint has less time until its aim.
     pub(super) fn meets_deadline(&self, job: &Request, start: Micros, end: Micros) -> bool {
         let run_time = (end - start) as f64 * if job.late { 1.0 } else { job.lower_bound_factor };
         start + run_time as Micros <= job.deadline
     }
 
-    /// Whether nothing is sent to the worker for now: it is not in service, it has failed recently, or connections to
-    /// its zone fail.
+    /// Returns true if nothing is sent to the worker for now: it is not in service, it has failed recently, or
+    /// connections to its zone fail.
     pub(super) fn is_avoided(&self, now: Micros, index: usize) -> bool {
         let worker = &self.workers[index];
         let zone_unreachable = self.knowledge.zone_failures[worker.zone.0].1 > now;
@@ -83,7 +83,7 @@
         (0..self.workers.len()).filter(listed_and_avoided).count()
     }
 
-    /// Whether the worker can run this request and may get it now.
+    /// Returns true if the worker can run this request and may get it now.
     pub(super) fn is_usable(&self, index: usize, now: Micros, request: &Request) -> bool {
         // A job that must not run twice would be lost if a trial of a worker failed, so it is no trial job. Only the
         // dispatchers of the worker's cohort try the worker again, each with one job at a time.
@@ -96,12 +96,14 @@
         kind_matches && !trial_barred && !self.is_avoided(now, index) && self.may_send(now, request, index)
     }
 
-    /// Chooses a worker for a held job. Examines the workers of the job's size range, first those of the own cohort's
-    /// share, then those of the neighbouring ranges' shares, then a sample of other workers. Prefers a worker that can
-    /// start the job now and passes the demand test; otherwise returns the one that ends the job first. With messages
-    /// between dispatchers the first candidate in the own share is taken. Without them the candidate with most free
-    /// lanes is taken: of all workers if there are no reports, and of a few if there are, because all dispatchers
-    /// react to the same reports in the same way.
+    /// Chooses a worker for a held job. The candidates are the workers of the job's size range, first those of the own
+    /// cohort's share, then those of the neighbouring ranges' shares, then a sample of other workers. A worker that
+    /// passes the demand test and can start the job now is preferred; otherwise the worker that ends the job first is
+    /// returned.
+    ///
+    /// If dispatchers exchange messages, the first suitable worker of the own share is taken. Otherwise the one with
+    /// most free lanes is taken: of all workers if there are no reports, and of [`MAX_SAMPLED_WORKERS`] if there are,
+    /// because all dispatchers react to the same reports in the same way.
     pub(super) fn choose_worker(&self, now: Micros, id: RequestId) -> Option<Placement> {
         let request = &self.requests[&id];
         let (map_index, range) = self.size_range(request)?;
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -4,9 +4,9 @@
 use calicolb_shutdown::{FinalAnswer, final_answer};
 
 impl Dispatcher {
-    /// Whether an attempt may still start. The host asks right before it writes the first byte: the connection may
-    /// have been established after the client left, the worker began to drain, or the workers ceased to drop repeats
-    /// of an earlier attempt.
+    /// Returns true if an attempt may still start. The host asks right before it writes the first byte: the connection
+    /// may have been established after the client left, the worker began to drain, or the workers ceased to drop
+    /// repeats of an earlier attempt.
     pub fn may_start_attempt(&self, now: Micros, id: RequestId, attempt: u32) -> bool {
         let (request, position) = (self.requests.get(&id), attempt as usize);
         let index = request.and_then(|request| request.attempts.get(position)).map(|own| own.worker);
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -13,8 +13,8 @@
         worker.exact_lanes.unwrap_or(lanes.max(self.knowledge.max_slots))
     }
 
-    /// Whether lanes are counted by the start notices of workers, which is the case if these send them and report no
-    /// free slots.
+    /// Returns true if lanes are counted by the start notices of workers, because these send them and report no free
+    /// slots.
     pub(super) fn counts_lanes_by_starts(&self) -> bool {
         self.settings.tells_start && !self.settings.reports_free_slots
     }
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -2,7 +2,9 @@
 //! earliest-deadline-first (EDF) demand test over the lanes of a worker admits the job, and held jobs are sent in
 //! order of their deadlines as lanes become free.
 //!
-//! Functions in this module identify a worker by its index in `Dispatcher::workers`.
+//! Each worker is assigned to one cohort of dispatchers. The own share of a range is the workers that are assigned to
+//! the cohort of this dispatcher or, if dispatchers exchange no messages, the workers of its zone. Functions in this
+//! module identify a worker by its index in `Dispatcher::workers`.
 
 mod admission;
 mod adoption;
@@ -92,13 +94,13 @@
     pub(crate) knowledge: Knowledge,
     /// Size maps: the first covers all kinds of machine, the following ones a single kind each.
     pub(crate) size_maps: Vec<SizeMap>,
-    /// Whether the size maps must be rebuilt before the next choice of a worker.
+    /// True if the size maps must be rebuilt before the next choice of a worker.
     pub(crate) size_maps_stale: bool,
     /// Requests that are open or still have an attempt in flight.
     pub(crate) requests: IdMap<RequestId, Request>,
     /// Jobs that wait to be sent, and jobs sent without a start notice.
     pub(crate) hold_queue: HoldQueue,
-    /// Whether another process of this dispatcher has taken over. This process then only completes its work, and the
+    /// True if another process of this dispatcher has taken over. This process then only completes its work, and the
     /// successor alone sends messages to other dispatchers for both.
     pub(crate) has_successor: bool,
     /// State of the worker list subscription.
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -12,8 +12,8 @@
         self.knowledge.zone_failures[zone.0] = if established { (0, 0) } else { (failed + 1, avoided_until) };
     }
 
-    /// Whether workers are probed for load reports. If they are, no job is sent to a worker of another cohort without
-    /// a recent report.
+    /// Returns true if workers are probed for load reports. In that case no job is sent to a worker of another cohort
+    /// without a recent report.
     pub(super) fn uses_probes(&self) -> bool {
         self.settings.reports != ReportSource::Nowhere && self.settings.limits.probes
     }
--- a/crates/shutdown/src/lib.rs
+++ b/crates/shutdown/src/lib.rs
@@ -22,10 +22,10 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Least time from SIGTERM to SIGKILL beyond the longest deadline of the classes, which counts up to
-/// [`MAX_COUNTED_DEADLINE`].
+/// Minimum time from SIGTERM to SIGKILL, in addition to the longest deadline of the classes. That deadline counts up
+/// to [`MAX_COUNTED_DEADLINE`].
 pub const KILL_MARGIN: Micros = 700_000;
-/// The longest deadline of the classes counts towards the time before SIGKILL up to this value.
+/// Upper limit for the longest deadline of the classes when the time from SIGTERM to SIGKILL is computed.
 pub const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
 /// Final answers are sent this long before the earliest SIGKILL.
 pub const FINAL_ANSWER_MARGIN: Micros = 200_000;
@@ -33,7 +33,7 @@
 /// have ended by then.
 pub const HANDOVER_MARGIN: Micros = 600_000;
 
-/// Whether an attempt has ended and may have run, for the rules on repeats.
+/// State of an attempt, as the rules on repeats distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptState {
@@ -61,7 +61,7 @@
     Accepted,
     /// The process is cancelling the attempt, and the worker has not confirmed the cancellation.
     Cancelling {
-        /// Whether the last byte of the request is written, so that the job may run.
+        /// True if the last byte of the request is written, so that the job may run.
         written: bool,
     },
 }
@@ -92,11 +92,11 @@
 /// The properties of an open request that decide what happens to it at shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Whether the request has its final answer or its client has left.
+    /// True if the request has its final answer or its client has left.
     pub answered: bool,
-    /// Whether the client's connection can be passed on and no part of a result has been sent.
+    /// True if the client's connection can be passed on and no part of a result has been sent.
     pub transferable: bool,
-    /// Whether a repeat is harmless at any worker.
+    /// True if a repeat is harmless at any worker.
     pub repeatable: bool,
     /// The attempts, in the order in which they were sent.
     pub attempts: &'a [Attempt],
@@ -153,7 +153,7 @@
     ))
 }
 
-/// Whether a request with these attempts can be transferred in this phase: no attempt is in flight, or, from
+/// Returns true if a request with these attempts can be transferred in this phase: no attempt is in flight, or, from
 /// [`Phase::HandingOver`] on, each attempt in flight is accepted by its worker.
 fn attempts_transferable(attempts: &[Attempt], phase: Phase) -> bool {
     let in_flight = attempts.iter().filter(|attempt| attempt.state() == AttemptState::InFlight);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -608,8 +608,8 @@
         "the successor sends the load to the other dispatcher"
     );
     assert!(sends(&successor.arrive(1, 0, 300 * MS)).is_empty());
-    // When the job of the predecessor has ended, the held job is sent at once, and its expected end follows its
-    // corrected size rather than its hint.
+    // The held job is sent as soon as the job of the predecessor has ended. Its expected end follows its corrected
+    // size rather than its hint.
     let end_messages = to_own_rank(&predecessor.outcome(50, 0, WorkerId(11), Ending::Ok));
     successor.now += 10 * MS;
     let actions = successor.tell(Event::Peer { from: 0, body: end_messages[0].clone() });
