--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -13,8 +13,8 @@
         worker.exact_lanes.unwrap_or(lanes.max(self.knowledge.max_slots))
     }
 
-    /// Whether lanes are counted by the start notices of workers, which is the case if these send them and report no
-    /// free slots.
+    /// Returns true if lanes are counted by the start notices of workers, because these send them and report no free
+    /// slots.
     pub(super) fn counts_lanes_by_starts(&self) -> bool {
         self.settings.tells_start && !self.settings.reports_free_slots
     }
@@ -37,7 +37,7 @@
         let reported = worker.current_peer_loads(now).map(|peer| peer.lanes).sum::<usize>() as f64;
         // Other dispatchers report their use of the own share, as far as they send messages. Elsewhere it is estimated
         // from load reports or start notices.
-        let unreported = if worker.in_own_cohort { 1.0 - self.company.confidence(now) } else { 1.0 };
+        let unreported = if worker.in_own_cohort { 1.0 - self.peer_set.confidence(now) } else { 1.0 };
         let share = if worker.exact_lanes.is_some() {
             0.0
         } else {
