--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -304,7 +304,7 @@
         send d2 chunk {"seq":44,"whole":false,"hosts":[]}\n
         wait d
         send program HUP
-        expect program discovery is at
+        expect program the address of discovery is
         close d2
         expect d2.2 GET /discovery/hosts?watch=1&from=44
         send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}
