--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -1,5 +1,8 @@
-//! All decisions of a dispatcher. The ordinary path: the size map names a range of workers, an EDF demand test over a
-//! worker's lanes admits the job, and held jobs leave earliest deadline first as lanes free.
+//! All decisions of a dispatcher. On the ordinary path the size map selects a range of workers, an
+//! earliest-deadline-first (EDF) demand test over the lanes of a worker admits the job, and held jobs are sent in
+//! order of their deadlines as lanes become free.
+//!
+//! Functions in this module identify a worker by its index in `Dispatcher::workers`.
 
 mod admission;
 mod adoption;
@@ -12,142 +15,162 @@
 mod talk;
 
 use crate::api::*;
-use crate::peer::{self, Load, Said};
+use crate::peer_message::{self, Load, PeerMessage};
 use crate::rejections::Rejections;
 use crate::state::*;
-use calicolb_fleet::census::MOST_RANKS;
-use calicolb_fleet::cold::{Allowance, ColdShare, Rota, Sender, warmth};
-use calicolb_fleet::company::Company;
-use calicolb_fleet::draw::mix;
-use calicolb_fleet::spending::Spending;
-use calicolb_fleet::trust::Trust;
+use calicolb_fleet::cold::{Allowance, ColdBudget, ColdRotation, Sender, capacity_fraction};
+use calicolb_fleet::fleet_size::MAX_RANKS;
+use calicolb_fleet::hash::mix;
+use calicolb_fleet::health::WorkerHealth;
+use calicolb_fleet::peer_set::PeerSet;
+use calicolb_fleet::usage::Usage;
 
-const MILLI: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Dispatchers, at most, that tell each other what they send, so that together they know their workers.
-const COHORT: usize = 8;
-/// Workers that a cohort's share holds at least, if it has not the most members.
-const SHARE: usize = 8;
-/// Ranges of the size map at most; with few workers there are fewer.
-const RANGES: usize = 4;
-/// Workers a range needs at least, over all cohorts' shares of it, to be worth having.
-const RANGE_WORKERS: usize = 8;
-/// Sizes that must have been seen for each range: boundaries drawn from fewer would crowd some ranges.
-const RANGE_SIZES: usize = 8;
-/// Lanes that a worker in another zone must have free more than one in this zone to be spilled to.
-const CROSSING: f64 = 0.5;
-/// Held jobs without a lane that are looked at in one go: bounds the work of an event under overload.
-const LOOK: usize = 8;
-/// Held jobs are looked at again after this time at the soonest, unless a lane frees before.
-const RECHECK: Micros = 20 * MILLI;
-/// Age that a report is taken to have when it comes: the settings do not tell.
-const REPORT_AGE: Micros = 500 * MILLI;
-/// Age that no report is beyond: what has run for so long was running when it was made.
-const REPORT_OLDEST: Micros = 1_800 * MILLI;
-/// A worker is probed at most this often: reports are refreshed about as slowly.
-const PROBE_EVERY: Micros = 500 * MILLI;
-/// Workers outside the cohort's share that are looked at, and probed, for one job.
-const PROBES: usize = 4;
-/// News of a start takes this long at most; after that a job is taken to wait.
-const START_NEWS: Micros = 50 * MILLI;
-/// Share of a cold worker's stated budget that is used: its true size is only estimated.
-const COLD_SHARE: f64 = 0.4;
-/// A planned job gives way to one that is worth so many times as much for its work.
-const GIVES_WAY: f64 = 2.0;
-/// A process that starts calls for the list within this time.
-const FIRST_CALL: Micros = 2 * SECOND;
-const TIMER_PUMP: TimerId = TimerId(1);
-const TIMER_LIST: TimerId = TimerId(2);
+/// Maximum number of dispatchers in a cohort. The members tell each other what they send, so that together they know
+/// the load of their workers.
+const MAX_COHORT_SIZE: usize = 8;
+/// Minimum number of workers in the share of a cohort, unless the cohort has reached its maximum size.
+const MIN_WORKERS_PER_COHORT: usize = 8;
+/// Maximum number of ranges in a size map. With few workers there are fewer.
+const MAX_RANGES: usize = 4;
+/// Minimum number of workers in a range, over the shares of all cohorts. Smaller ranges are not worthwhile.
+const MIN_WORKERS_PER_RANGE: usize = 8;
+/// Minimum number of job sizes seen per range. Boundaries drawn from fewer sizes would overload some ranges.
+const MIN_SIZES_PER_RANGE: usize = 8;
+/// Number of free lanes that a worker in another zone needs beyond those of a worker in the own zone to be preferred.
+const CROSS_ZONE_MARGIN: f64 = 0.5;
+/// Maximum number of held jobs without a free lane that one pass over the hold queue examines. It bounds the work per
+/// event under overload.
+const MAX_BLOCKED_JOBS_PER_PASS: usize = 8;
+/// Minimum time until held jobs are examined again, unless a lane becomes free before that.
+const RECHECK_INTERVAL: Micros = 20 * MILLISECOND;
+/// Age that a report is assumed to have on arrival. The settings do not state it.
+const ASSUMED_REPORT_AGE: Micros = 500 * MILLISECOND;
+/// Upper bound of the age of a report. A job that has run longer than this was running when the report was made.
+const MAX_REPORT_AGE: Micros = 1_800 * MILLISECOND;
+/// Minimum time between two probes of a worker. Workers refresh their reports about this slowly.
+const MIN_PROBE_INTERVAL: Micros = 500 * MILLISECOND;
+/// Maximum number of workers outside the cohort's share that are examined and probed for one job.
+const MAX_SAMPLED_WORKERS: usize = 4;
+/// Maximum delay of the notice that a job has started. A job without a notice after this time is assumed to wait at
+/// its worker.
+const START_NOTICE_TIMEOUT: Micros = 50 * MILLISECOND;
+/// Share of a cold worker's budget that is used, because the worker's true capacity is only estimated.
+const COLD_BUDGET_SHARE: f64 = 0.4;
+/// A planned job yields to a job whose value per unit of work is at least this many times as high.
+const YIELD_VALUE_RATIO: f64 = 2.0;
+/// Maximum delay of the first call for the worker list after a process starts.
+const MAX_FIRST_CALL_DELAY: Micros = 2 * SECOND;
+/// Timer for the next pass over the hold queue.
+const HOLD_QUEUE_TIMER: TimerId = TimerId(1);
+/// Timer for the next call for the worker list.
+const WORKER_LIST_TIMER: TimerId = TimerId(2);
 
-/// A job's start and end; the same, and at which worker; when lanes come free; a job's class and hint.
-type Span = (Micros, Micros);
-type Choice = (usize, Micros, Micros);
-type Ends = Vec<Micros>;
-type Told = (usize, Option<f64>);
+/// Start and end of a job.
+type JobInterval = (Micros, Micros);
+/// Index of the worker chosen for a job, and the start and end of the job there.
+type Placement = (usize, Micros, Micros);
+/// Times at which the lanes of a worker become free.
+type LaneEnds = Vec<Micros>;
+/// Index of the class of a job, and the work that its client expects.
+type ClassAndHint = (usize, Option<f64>);
 
-/// One dispatcher's decisions.
+/// Decision state of one dispatcher: takes events and returns the actions to carry out.
 pub struct Dispatcher {
+    /// Settings in force.
     pub(crate) settings: Settings,
-    /// What is to be done.
-    pub(crate) out: Vec<Action>,
+    /// Actions collected while an event is handled.
+    pub(crate) actions: Vec<Action>,
     pub(crate) rng: fastrand::Rng,
+    /// All workers seen so far, including those that left the worker list.
     pub(crate) workers: Vec<Worker>,
-    pub(crate) index: Table<WorkerId, usize>,
-    pub(crate) know: Knowledge,
-    pub(crate) maps: Vec<SizeMap>,
-    pub(crate) maps_stale: bool,
-    pub(crate) requests: Table<RequestId, Request>,
-    pub(crate) queue: Queue,
-    /// Another process has taken over: this one ends its work, and that one alone speaks for both.
-    pub(crate) succeeded: bool,
-    pub(crate) list: Listing,
-    pub(crate) spill_from: usize,
-    /// The zone, if it is known, and the ranks of each cohort.
+    /// Index of each worker in `workers`.
+    pub(crate) worker_index: IdMap<WorkerId, usize>,
+    /// Figures learned over time.
+    pub(crate) knowledge: Knowledge,
+    /// Size maps: the first covers all kinds of machine, the following ones a single kind each.
+    pub(crate) size_maps: Vec<SizeMap>,
+    /// Whether the size maps must be rebuilt before the next choice of a worker.
+    pub(crate) size_maps_stale: bool,
+    /// Requests that are open or still have an attempt in flight.
+    pub(crate) requests: IdMap<RequestId, Request>,
+    /// Jobs that wait to be sent, and jobs sent without a start notice.
+    pub(crate) hold_queue: HoldQueue,
+    /// Whether another process of this dispatcher has taken over. This process then only completes its work, and the
+    /// successor alone sends messages to other dispatchers for both.
+    pub(crate) has_successor: bool,
+    /// State of the worker list subscription.
+    pub(crate) worker_list: ListState,
+    /// Rotates with every arrival, so that successive jobs examine different workers outside the cohort.
+    pub(crate) sample_offset: usize,
+    /// Zone and member ranks of each cohort. The zone is `None` if the cohort is not limited to one or the zone is not
+    /// known.
     pub(crate) cohorts: Vec<(Option<u8>, Vec<u32>)>,
-    /// The other dispatchers, and what is assumed of them.
-    pub(crate) company: Company,
-    /// What has been spent of what all dispatchers share, for operators.
-    pub spent: Spending,
-    /// Why requests got no result, for operators.
+    /// Membership of the other dispatchers, and how far their messages are relied on.
+    pub(crate) company: PeerSet,
+    /// Use of resources that all dispatchers share, for operators.
+    pub shared_spending: Usage,
+    /// Counts of requests without a result by reason, for operators.
     pub rejections: Rejections,
 }
 
 impl Dispatcher {
-    /// A dispatcher without any knowledge but its settings.
+    /// Creates a dispatcher that knows only its settings. `now` is in microseconds.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let company = Company::new(settings.instances, settings.rank, settings.limits.peers);
+        let company = PeerSet::new(settings.instances, settings.rank, settings.limits.peers);
         Dispatcher {
-            out: Vec::new(),
+            actions: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             workers: Vec::new(),
-            index: Table::default(),
-            know: Knowledge::new(&settings, company.size(), now),
-            maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
-            maps_stale: true,
-            requests: Table::default(),
-            queue: Queue::default(),
-            succeeded: false,
-            list: Listing::default(),
-            spill_from: 0,
+            worker_index: IdMap::default(),
+            knowledge: Knowledge::new(&settings, company.size(), now),
+            size_maps: (0..=settings.kinds).map(|_| SizeMap::default()).collect(),
+            size_maps_stale: true,
+            requests: IdMap::default(),
+            hold_queue: HoldQueue::default(),
+            has_successor: false,
+            worker_list: ListState::default(),
+            sample_offset: 0,
             cohorts: Vec::new(),
             company,
-            spent: Spending::default(),
+            shared_spending: Usage::default(),
             rejections: Rejections::default(),
             settings,
         }
     }
 
-    /// Takes in one event and adds what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        self.on(now, event);
-        out.append(&mut self.out);
+        self.handle_event(now, event);
+        out.append(&mut self.actions);
     }
 
-    fn on(&mut self, now: Micros, event: Event) {
+    fn handle_event(&mut self, now: Micros, event: Event) {
         match event {
             Event::Members(kind, members) => self.on_members(now, kind, members),
             Event::Arrival(arrival) => self.on_arrival(now, arrival),
-            // Timers cannot be withdrawn: one that an earlier one has overtaken is passed over.
-            Event::Timer(TIMER_PUMP) => {
-                if self.queue.wake.is_some_and(|at| at <= now) {
-                    self.queue.wake = None;
-                    self.pump(now);
+            // Timers cannot be cancelled. A timer that an earlier one has superseded is ignored.
+            Event::Timer(HOLD_QUEUE_TIMER) => {
+                if self.hold_queue.wake.is_some_and(|wake| wake <= now) {
+                    self.hold_queue.wake = None;
+                    self.process_hold_queue(now);
                 }
             }
-            Event::Timer(_) => self.ask_list(),
-            Event::ListUntil(until) => {
-                self.list.until = until;
-                self.pump(now);
+            Event::Timer(_) => self.subscribe_to_list(),
+            Event::ListLease(until) => {
+                self.worker_list.lease_end = until;
+                self.process_hold_queue(now);
             }
             Event::ListMoved => {
-                self.list.subscribed = false;
-                self.ask_list();
+                self.worker_list.subscribed = false;
+                self.subscribe_to_list();
             }
             Event::Settings(settings) => self.on_settings(now, *settings),
-            Event::Handed(knowledge) => self.on_handed(knowledge),
-            Event::Succeeded(succeeded) => {
-                self.succeeded = succeeded;
-                (0..self.workers.len()).for_each(|at| self.tell_peers(now, at, None));
+            Event::KnowledgeReceived(knowledge) => self.on_knowledge_received(knowledge),
+            Event::SuccessorActive(succeeded) => {
+                self.has_successor = succeeded;
+                (0..self.workers.len()).for_each(|index| self.send_load(now, index, None));
             }
             Event::Streaming { request, attempt } => {
                 self.on_started(now, request, attempt);
@@ -155,23 +178,23 @@
             }
             Event::Note { request, attempt, note } => self.on_note(now, request, attempt, note),
             Event::Outcome(outcome) => {
-                if let Some(&at) = self.index.get(&outcome.worker) {
-                    self.on_report(now, at, outcome.report);
+                if let Some(&index) = self.worker_index.get(&outcome.worker) {
+                    self.on_report(now, index, outcome.report);
                 }
                 self.on_outcome(now, outcome);
             }
             Event::Probed { worker, ending, report, .. } => {
-                let Some(&at) = self.index.get(&worker) else { return };
-                self.on_report(now, at, report);
+                let Some(&index) = self.worker_index.get(&worker) else { return };
+                self.on_report(now, index, report);
                 if ending == Ending::Unreachable {
-                    self.strike(now, at, 1);
+                    self.record_fault(now, index, 1);
                 }
-                self.offer(now, at);
+                self.offer_freed_lane(now, index);
             }
-            Event::Lapsed(request) => self.on_lapsed(request),
-            Event::Ends(at) => self.on_ends(now, at),
-            Event::MovedAway(request) => self.on_moved_away(now, request),
-            Event::Conclude(request) => self.on_conclude(now, request),
+            Event::RequestAbandoned(request) => self.on_lapsed(request),
+            Event::ShutdownAt(end) => self.on_process_end(now, end),
+            Event::RequestTransferred(request) => self.on_moved_away(now, request),
+            Event::FinishRequest(request) => self.on_conclude(now, request),
             Event::Peer { from, body } => self.on_peer(now, from, &body),
         }
     }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -5,9 +5,9 @@
 use super::inbound::Inbound;
 use super::learners::Learners;
 use super::link::Link;
-use crate::config::agreed::Shared;
+use crate::config::agreed::SharedSettingsCheck;
 use crate::config::control::ControlConfig;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::clock::Clock;
 use crate::net::core::deadlines::{ConnectionTimer, Deadline, Deadlines};
 use calicolb::api::Micros;
@@ -90,7 +90,7 @@
         let voters: Vec<u64> = (1..=config.machines.len() as u64).collect();
         let store = FileStore::open(&config.store).map_err(io::Error::other)?;
         let voter = Voter::new(config.id, &voters, store, seed).map_err(io::Error::other)?;
-        note!(
+        log_line!(
             "{} is control machine {} of {} and serves on {at}",
             config.name,
             config.id,
@@ -102,15 +102,15 @@
             signals,
             deadlines: Deadlines::default(),
             tokens: FIRST,
-            inbound: Inbound::new(listener, config.learners),
-            learners: Learners::new(2 * config.learners),
+            inbound: Inbound::new(listener, config.max_learners),
+            learners: Learners::new(2 * config.max_learners),
             links,
             voter,
             id: config.id,
             name: config.name,
             clock,
             waiting: Vec::new(),
-            first: config.settings,
+            first: config.initial_settings,
             told: (0, false),
             accepting: false,
             ticked,
@@ -160,7 +160,7 @@
         match token {
             SIGNALS => {
                 if self.signals.pending().any(|signal| signal == SIGTERM) && !self.ending {
-                    note!("{} ends: {} changes are open", self.name, self.waiting.len());
+                    log_line!("{} ends: {} changes are open", self.name, self.waiting.len());
                     self.ending = true;
                     let (mut io, inbound, _) = self.split(now);
                     inbound.farewell(&mut io);
@@ -257,13 +257,13 @@
             return;
         }
         let Some(set) = self.first.clone() else { return };
-        match self.voter.propose(Change { set, ..Change::default() }, &Shared) {
+        match self.voter.propose(Change { set, ..Change::default() }, &SharedSettingsCheck) {
             Ok(ticket) => {
-                note!("there are no settings yet: those of the operator file are proposed");
+                log_line!("there are no settings yet: those of the operator file are proposed");
                 self.waiting.push(Waiting { ticket, token: None, until: now + AGREE });
             }
             Err(Refused::Faulty(fault)) => {
-                note!(warn: "the first settings cannot be used: '{}' {}", fault.key, fault.why);
+                log_line!(warn: "the first settings cannot be used: '{}' {}", fault.key, fault.why);
                 self.first = None;
             }
             Err(_) => {}
@@ -274,7 +274,7 @@
     fn settle(&mut self, now: Micros) -> io::Result<()> {
         self.begin(now);
         let mut settled: Vec<(Option<usize>, Option<Outcome>)> = Vec::new();
-        for (ticket, outcome) in self.voter.settled(&Shared) {
+        for (ticket, outcome) in self.voter.settled(&SharedSettingsCheck) {
             if let Some(nr) = self.waiting.iter().position(|waiting| waiting.ticket == ticket) {
                 settled.push((self.waiting.swap_remove(nr).token, Some(outcome)));
             }
--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -2,7 +2,7 @@
 //! and the module's actions into commands for the event loop. It depends on no protocol and on no sockets, so that
 //! requests of all protocols are subject to the same decisions, and it makes no decisions itself.
 
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::core::counters::Counters;
 use crate::net::core::deadlines::{Deadline, Deadlines};
 use crate::net::core::network_delay;
@@ -62,8 +62,8 @@
     /// number of open requests.
     pub fn new(settings: Settings, seed: u64, now: Micros, max_open: usize) -> Self {
         RequestTable {
-            max_attempts: settings.limits.tries,
-            allow_duplicates: settings.limits.copies,
+            max_attempts: settings.limits.max_attempts,
+            allow_duplicates: settings.limits.concurrent_attempts,
             acceptance_timeout: network_delay::acceptance_timeout(settings.limits.connect_timeout),
             class_slots: settings.classes.iter().map(|class| class.slots).collect(),
             counters: Counters::new(settings.classes.len()),
@@ -138,7 +138,7 @@
             streaming: false,
             attempts: Vec::new(),
         };
-        note!(debug: request = number, name = %entry.name, class = entry.class.0, expires = expires, "request arrived");
+        log_line!(debug: request = number, name = %entry.name, class = entry.class.0, expires = expires, "request arrived");
         self.requests.insert(number, entry);
         self.events.push_back(Event::Arrival(Arrival {
             request: RequestId(number),
@@ -151,7 +151,7 @@
             key: job.key,
             retry: job.retry,
             skill: job.skill,
-            handed_on: history.map(|history| history.handed_on(class_effect)),
+            transferred: history.map(|history| history.handed_on(class_effect)),
         }));
         number
     }
@@ -161,7 +161,7 @@
         let Some(number) = self.by_client.remove(&client) else { return };
         if let Some(entry) = self.requests.get_mut(&number) {
             entry.concluded = true;
-            self.events.push_back(Event::Lapsed(RequestId(number)));
+            self.events.push_back(Event::RequestAbandoned(RequestId(number)));
         }
         self.removable.push(number);
     }
@@ -207,7 +207,7 @@
 
     /// Sets the time until which the worker list may be used; `None` as long as no change can have been missed.
     pub fn set_list_lease_end(&mut self, lease_end: Option<Micros>) {
-        self.events.push_back(Event::ListUntil(lease_end));
+        self.events.push_back(Event::ListLease(lease_end));
     }
 
     /// Passes on a message from the scheduler of rank `from`.
@@ -233,15 +233,15 @@
     /// Returns the settings key that prevents it.
     pub fn check_settings(&self, new: &Settings) -> Result<(), SettingsError> {
         self.dispatcher
-            .could_take(new)
-            .map_err(|refused| SettingsError::new(settings_key(refused.field), refused.why))
+            .check_settings(new)
+            .map_err(|refused| SettingsError::new(settings_key(refused.field), refused.reason))
     }
 
     /// Applies settings that [`RequestTable::check_settings`] accepted. The module's actions are carried out after each
     /// batch of events, so none that it decided by the old settings is pending here.
     pub fn apply_settings(&mut self, now: Micros, settings: Settings, deadlines: &mut Deadlines) {
         let (limits, classes) = (&settings.limits, &settings.classes);
-        (self.max_attempts, self.allow_duplicates) = (limits.tries, limits.copies);
+        (self.max_attempts, self.allow_duplicates) = (limits.max_attempts, limits.concurrent_attempts);
         self.acceptance_timeout = network_delay::acceptance_timeout(limits.connect_timeout);
         self.class_slots = classes.iter().map(|class| class.slots).collect();
         self.counters.resize(classes.len());
@@ -284,7 +284,7 @@
 
     /// Use of resources that all schedulers share since the start of the process, by the names that operators see.
     pub fn shared_usage(&self) -> [(&'static str, u64); 6] {
-        self.dispatcher.spent.figures()
+        self.dispatcher.shared_spending.figures()
     }
 
     /// Numbers of requests without a result by reason, by the names that operators see.
@@ -294,7 +294,7 @@
 
     /// Number of listed workers to which the decision module does not send at present.
     pub fn excluded_workers(&self, now: Micros) -> usize {
-        self.dispatcher.avoided(now)
+        self.dispatcher.avoided_worker_count(now)
     }
 
     /// Number of requests that have no final answer yet and whose client has not left.
--- a/src/net/core/request_table/actions.rs
+++ b/src/net/core/request_table/actions.rs
@@ -9,8 +9,8 @@
             Action::Send { request, worker, timeout } => {
                 self.send_attempt(now, request, worker, timeout, deadlines)
             }
-            Action::Refuse { request, come_back, why } => {
-                note!(debug: request = request.0, ?why, "request refused");
+            Action::Refuse { request, retry_after: come_back, reason: why } => {
+                log_line!(debug: request = request.0, ?why, "request refused");
                 self.conclude(request.0, Answer::Busy { retry_after: come_back });
             }
             Action::Fail(request) => self.conclude(request.0, Answer::Failed),
@@ -20,7 +20,7 @@
                 let (allow_duplicates, acceptance_timeout) = (self.allow_duplicates, self.acceptance_timeout);
                 let Some(attempt) = self.open_attempt(id) else { return };
                 let Some(written) = attempt.written_at else {
-                    return self.cancel_attempt(now, id, Ending::Moot);
+                    return self.cancel_attempt(now, id, Ending::NotSent);
                 };
                 if allow_duplicates || concluded {
                     return self.cancel_attempt(now, id, Ending::Cancelled);
@@ -42,23 +42,23 @@
                 deadlines.set(Deadline::DispatcherTimer(timer.0, self.last_timer), now + after);
             }
             Action::Probe(worker) => {
-                self.dispatcher.spent.probes += 1;
+                self.dispatcher.shared_spending.probes += 1;
                 self.commands.push(Command::Probe(worker));
             }
-            Action::Tell { to, body } => {
-                self.dispatcher.spent.messages += 1;
+            Action::SendMessage { to, body } => {
+                self.dispatcher.shared_spending.messages += 1;
                 self.commands.push(Command::SendPeerMessage { to, body });
             }
             Action::FetchList => {
-                self.dispatcher.spent.list_calls += 1;
+                self.dispatcher.shared_spending.list_calls += 1;
                 self.commands.push(Command::FetchList);
             }
             Action::Subscribe(subscribe) => {
-                self.dispatcher.spent.list_calls += u64::from(subscribe);
+                self.dispatcher.shared_spending.list_calls += u64::from(subscribe);
                 self.commands.push(Command::SetWatch(subscribe));
             }
             Action::CloseIdle(worker) => self.commands.push(Command::CloseIdle(worker)),
-            Action::Log(text) => note!("module: {text}"),
+            Action::Log(text) => log_line!("module: {text}"),
         }
     }
 
@@ -74,17 +74,17 @@
     ) {
         let answer_by = self.requests.get(&request.0).map(|entry| self.answer_by(entry));
         let Some((entry, answer_by)) = self.requests.get_mut(&request.0).zip(answer_by) else {
-            return note!("the decision module sent request {}, which is not open", request.0);
+            return log_line!("the decision module sent request {}, which is not open", request.0);
         };
         let id = AttemptId { request: request.0, number: entry.attempts.len() as u32 };
         let ends = answer_by.min(timeout.map_or(Micros::MAX, |span| now.saturating_add(span)));
         entry.attempts.push(Attempt::new(worker, now));
         // In the batch of events that this action responds to, the client may have left or its time may have run out.
         if entry.concluded || ends <= now || id.number >= self.max_attempts {
-            return self.end_attempt(now, id, Ending::Moot, false, None);
+            return self.end_attempt(now, id, Ending::NotSent, false, None);
         }
         deadlines.set(Deadline::AttemptTimeout(id.request, id.number), ends);
-        note!(debug: request = id.request, attempt = id.number, hop = worker.0, "attempt sent");
+        log_line!(debug: request = id.request, attempt = id.number, hop = worker.0, "attempt sent");
         self.commands.push(Command::SendAttempt {
             attempt: id,
             worker,
@@ -146,7 +146,7 @@
             self.conclude(id.request, Answer::Failed);
         }
         let concluded = self.requests.get(&id.request).is_none_or(|entry| entry.concluded);
-        note!(debug: request = id.request, attempt = id.number, hop = worker.0, ?ending, "attempt ended");
+        log_line!(debug: request = id.request, attempt = id.number, hop = worker.0, ?ending, "attempt ended");
         self.events.push_back(Event::Outcome(Outcome {
             request: RequestId(id.request),
             attempt: id.number,
@@ -168,7 +168,7 @@
         }
         entry.concluded = true;
         let counters = self.counters.class_mut(entry.class);
-        note!(debug: request = number, class = entry.class.0, answer = answer.label(), "request answered");
+        log_line!(debug: request = number, class = entry.class.0, answer = answer.label(), "request answered");
         match answer {
             Answer::Served(_) => counters.served += 1,
             Answer::Busy { .. } => counters.refused += 1,
--- a/src/net/core/request_table/attempts.rs
+++ b/src/net/core/request_table/attempts.rs
@@ -12,9 +12,9 @@
         let open = |entry: &&Entry<P>| !entry.concluded && now < self.answer_by(entry);
         let entry = self.requests.get(&id.request).filter(open);
         if entry.is_none() {
-            return Err(Ending::Moot);
+            return Err(Ending::NotSent);
         }
-        let may_start = self.dispatcher.may_begin(now, RequestId(id.request), id.number);
+        let may_start = self.dispatcher.may_start_attempt(now, RequestId(id.request), id.number);
         if may_start { Ok(()) } else { Err(Ending::Unreachable) }
     }
 
@@ -44,15 +44,15 @@
     /// Reports that the worker has not confirmed within the acceptance timeout that it accepted the job.
     pub fn acceptance_overdue(&mut self, id: AttemptId) {
         if self.open_attempt(id).is_some() {
-            let note = Note::Silent;
+            let note = AttemptNote::Silent;
             self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
         }
     }
 
     /// Reports that the job of an attempt has started or progressed.
-    pub fn attempt_note(&mut self, id: AttemptId, note: Note) {
+    pub fn attempt_note(&mut self, id: AttemptId, note: AttemptNote) {
         if self.open_attempt(id).is_some() {
-            if note == Note::Started
+            if note == AttemptNote::Started
                 && let Some(entry) = self.requests.get(&id.request)
                 && entry.updates != ClientUpdates::Nothing
                 && !entry.concluded
@@ -72,8 +72,11 @@
         let (request, attempt) = (RequestId(id.request), id.number);
         let is_result = matches!(part, PartialResult::Data(_) | PartialResult::Warning(_));
         if let PartialResult::Progress(numerator, denominator) = part {
-            let note =
-                Note::Progress(if denominator > 0 { numerator as f64 / denominator as f64 } else { 0.0 });
+            let note = AttemptNote::Progress(if denominator > 0 {
+                numerator as f64 / denominator as f64
+            } else {
+                0.0
+            });
             self.events.push_back(Event::Note { request, attempt, note });
         }
         if entry.concluded {
@@ -145,8 +148,8 @@
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
         let Some(attempt) = attempt.filter(|attempt| attempt.may_run) else { return };
         attempt.may_run = false;
-        note!(debug: request = id.request, attempt = id.number, hop = attempt.worker.0, "attempt is over at its worker");
-        let note = Note::Over;
+        log_line!(debug: request = id.request, attempt = id.number, hop = attempt.worker.0, "attempt is over at its worker");
+        let note = AttemptNote::Over;
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
 
@@ -185,7 +188,7 @@
         };
         let id = AttemptId { request: number, number: index as u32 };
         match update {
-            AttemptUpdate::Note(Note::Progress(share)) if entry.updates != ClientUpdates::Nothing => {
+            AttemptUpdate::Note(AttemptNote::Progress(share)) if entry.updates != ClientUpdates::Nothing => {
                 self.partial_result(id, PartialResult::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
             }
             AttemptUpdate::Note(note) => self.attempt_note(id, note),
--- a/src/net/core/request_table/end_of_process.rs
+++ b/src/net/core/request_table/end_of_process.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use calicolb_shutdown as shutdown;
-use calicolb_shutdown::{Duty, Phase};
+use calicolb_shutdown::{Phase, ShutdownAction};
 use serde::{Deserialize, Serialize};
 
 /// State of a request that moves to another process, besides the data that a worker gets of it.
@@ -44,13 +44,13 @@
 impl RequestHistory {
     /// Converts the history to the decision module's type. `class_effect`: the effect of a repeat that the class
     /// states.
-    pub(super) fn handed_on(&self, class_effect: Effect) -> HandedOn {
-        let past = |attempt: &AttemptRecord| PastAttempt {
+    pub(super) fn handed_on(&self, class_effect: Effect) -> TransferredRequest {
+        let past = |attempt: &AttemptRecord| PriorAttempt {
             worker: attempt.worker,
             sent: attempt.sent,
             state: attempt.state,
         };
-        HandedOn {
+        TransferredRequest {
             arrived: self.arrived,
             effect: self.effect.unwrap_or(class_effect),
             attempts: self.attempts.iter().map(past).collect(),
@@ -62,11 +62,11 @@
     /// Its progress, for the rules of [`calicolb_shutdown`].
     fn progress(&self) -> shutdown::Attempt {
         match self.ending {
-            Some(ending) => shutdown::Attempt::Over(ending.state(self.may_run)),
+            Some(ending) => shutdown::Attempt::Ended(ending.state(self.may_run)),
             None if self.cancel_pending => {
-                shutdown::Attempt::CallingOff { written: self.written_at.is_some() }
+                shutdown::Attempt::Cancelling { written: self.written_at.is_some() }
             }
-            None if self.accepted => shutdown::Attempt::Taken,
+            None if self.accepted => shutdown::Attempt::Accepted,
             None if self.written_at.is_some() => shutdown::Attempt::Written,
             None => shutdown::Attempt::Connecting,
         }
@@ -82,7 +82,7 @@
             ..Attempt::new(record.worker, record.sent)
         };
         attempt.ending = match record.state {
-            AttemptState::Out => None,
+            AttemptState::InFlight => None,
             AttemptState::NeverRan => Some(Ending::Unreachable),
             AttemptState::MayHaveRan | AttemptState::MayRun => Some(Ending::Cancelled),
         };
@@ -100,7 +100,7 @@
     /// Applies the end of the process to the requests that are open already, because no other process continues them.
     pub fn limit_open_requests(&mut self, deadlines: &mut Deadlines) {
         self.open_requests_limited = true;
-        self.events.push_back(Event::Ends(self.process_end));
+        self.events.push_back(Event::ShutdownAt(self.process_end));
         for (&number, entry) in self.requests.iter().filter(|(_, entry)| entry.expires > self.process_end) {
             let open = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
             open.for_each(|(index, _)| {
@@ -124,16 +124,16 @@
 
     /// The action that a request needs in this phase of the shutdown. `movable`: a successor accepts the request, and
     /// its client's connection can be passed on.
-    pub fn duty(&self, number: u32, phase: Phase, movable: bool) -> Duty {
-        let Some(entry) = self.requests.get(&number) else { return Duty::Wait };
+    pub fn duty(&self, number: u32, phase: Phase, movable: bool) -> ShutdownAction {
+        let Some(entry) = self.requests.get(&number) else { return ShutdownAction::Wait };
         let attempts: Vec<shutdown::Attempt> = entry.attempts.iter().map(Attempt::progress).collect();
         let request = shutdown::Request {
             answered: entry.concluded,
-            movable: movable && !entry.streaming,
+            transferable: movable && !entry.streaming,
             repeatable: self.effect(number, entry).repeatable(),
             attempts: &attempts,
         };
-        shutdown::duty(request, phase, movable)
+        shutdown::shutdown_action(request, phase, movable)
     }
 
     /// The effect of a repeat of a request: the decision module's, or else that of its class.
@@ -171,7 +171,7 @@
         let Some(entry) = self.requests.remove(&number) else { return };
         self.by_name.remove(&entry.name);
         self.by_client.remove(&entry.client);
-        self.events.push_back(Event::MovedAway(RequestId(number)));
+        self.events.push_back(Event::RequestTransferred(RequestId(number)));
     }
 
     /// Continues a request that another process of this scheduler has worked on, for the client whose connection came
@@ -200,7 +200,7 @@
         match self.requests.get(&number) {
             // The decision module has finished with a request whose client has received a part of the result.
             Some(entry) if entry.streaming => self.conclude(number, Answer::Failed),
-            Some(_) => self.events.push_back(Event::Conclude(RequestId(number))),
+            Some(_) => self.events.push_back(Event::FinishRequest(RequestId(number))),
             None => {}
         }
     }
--- a/src/net/core/request_table/request.rs
+++ b/src/net/core/request_table/request.rs
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptUpdate {
     /// The job has started or progressed.
-    Note(Note),
+    Note(AttemptNote),
     /// The job has ended with this result.
     Served(Vec<u8>),
     /// The job has ended without a result.
--- a/src/net/core/request_table/tests.rs
+++ b/src/net/core/request_table/tests.rs
@@ -26,8 +26,8 @@
             "request_classes":[{"name":"look","aim_us":900000,"deadline_us":9000000,"effect":"read_like"},
             {"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}],
             "extra":{"class_stretch":[2.0,2.0]}}"#;
-        let (mut settings, _) = wire::settings(info).expect("parse the test settings");
-        settings.limits.copies = allow_duplicates;
+        let (mut settings, _) = wire::parse_settings(info).expect("parse the test settings");
+        settings.limits.concurrent_attempts = allow_duplicates;
         let (now, connect_timeout) = (50 * SECOND, settings.limits.connect_timeout);
         let mut fixture = Fixture {
             connect_timeout,
@@ -40,7 +40,7 @@
             zone: ZoneIx(0),
             kind: KindIx(0),
             cell: 0,
-            standing: Standing::On,
+            status: WorkerStatus::On,
             weight: 1.0,
             ..Member::default()
         };
@@ -272,7 +272,7 @@
     };
     assert!(running(&mut fixture), "the attempt was reported as over while the cancellation is in transit");
     let over = |fixture: &mut Fixture| {
-        matches!(fixture.table.events.pop_front(), Some(Event::Note { note: Note::Over, .. }))
+        matches!(fixture.table.events.pop_front(), Some(Event::Note { note: AttemptNote::Over, .. }))
     };
     fixture.table.cancel_delivered(fixture.now, attempt);
     assert!(over(&mut fixture));
@@ -301,7 +301,10 @@
         let update =
             if served { AttemptUpdate::Served(b"r".to_vec()) } else { AttemptUpdate::Ended(Ending::Broken) };
         assert!(!fixture.callback(update));
-        assert!(matches!(fixture.table.events.pop_front(), Some(Event::Note { note: Note::Over, .. })));
+        assert!(matches!(
+            fixture.table.events.pop_front(),
+            Some(Event::Note { note: AttemptNote::Over, .. })
+        ));
     }
 }
 
--- a/src/net/core/request_table/upgrade.rs
+++ b/src/net/core/request_table/upgrade.rs
@@ -7,18 +7,18 @@
     /// Hands over to a successor: returns what the decision module has learned. From now on the successor sends peer
     /// messages for both processes.
     pub fn hand_over(&mut self) -> serde_json::Value {
-        self.events.push_back(Event::Succeeded(true));
+        self.events.push_back(Event::SuccessorActive(true));
         self.dispatcher.knowledge()
     }
 
     /// Reports that the successor process has ended.
     pub fn successor_gone(&mut self) {
-        self.events.push_back(Event::Succeeded(false));
+        self.events.push_back(Event::SuccessorActive(false));
     }
 
     /// Imports what the decision module of the predecessor process had learned.
     pub fn import_knowledge(&mut self, knowledge: serde_json::Value) {
-        self.events.push_back(Event::Handed(knowledge));
+        self.events.push_back(Event::KnowledgeReceived(knowledge));
     }
 
     /// Whether a request of this name is open here.
--- a/src/net/core/transfer.rs
+++ b/src/net/core/transfer.rs
@@ -69,7 +69,7 @@
     fn from(legacy: LegacyTransfer) -> Self {
         let LegacyTransfer { envelope, keep_alive, worker, sent, expires } = legacy;
         let attempt =
-            AttemptRecord { worker: WorkerId(worker), sent, state: AttemptState::Out, ended_by: None };
+            AttemptRecord { worker: WorkerId(worker), sent, state: AttemptState::InFlight, ended_by: None };
         let history = RequestHistory { arrived: sent, expires, effect: None, attempts: vec![attempt] };
         Transfer { envelope, keep_alive, unread: Vec::new(), history, clock: 0 }
     }
--- a/src/net/core/transfer/tests.rs
+++ b/src/net/core/transfer/tests.rs
@@ -47,7 +47,8 @@
     let (received, wants_reply) = read.received(0);
     assert!(!wants_reply, "a sender of an older version must not get a reply");
     assert_eq!(received.envelope.body, b"hi");
-    let attempt = AttemptRecord { worker: WorkerId(7), sent: 50, state: AttemptState::Out, ended_by: None };
+    let attempt =
+        AttemptRecord { worker: WorkerId(7), sent: 50, state: AttemptState::InFlight, ended_by: None };
     assert_eq!(
         received.history,
         RequestHistory { arrived: 50, expires: 60, effect: None, attempts: vec![attempt] }
--- a/src/net/core/worker_registry.rs
+++ b/src/net/core/worker_registry.rs
@@ -2,7 +2,7 @@
 //! themselves. The decision module knows a single list, so the registry makes sure that a full list from one source
 //! does not remove the workers of another source.
 
-use calicolb::api::{ListKind, Member, Standing, WorkerId};
+use calicolb::api::{ListKind, Member, WorkerId, WorkerStatus};
 use std::collections::HashMap;
 
 /// The source that added a worker to the registry.
@@ -40,7 +40,7 @@
             self.0.retain(|_, (owner, _)| *owner != source);
         }
         for member in &members {
-            if member.standing == Standing::Gone {
+            if member.status == WorkerStatus::Gone {
                 self.0.remove(&member.worker);
             } else {
                 self.0.insert(member.worker, (source, member.clone()));
@@ -58,8 +58,8 @@
 mod tests {
     use super::*;
 
-    fn member(id: u32, standing: Standing) -> Member {
-        Member { worker: WorkerId(id), standing, ..Member::default() }
+    fn member(id: u32, standing: WorkerStatus) -> Member {
+        Member { worker: WorkerId(id), status: standing, ..Member::default() }
     }
 
     fn ids(members: &[Member]) -> Vec<u32> {
@@ -71,7 +71,7 @@
     #[test]
     fn a_full_list_of_one_source_keeps_the_workers_of_other_sources() {
         let mut registry = WorkerRegistry::default();
-        let on = |id| member(id, Standing::On);
+        let on = |id| member(id, WorkerStatus::On);
         assert_eq!(ids(&registry.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![on(1)])), [1]);
         assert_eq!(
             ids(&registry.merge(WorkerSource::SelfRegistered("g"), ListKind::Changes, vec![on(2)])),
@@ -88,14 +88,14 @@
     #[test]
     fn a_worker_number_stays_with_the_source_that_added_it_first() {
         let mut registry = WorkerRegistry::default();
-        registry.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![member(1, Standing::On)]);
+        registry.merge(WorkerSource::OperatorFile, ListKind::Saved, vec![member(1, WorkerStatus::On)]);
         assert!(registry.belongs_to_other_source(WorkerId(1), WorkerSource::Discovery));
         assert!(
             registry
-                .merge(WorkerSource::Discovery, ListKind::Changes, vec![member(1, Standing::Gone)])
+                .merge(WorkerSource::Discovery, ListKind::Changes, vec![member(1, WorkerStatus::Gone)])
                 .is_empty()
         );
-        registry.merge(WorkerSource::OperatorFile, ListKind::Changes, vec![member(1, Standing::Gone)]);
+        registry.merge(WorkerSource::OperatorFile, ListKind::Changes, vec![member(1, WorkerStatus::Gone)]);
         assert_eq!(registry.len(), 0);
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,9 +1,9 @@
 //! The event loop of a scheduler. Each iteration gathers the ready connections and the due deadlines, passes the
 //! resulting events to the decision module in one batch, and carries out the commands that it returns.
 
-use crate::config::list::Update;
-use crate::config::{Config, Fixed, PeerConfig};
-use crate::log::note;
+use crate::config::worker_list::ListUpdate;
+use crate::config::{Config, PeerConfig, StaticWorker};
+use crate::log::log_line;
 use crate::net::core::clock::Clock;
 use crate::net::core::counters::Gauges;
 use crate::net::core::deadlines::{Deadline, Deadlines};
@@ -12,16 +12,16 @@
 use crate::net::core::worker_registry::WorkerSource;
 use crate::net::gearman::Gearman;
 use crate::net::http::Http;
-use crate::net::http::call_back::call_back;
-use crate::net::http::client::Clients;
-use crate::net::http::next_hop::NextHops;
-use crate::net::operators::door::{CALLS, Door, Order};
-use crate::net::operators::drain::{Drain, PARTING, Why};
-use crate::net::platform::control::Control;
-use crate::net::platform::inherit;
-use crate::net::platform::peers::Peers;
-use crate::net::platform::route_set::RouteSet;
-use crate::net::platform::upgrade::{Handover, Listed, PATIENCE, Side, UpgradeLink, Word};
+use crate::net::http::callback::handle_callback;
+use crate::net::http::client::ClientConnections;
+use crate::net::http::upstream::UpstreamConnections;
+use crate::net::operators::drain::{CLIENT_DISCONNECT_DELAY, Drain, DrainReason};
+use crate::net::operators::management::{MAX_MANAGEMENT_CONNECTIONS, ManagementCommand, ManagementServer};
+use crate::net::platform::control::ControlClient;
+use crate::net::platform::discovery::DiscoveryClient;
+use crate::net::platform::inherited_socket;
+use crate::net::platform::peer_socket::PeerSocket;
+use crate::net::platform::upgrade::{HANDOVER_TIMEOUT, Handover, IndexedNames, Message, Role, UpgradeLink};
 use crate::net::protocol::{DescriptorLimits, Protocol, ProtocolRequest};
 use crate::net::{Context, PeerTarget};
 use calicolb::api::{Class, ListKind, Micros, WorkerId};
@@ -68,13 +68,13 @@
     /// The protocols other than HTTP.
     other_protocols: Vec<Box<dyn Protocol>>,
     protocol_requests: Vec<ProtocolRequest>,
-    discovery: RouteSet,
+    discovery: DiscoveryClient,
     /// Workers that the operator file names.
-    static_workers: Vec<Fixed>,
-    peers: Option<Peers>,
+    static_workers: Vec<StaticWorker>,
+    peers: Option<PeerSocket>,
     /// Client of the control machines, if the configuration names any.
-    control: Option<Control>,
-    management: Option<Door>,
+    control: Option<ControlClient>,
+    management: Option<ManagementServer>,
     drain: Drain,
     upgrade_link: UpgradeLink,
     /// Callbacks that matched no request here; they are passed to the other process at the end of the iteration.
@@ -83,7 +83,7 @@
     peer_outbox: Vec<(PeerTarget, Vec<u8>)>,
     /// The initial worker list of the configuration, while the predecessor is asked for a newer one; `None` once
     /// serving has started.
-    initial_list: Option<Option<Update>>,
+    initial_list: Option<Option<ListUpdate>>,
     /// A successor process has taken over.
     handed_over: bool,
     /// The successor accepts clients.
@@ -131,21 +131,23 @@
         let poll = Poll::new()?;
         let registry = poll.registry().try_clone()?;
         let clock = Clock::new();
-        let (listener, socket_inherited) = inherit::listener(config.passed, config.listen)?;
+        let (listener, socket_inherited) =
+            inherited_socket::open_listener(config.passed_socket, config.listen)?;
         let listen_address = listener.local_addr()?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
-        let management = match config.mgmt {
+        let management = match config.management {
             Some(mgmt) => {
                 let mut listener = TcpListener::bind(mgmt)?;
                 registry.register(&mut listener, MANAGEMENT, Interest::READABLE)?;
-                note!("{} listens for operators on {}", config.name, listener.local_addr()?);
-                Some(Door::new(listener))
+                log_line!("{} listens for operators on {}", config.name, listener.local_addr()?);
+                Some(ManagementServer::new(listener))
             }
             None => None,
         };
         let (on_request, drain_grace) = (config.settings.list_on_request, config.settings.rules.drain_grace);
-        let discovery = RouteSet::new(config.discovery, on_request, drain_grace, clock.now());
-        let hops = NextHops::new(config.settings.limits.connect_timeout, config.conn_idle, 0);
+        let discovery = DiscoveryClient::new(config.discovery, on_request, drain_grace, clock.now());
+        let upstream =
+            UpstreamConnections::new(config.settings.limits.connect_timeout, config.worker_idle_timeout, 0);
         let mut event_loop = EventLoop {
             grace: grace_period(&config.settings.classes),
             termination: None,
@@ -159,28 +161,28 @@
             deadlines: Deadlines::default(),
             last_token: LAST_RESERVED_TOKEN,
             signals,
-            http: Http { clients: Clients::new(listener, CLIENT_LISTENER), hops },
+            http: Http { clients: ClientConnections::new(listener, CLIENT_LISTENER), upstream },
             other_protocols: Vec::new(),
             protocol_requests: Vec::new(),
             discovery,
-            static_workers: config.fixed,
+            static_workers: config.static_workers,
             peers: None,
-            control: config.control.map(|control| Control::new(control, &config.name, config.seed)),
+            control: config.control.map(|control| ControlClient::new(control, &config.name, config.seed)),
             management,
             drain: Drain::default(),
-            upgrade_link: UpgradeLink::new(config.meeting.filter(|_| socket_inherited)),
+            upgrade_link: UpgradeLink::new(config.upgrade_socket.filter(|_| socket_inherited)),
             unmatched_callbacks: Vec::new(),
             peer_outbox: Vec::new(),
-            initial_list: Some(config.known),
+            initial_list: Some(config.known_workers),
             handed_over: false,
             successor_accepts_clients: false,
             name: config.name,
             listen_address,
             socket_inherited,
             peer_config: config.peers,
-            max_descriptors: config.sockets,
-            max_open: config.most_open,
-            worker_idle_timeout: config.conn_idle,
+            max_descriptors: config.max_descriptors,
+            max_open: config.max_open_requests,
+            worker_idle_timeout: config.worker_idle_timeout,
             settings_updates: 0,
             ready_to_serve: false,
             graceful: false,
@@ -192,8 +194,8 @@
             components.other_protocols.push(Box::new(Gearman::new(&mut ctx, gearman)?));
         }
         let (mut ctx, components) = event_loop.split(now);
-        if components.upgrade_link.call(&mut ctx) {
-            ctx.deadlines.set(Deadline::PredecessorHandover, now + PATIENCE);
+        if components.upgrade_link.connect_to_predecessor(&mut ctx) {
+            ctx.deadlines.set(Deadline::PredecessorHandover, now + HANDOVER_TIMEOUT);
             event_loop.distribute_descriptors(now);
         } else {
             event_loop.start_serving(now, None)?;
@@ -206,9 +208,12 @@
     fn start_serving(&mut self, now: Micros, handover: Option<Handover>) -> io::Result<()> {
         if let Some(handover) = &handover {
             // This applies also to a predecessor that missed the time limit: it still answers its open requests.
-            note!("{} requests are open at the predecessor", handover.open.len());
+            log_line!("{} requests are open at the predecessor", handover.open_requests.len());
             self.request_table.track_open_names();
-            handover.open.iter().for_each(|name| self.request_table.set_open_elsewhere(name.clone(), true));
+            handover
+                .open_requests
+                .iter()
+                .for_each(|name| self.request_table.set_open_elsewhere(name.clone(), true));
         }
         let Some(initial_list) = self.initial_list.take() else { return Ok(()) };
         self.open_peer_socket(now)?;
@@ -219,22 +224,32 @@
         let confirmed_ago = handover.as_ref().and_then(|handover| handover.confirmed_us_ago);
         let (initial_list, draining) = match handover {
             Some(handover) => {
-                let ahead = handover.clock.map_or(0, |clock| components.upgrade_link.hear_clock(now, clock));
-                let knowledge =
-                    settings_update::remap_knowledge(handover.knowledge, &handover.names, ctx.names, now);
+                let ahead =
+                    handover.clock.map_or(0, |clock| components.upgrade_link.record_clock_offset(now, clock));
+                let knowledge = settings_update::remap_knowledge(
+                    handover.dispatcher_state,
+                    &handover.names,
+                    ctx.names,
+                    now,
+                );
                 ctx.request_table.import_knowledge(settings_update::adjust_clock(knowledge, ahead));
-                (Some(handover.routes), handover.drained)
+                (Some(handover.worker_list), handover.draining)
             }
             None => (initial_list, false),
         };
         if !components.static_workers.is_empty() {
             components.static_workers.iter().for_each(|worker| {
-                components.http.hops.learn(&mut ctx, worker.member.worker, worker.dial, 0)
+                components.http.upstream.update_worker(&mut ctx, worker.member.worker, worker.address, 0)
             });
             let members = components.static_workers.iter().map(|worker| worker.member.clone()).collect();
             ctx.request_table.update_workers(WorkerSource::OperatorFile, ListKind::Changes, members);
         }
-        components.discovery.warm(&mut ctx, &mut components.http.hops, initial_list, confirmed_ago);
+        components.discovery.load_initial_list(
+            &mut ctx,
+            &mut components.http.upstream,
+            initial_list,
+            confirmed_ago,
+        );
         components.http.listen(&mut ctx)?;
         components.other_protocols.iter_mut().try_for_each(|other| other.listen(&mut ctx))?;
         components.upgrade_link.listen(ctx.registry, UPGRADE_LISTENER);
@@ -242,13 +257,13 @@
             Some(control) => control.start(&mut ctx),
             // An operator file cannot name control machines.
             None if uses_operator_file => {}
-            None => note!(
+            None => log_line!(
                 "agreed configuration is off: the configuration names no 'control' machines; settings change by SIGHUP"
             ),
         }
-        note!("{} serves on {}", self.name, self.listen_address);
+        log_line!("{} serves on {}", self.name, self.listen_address);
         if draining {
-            self.begin_drain(now, Why::Asked);
+            self.begin_drain(now, DrainReason::OperatorRequest);
         }
         Ok(())
     }
@@ -259,9 +274,10 @@
         match UdpSocket::bind(config.listen) {
             Ok(mut socket) => {
                 self.registry.register(&mut socket, PEERS, Interest::READABLE)?;
-                note!("{} listens for schedulers on {}", self.name, socket.local_addr()?);
+                log_line!("{} listens for schedulers on {}", self.name, socket.local_addr()?);
                 let seed = self.clock.now() ^ u64::from(self.rank);
-                self.peers = Some(Peers::new(socket, config.each.clone(), config.all, self.rank, seed));
+                self.peers =
+                    Some(PeerSocket::new(socket, config.by_rank.clone(), config.broadcast, self.rank, seed));
             }
             // A predecessor that has not handed over still uses the address. Requests are served without datagrams; the
             // socket is bound when the predecessor has ended.
@@ -275,8 +291,9 @@
 
     /// Distributes the file descriptors among the protocols. While two processes share the limit, each uses half of it.
     fn distribute_descriptors(&mut self, now: Micros) {
-        let descriptors = self.max_descriptors / if self.upgrade_link.any() { 2 } else { 1 };
-        let reserved = RESERVED_DESCRIPTORS + if self.management.is_some() { CALLS } else { 0 };
+        let descriptors = self.max_descriptors / if self.upgrade_link.is_connected() { 2 } else { 1 };
+        let reserved =
+            RESERVED_DESCRIPTORS + if self.management.is_some() { MAX_MANAGEMENT_CONNECTIONS } else { 0 };
         let (limits, max_open) = descriptor_limits(descriptors, reserved);
         let max_open = max_open.min(self.max_open);
         let (mut ctx, mut components) = self.split(now);
@@ -290,7 +307,7 @@
     /// Starts to serve unless serving has started before, and logs an error instead of returning it.
     fn try_start_serving(&mut self, now: Micros, handover: Option<Handover>) {
         if let Err(error) = self.start_serving(now, handover) {
-            note!("cannot start to serve: {error}");
+            log_line!("cannot start to serve: {error}");
         }
     }
 
@@ -330,8 +347,8 @@
                 self.handle_protocol_request(now, request);
             }
             self.apply_agreed_settings(now);
-            self.ready_to_serve |= self.request_table.worker_count() > 0 && self.discovery.serviceable(now);
-            self.http.clients.open = self.ready_to_serve && self.accepts_clients();
+            self.ready_to_serve |= self.request_table.worker_count() > 0 && self.discovery.is_ready(now);
+            self.http.clients.accepts_clients = self.ready_to_serve && self.accepts_clients();
             self.notify_other_process();
             self.send_peer_datagrams();
             finished_iterations = if self.is_finished(now) { finished_iterations + 1 } else { 0 };
@@ -343,21 +360,21 @@
     fn send_peer_datagrams(&mut self) {
         for (target, body) in std::mem::take(&mut self.peer_outbox) {
             if let Some(peers) = &mut self.peers {
-                peers.address(target, &body);
+                peers.send_to_audience(target, &body);
             }
         }
     }
 
     /// Whether this scheduler accepts clients, here or at the successor process: both processes are one scheduler.
     fn accepts_clients(&self) -> bool {
-        if self.handed_over { self.successor_accepts_clients } else { self.drain.open() }
+        if self.handed_over { self.successor_accepts_clients } else { self.drain.accepts_clients() }
     }
 
     /// Whether the process may exit: all accepted requests are answered.
     fn is_finished(&self, now: Micros) -> bool {
         // The last condition keeps this process running for the open attempts of the predecessor: their callbacks
         // arrive at the process that listens, which is this one.
-        self.drain.last()
+        self.drain.is_final_phase()
             && self.request_table.unanswered_requests() == 0
             && self.transfers.is_empty()
             && self.http.is_idle(now)
@@ -402,18 +419,18 @@
             PEERS => components.receive_peers(&mut ctx),
             MANAGEMENT => self.accept_management(now),
             UPGRADE_LISTENER => components.upgrade_link.accept(&mut ctx),
-            Token(token) if components.upgrade_link.has(token) => self.handle_link_ready(now, token),
-            Token(token) if components.discovery.has(token) => {
-                components.discovery.ready(&mut ctx, &mut components.http.hops, token);
+            Token(token) if components.upgrade_link.owns_token(token) => self.handle_link_ready(now, token),
+            Token(token) if components.discovery.owns_token(token) => {
+                components.discovery.handle_ready(&mut ctx, &mut components.http.upstream, token);
             }
-            Token(token) if components.control.as_ref().is_some_and(|control| control.has(token)) => {
+            Token(token) if components.control.as_ref().is_some_and(|control| control.owns_token(token)) => {
                 if let Some(control) = components.control {
-                    control.ready(&mut ctx, token);
+                    control.handle_ready(&mut ctx, token);
                 }
             }
             Token(token) => match components.management {
-                Some(management) if management.has(token) => {
-                    if let Some(command) = management.ready(&mut ctx, token) {
+                Some(management) if management.owns(token) => {
+                    if let Some(command) = management.handle_ready(&mut ctx, token) {
                         self.execute_management_command(now, token, command);
                     }
                 }
@@ -450,38 +467,38 @@
                 }
             }
             Deadline::ReceivePeers => components.receive_peers(&mut ctx),
-            Deadline::PeerListCheck => components.discovery.ask_witnesses(&mut ctx),
+            Deadline::PeerListCheck => components.discovery.query_peers(&mut ctx),
             Deadline::DiscoveryFetch | Deadline::DiscoveryWatch => {
-                components.discovery.late(&mut ctx, components.http, deadline)
+                components.discovery.handle_timeout(&mut ctx, components.http, deadline)
             }
             Deadline::ControlClient => {
                 if let Some(control) = components.control {
-                    control.late(&mut ctx);
+                    control.handle_timeout(&mut ctx);
                 }
             }
-            Deadline::ListExpiry => components.discovery.expire(now),
+            Deadline::ListExpiry => components.discovery.handle_expiry(now),
             // Readiness is evaluated at the end of the iteration.
             Deadline::Readiness => {}
             // Deadlines of control machines, which have an event loop of their own.
             Deadline::ControlTick | Deadline::Heartbeat | Deadline::ControlLinkRetry(_) => {}
             Deadline::DrainClients => {
                 components.protocols().for_each(|protocol| protocol.begin_drain(&mut ctx));
-                self.drain.part();
+                self.drain.start_disconnecting();
             }
             Deadline::ManagementCall(token) => {
                 if let Some(management) = components.management {
-                    management.late(&mut ctx, token);
+                    management.handle_timeout(&mut ctx, token);
                 }
             }
             Deadline::ManagementAccept => self.accept_management(now),
             Deadline::PredecessorHandover => {
-                note!("the predecessor has not handed over in time");
+                log_line!("the predecessor has not handed over in time");
                 self.try_start_serving(now, None);
             }
             Deadline::OpenRequestsCheck => self.process_open_requests(now),
             Deadline::PeerSocketRetry => {
                 if let Err(error) = self.open_peer_socket(now) {
-                    note!("cannot open the socket for other schedulers: {error}");
+                    log_line!("cannot open the socket for other schedulers: {error}");
                 }
             }
         }
@@ -513,15 +530,15 @@
             Command::Probe(worker) => components.protocol_for_worker(worker).probe(&mut ctx, worker),
             // A message to the own rank goes to the successor process, which adds the reported load to its own.
             Command::SendPeerMessage { to, body } if to == Some(rank) => {
-                self.upgrade_link.say(Side::Successor, &Word::Load(body));
+                self.upgrade_link.send(Role::Successor, &Message::DispatcherData(body));
             }
             Command::SendPeerMessage { to, body } => {
                 if let Some(peers) = components.peers {
-                    peers.tell(to, &body);
+                    peers.send(to, &body);
                 }
             }
-            Command::FetchList => components.discovery.fetch(&mut ctx, components.http),
-            Command::SetWatch(open) => components.discovery.watch(&mut ctx, components.http, open),
+            Command::FetchList => components.discovery.fetch_list(&mut ctx, components.http),
+            Command::SetWatch(open) => components.discovery.set_watch(&mut ctx, components.http, open),
             Command::CloseIdle(worker) => components.protocol_for_worker(worker).close_idle(&mut ctx, worker),
         }
     }
@@ -534,14 +551,14 @@
             self.reload(now);
         }
         if signals.contains(&SIGTERM) {
-            self.begin_drain(now, Why::Ending);
+            self.begin_drain(now, DrainReason::ProcessExit);
         }
     }
 
     /// Carries out a request of a protocol that concerns the whole process.
     fn handle_protocol_request(&mut self, now: Micros, request: ProtocolRequest) {
         match request {
-            ProtocolRequest::Shutdown { graceful: false } => self.begin_drain(now, Why::Ending),
+            ProtocolRequest::Shutdown { graceful: false } => self.begin_drain(now, DrainReason::ProcessExit),
             ProtocolRequest::Shutdown { graceful: true } => self.begin_graceful_shutdown(now),
         }
     }
@@ -569,11 +586,11 @@
 struct Components<'a> {
     http: &'a mut Http,
     other_protocols: &'a mut Vec<Box<dyn Protocol>>,
-    static_workers: &'a [Fixed],
-    discovery: &'a mut RouteSet,
-    peers: &'a mut Option<Peers>,
-    control: &'a mut Option<Control>,
-    management: &'a mut Option<Door>,
+    static_workers: &'a [StaticWorker],
+    discovery: &'a mut DiscoveryClient,
+    peers: &'a mut Option<PeerSocket>,
+    control: &'a mut Option<ControlClient>,
+    management: &'a mut Option<ManagementServer>,
     drain: &'a mut Drain,
     upgrade_link: &'a mut UpgradeLink,
 }
@@ -583,8 +600,8 @@
     /// gone to the decision module already.
     fn receive_peers(&mut self, ctx: &mut Context<'_>) {
         let Some(peers) = self.peers else { return };
-        for (from, message) in peers.ready(ctx) {
-            self.discovery.witness(ctx, from, message);
+        for (from, message) in peers.receive(ctx) {
+            self.discovery.handle_peer_message(ctx, from, message);
         }
     }
 
--- a/src/net/event_loop/settings_update.rs
+++ b/src/net/event_loop/settings_update.rs
@@ -1,9 +1,9 @@
 //! Settings updates at run time. Either all new settings come into force, between two batches of events, or none does.
 
-use super::{Control, EventLoop};
-use crate::config::{Config, Renewal, SettingsError};
-use crate::log::note;
-use crate::net::platform::upgrade::Listed;
+use super::{ControlClient, EventLoop};
+use crate::config::{Config, SettingsError, SettingsUpdate};
+use crate::log::log_line;
+use crate::net::platform::upgrade::IndexedNames;
 use calicolb::api::Micros;
 use calicolb::rules::Dispatcher;
 use calicolb::settings_update::merge;
@@ -22,42 +22,42 @@
     /// file that cannot be read changes nothing.
     pub(super) fn reload(&mut self, now: Micros) {
         if self.uses_operator_file {
-            return note!(
+            return log_line!(
                 "SIGHUP: the operator file is read only at the start; the settings in force are kept"
             );
         }
         let config = match Config::reload(|name| std::env::var(name).ok()) {
             Ok(config) => config,
             Err(message) => {
-                return note!(
+                return log_line!(
                     "SIGHUP: cannot read the configuration: {message}; the settings in force are kept"
                 );
             }
         };
         if let Some(discovery) = config.discovery {
-            note!("SIGHUP: the address of discovery is {discovery}");
+            log_line!("SIGHUP: the address of discovery is {discovery}");
         }
         let (mut ctx, components) = self.split(now);
-        components.discovery.move_to(&mut ctx, config.discovery);
+        components.discovery.set_address(&mut ctx, config.discovery);
         if let (Some(peers), Some(new)) = (components.peers, &config.peers) {
-            peers.learn(new.each.clone(), new.all);
+            peers.set_addresses(new.by_rank.clone(), new.broadcast);
         }
         if let (Some(old), Some(new)) = (&mut self.peer_config, &config.peers) {
-            (old.each, old.all) = (new.each.clone(), new.all);
+            (old.by_rank, old.broadcast) = (new.by_rank.clone(), new.broadcast);
         }
         if let Some(machines) = config.control.as_ref().map(|control| control.machines.clone()) {
             let (mut ctx, components) = self.split(now);
             if let Some(control) = components.control {
-                control.move_to(&mut ctx, machines);
+                control.set_machines(&mut ctx, machines);
             }
         }
-        if self.control.as_ref().is_some_and(Control::leads) {
-            return note!(
+        if self.control.as_ref().is_some_and(ControlClient::has_agreed_version) {
+            return log_line!(
                 "SIGHUP: the settings are agreed with the control machines; those of the file are ignored"
             );
         }
-        if let Err(error) = self.apply_settings(now, config.renewal()) {
-            note!("SIGHUP: 'settings.{}' {}; the old settings stay in force", error.key, error.reason);
+        if let Err(error) = self.apply_settings(now, config.settings_update()) {
+            log_line!("SIGHUP: 'settings.{}' {}; the old settings stay in force", error.key, error.reason);
         }
     }
 
@@ -65,11 +65,11 @@
     /// them.
     pub(super) fn apply_agreed_settings(&mut self, now: Micros) {
         let Some(control) = &mut self.control else { return };
-        let Some((version, checked)) = control.news(now) else { return };
+        let Some((version, checked)) = control.next_version(now) else { return };
         let outcome = checked.and_then(|update| self.apply_settings(now, update));
         let (mut ctx, components) = self.split(now);
         if let Some(control) = components.control {
-            control.taken(&mut ctx, version, outcome);
+            control.record_result(&mut ctx, version, outcome);
         }
     }
 
@@ -78,11 +78,11 @@
     ///
     /// # Errors
     /// Returns the first key that cannot change at run time. In that case nothing has changed.
-    pub fn apply_settings(&mut self, now: Micros, new: Renewal) -> Result<(), SettingsError> {
+    pub fn apply_settings(&mut self, now: Micros, new: SettingsUpdate) -> Result<(), SettingsError> {
         let started = Instant::now();
         let old = (self.request_table.settings(), &self.names);
         let (settings, names) = merge(old, (&new.settings, &new.names))?;
-        let Renewal { conn_idle, most_open, .. } = new;
+        let SettingsUpdate { worker_idle_timeout: conn_idle, max_open_requests: most_open, .. } = new;
         let unchanged = (self.worker_idle_timeout, self.max_open) == (conn_idle, most_open);
         if unchanged && settings == *old.0 && names == *old.1 {
             return Ok(());
@@ -101,17 +101,17 @@
         self.request_table.apply_settings(now, settings, &mut self.deadlines);
         self.names = names;
         (self.worker_idle_timeout, self.max_open) = (conn_idle, most_open);
-        if !self.drain.ending() {
+        if !self.drain.is_process_exiting() {
             self.grace = super::grace_period(&classes);
         }
         let (mut ctx, components) = self.split(now);
-        components.discovery.take_up(&mut ctx, grace);
-        components.http.hops.take_up(limits.connect_timeout, conn_idle);
+        components.discovery.set_grace(&mut ctx, grace);
+        components.http.upstream.update_settings(limits.connect_timeout, conn_idle);
         components.other_protocols.iter_mut().for_each(|other| other.apply_settings(&classes));
         self.distribute_descriptors(now);
         self.settings_updates += 1;
         let elapsed_us = started.elapsed().as_micros();
-        note!(
+        log_line!(
             "new settings are in force: applied in {elapsed_us} us, {} requests are open",
             self.request_table.unanswered_requests()
         );
@@ -122,14 +122,18 @@
 /// Converts the knowledge of the predecessor's decision module to the clock of this process. `ahead`: microseconds by
 /// which the predecessor's clock is ahead.
 pub(super) fn adjust_clock(knowledge: Value, ahead: i64) -> Value {
-    if ahead.unsigned_abs() < CLOCK_TOLERANCE { knowledge } else { Dispatcher::on_clock(knowledge, -ahead) }
+    if ahead.unsigned_abs() < CLOCK_TOLERANCE {
+        knowledge
+    } else {
+        Dispatcher::shift_knowledge(knowledge, -ahead)
+    }
 }
 
 /// Converts the knowledge of another process's decision module to the indices that classes and tenants have here. The
 /// indices differ if classes or tenants were added and removed in another order there.
 pub(super) fn remap_knowledge(
     knowledge: Value,
-    their_names: &Option<Listed>,
+    their_names: &Option<IndexedNames>,
     names: &Names,
     now: Micros,
 ) -> Value {
@@ -137,5 +141,5 @@
     let index = |list: &[String], name: &str| list.iter().position(|other| other == name);
     let classes: Vec<_> = names.classes().map(|name| index(&their_names.classes, name)).collect();
     let tenants: Vec<_> = names.tenants().map(|name| index(&their_names.tenants, name)).collect();
-    Dispatcher::placed(knowledge, &classes, &tenants, now)
+    Dispatcher::remap_knowledge(knowledge, &classes, &tenants, now)
 }
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -2,13 +2,13 @@
 
 use super::Gearman;
 use super::packets::submits;
-use crate::log::note;
+use crate::log::log_line;
 use crate::net::Context;
 use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::request_table::AttemptId;
 use crate::net::protocol::ReleaseIdle;
-use calicolb::api::{Micros, Note};
+use calicolb::api::{AttemptNote, Micros};
 use calicolb_gearman::ConnId;
 use calicolb_gearman::admin::LINE;
 use calicolb_gearman::book::Mail;
@@ -77,7 +77,7 @@
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
-                    note!(warn: "accepting Gearman: {error}");
+                    log_line!(warn: "accepting Gearman: {error}");
                     self.release_idle(ctx);
                     return ctx.deadlines.set(again, ctx.now + ACCEPT_AGAIN);
                 }
@@ -91,7 +91,7 @@
         let _ = stream.set_nodelay(true);
         let both = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            return note!(warn: "watching a Gearman connection: {error}");
+            return log_line!(warn: "watching a Gearman connection: {error}");
         }
         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + FIRST);
         let conn = Conn {
@@ -165,7 +165,7 @@
             Ok(true) => {
                 if let Some((attempt, limit)) = conn.assigning.take() {
                     ctx.request_table.attempt_written(ctx.now, attempt);
-                    ctx.request_table.attempt_note(attempt, Note::Started);
+                    ctx.request_table.attempt_note(attempt, AttemptNote::Started);
                     if limit > 0 {
                         let ends = ctx.now + Micros::from(limit) * SECOND;
                         ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::Idle), ends);
@@ -181,7 +181,7 @@
                 let waiting = conn.buffer.pending_output();
                 let all = || self.conns.values().map(|conn| conn.buffer.pending_output()).sum::<usize>();
                 if waiting > OUTPUT || (waiting > FAIR && all() > ALL_OUTPUT) {
-                    note!(warn: "a Gearman peer does not take what it is sent: {waiting} bytes wait");
+                    log_line!(warn: "a Gearman peer does not take what it is sent: {waiting} bytes wait");
                     self.drop_conn(ctx, token);
                 }
                 false
@@ -194,7 +194,7 @@
     }
 
     pub(super) fn read(&mut self, ctx: &mut Context<'_>, token: ConnId) {
-        let most = HEAD + NAMES + self.config.workload;
+        let most = HEAD + NAMES + self.config.max_workload_bytes;
         let mut left = PACKETS;
         for _ in 0..FILLS {
             let Some(conn) = self.conns.get_mut(&token) else { return };
@@ -227,7 +227,7 @@
 
     /// Deals with the next packet or line; tells whether there was one.
     pub(super) fn step(&mut self, ctx: &mut Context<'_>, token: ConnId) -> bool {
-        let limit = NAMES + self.config.workload;
+        let limit = NAMES + self.config.max_workload_bytes;
         let ready = |conn: &&mut Conn| !(conn.ending || conn.buffer.has_output());
         let Some(conn) = self.conns.get_mut(&token).filter(ready) else { return false };
         let input = conn.buffer.input();
@@ -264,7 +264,7 @@
                 true
             }
             Err(fault) => {
-                note!("a Gearman peer is out of step: {fault}");
+                log_line!("a Gearman peer is out of step: {fault}");
                 let last = write(From::Server, Kind::Error, &[b"BAD_PACKET", fault.to_string().as_bytes()]);
                 self.part_with(ctx, token, &last);
                 false
--- /dev/null
+++ b/src/net/http/upstream.rs
@@ -0,0 +1,656 @@
+//! Connections to workers: sends attempts, cancellations and load probes over HTTP/1.1 and reads the answers.
+//!
+//! This module never retries. A request that fails on a stale kept connection is reported as a broken
+//! attempt, and the dispatcher decides whether it is sent again.
+
+use crate::log::log_line;
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
+use crate::net::core::envelope::Payload;
+use crate::net::core::network_delay;
+use crate::net::core::request_table::AttemptId;
+use crate::net::http::callback::parse_load_report;
+use crate::net::http::framing;
+use crate::net::protocol::ReleaseIdle;
+use calicolb::api::{Ending, Micros, WorkerId};
+use mio::net::TcpStream;
+use mio::{Interest, Token};
+use std::collections::HashMap;
+use std::io::Read;
+use std::net::SocketAddr;
+
+const MILLI: Micros = 1_000;
+/// Idle connections are closed this long before the worker's own idle timeout, in microseconds. The answer
+/// that started the idle period and the next request each spend part of this time on the network.
+const IDLE_MARGIN: Micros = 300 * MILLI;
+/// Time without a kept connection breaking under a request after which the idle limit is doubled again, in
+/// microseconds.
+const RECOVERY_INTERVAL: Micros = 60_000 * MILLI;
+/// Smallest idle limit, in microseconds. A connection that was idle for less did not break because it was
+/// idle.
+const MIN_IDLE_LIMIT: Micros = 50 * MILLI;
+/// Share of kept connections that must break under a request, in a moving average over about the last ten,
+/// before the idle limit is lowered. Breaks also occur for other reasons, and opening a connection per
+/// request would cost more than those breaks.
+const MAX_BREAK_RATE: f64 = 0.25;
+/// Timeout of a probe or a cancellation, in microseconds.
+const AUXILIARY_REQUEST_TIMEOUT: Micros = 1_000 * MILLI;
+
+/// The exchange that occupies a connection.
+#[derive(Debug, PartialEq)]
+enum Task {
+    Idle,
+    Attempt(AttemptId),
+    Cancel(AttemptId),
+    Probe(Micros),
+}
+
+struct Connection {
+    stream: TcpStream,
+    buffer: Buffer,
+    worker: WorkerId,
+    opened_at: Micros,
+    is_connected: bool,
+    task: Task,
+    /// When the connection last became idle, in microseconds; `None` during its first request.
+    idle_since: Option<Micros>,
+    /// Time for which the connection was idle before the current request was written, in microseconds; `None`
+    /// for the first request of a connection.
+    idle_before_request: Option<Micros>,
+}
+
+struct Worker {
+    address: SocketAddr,
+    started_ms: u64,
+    /// Tokens of the idle connections. The most recently used one is taken first, so that the others can
+    /// reach their idle limit.
+    idle: Vec<usize>,
+}
+
+/// Longest time for which a connection may be idle and still be reused. A middlebox may drop idle connections
+/// long before the configured idle timeout, and this shows only when the next request is written. That
+/// request may then have run, and it is lost if it must not run twice.
+struct IdleLimit {
+    limit: Micros,
+    max: Micros,
+    /// Moving average of the share of kept connections that broke under a request.
+    break_rate: f64,
+    /// When `limit` was last changed, in microseconds.
+    changed_at: Micros,
+}
+
+impl IdleLimit {
+    fn new(max: Micros) -> Self {
+        IdleLimit { limit: max, max, break_rate: 0.0, changed_at: 0 }
+    }
+
+    /// Sets the upper bound of the limit, in microseconds. A limit that breaks have lowered stays lowered.
+    fn set_max(&mut self, max: Micros) {
+        let lowered = self.limit < self.max;
+        self.limit = if lowered { self.limit.min(max) } else { max };
+        self.max = max;
+    }
+
+    fn current(&mut self, now: Micros) -> Micros {
+        if self.limit < self.max && now > self.changed_at + RECOVERY_INTERVAL {
+            (self.limit, self.changed_at) = ((self.limit * 2).min(self.max), now);
+        }
+        self.limit
+    }
+
+    /// Records that a connection which had been idle for `idle` microseconds brought an answer.
+    fn record_success(&mut self, idle: Micros) {
+        if idle >= MIN_IDLE_LIMIT {
+            self.break_rate *= 0.9;
+        }
+    }
+
+    /// Records that a connection which had been idle for `idle` microseconds broke under a request.
+    fn record_break(&mut self, now: Micros, idle: Micros) {
+        if idle >= MIN_IDLE_LIMIT {
+            self.break_rate += (1.0 - self.break_rate) * 0.1;
+            if self.break_rate > MAX_BREAK_RATE {
+                // Half of an idle time that was too long: a few such breaks converge on a safe limit.
+                (self.limit, self.changed_at) = (self.limit.min(idle / 2).max(MIN_IDLE_LIMIT), now);
+            }
+        }
+    }
+}
+
+/// The idle limit of connections that the worker closes after `worker_idle_timeout`, in microseconds.
+fn idle_limit_for(worker_idle_timeout: Micros) -> Micros {
+    worker_idle_timeout.saturating_sub(IDLE_MARGIN).max(worker_idle_timeout / 2)
+}
+
+/// Connections to all workers that are reached over HTTP, by token and by worker.
+pub struct UpstreamConnections {
+    workers: HashMap<WorkerId, Worker>,
+    connections: HashMap<usize, Connection>,
+    /// Tokens of the connections of attempts that have not been answered yet.
+    pending_attempts: HashMap<AttemptId, usize>,
+    /// Tokens of connections that were established for an attempt in this iteration of the event loop. The
+    /// attempt is sent once all events of the iteration have been processed.
+    connected_attempts: Vec<usize>,
+    connect_timeout: Micros,
+    idle_limit: IdleLimit,
+    max_connections: usize,
+    /// Number of connections opened, and of requests sent on a kept connection, since the start of the
+    /// process.
+    opened_total: u64,
+    reused_total: u64,
+}
+
+impl UpstreamConnections {
+    /// `worker_idle_timeout`: the time after which a worker closes an idle connection, in microseconds.
+    /// `max_connections`: the limit on open connections.
+    pub fn new(connect_timeout: Micros, worker_idle_timeout: Micros, max_connections: usize) -> Self {
+        UpstreamConnections {
+            workers: HashMap::new(),
+            connections: HashMap::new(),
+            pending_attempts: HashMap::new(),
+            connected_attempts: Vec::new(),
+            connect_timeout,
+            idle_limit: IdleLimit::new(idle_limit_for(worker_idle_timeout)),
+            max_connections,
+            opened_total: 0,
+            reused_total: 0,
+        }
+    }
+
+    /// Connection metrics by name.
+    pub fn metrics(&self) -> [(&'static str, u64); 3] {
+        let open = self.connections.len() as u64;
+        [
+            ("fleet.connections.open", open),
+            ("fleet.connections.opened", self.opened_total),
+            ("fleet.connections.reused", self.reused_total),
+        ]
+    }
+
+    /// Sets the limit on open connections and closes idle connections above it.
+    pub fn set_max_connections(&mut self, ctx: &mut Context<'_>, max_connections: usize) {
+        self.max_connections = max_connections;
+        let idle: Vec<usize> = self.workers.values().flat_map(|worker| worker.idle.iter().copied()).collect();
+        for token in idle.into_iter().take(self.connections.len().saturating_sub(max_connections)) {
+            self.drop_connection(ctx, token);
+        }
+    }
+
+    /// Returns whether the token belongs to one of these connections.
+    pub fn owns_token(&self, token: usize) -> bool {
+        self.connections.contains_key(&token)
+    }
+
+    /// Returns whether the worker is reached through these connections.
+    pub fn has_worker(&self, worker: WorkerId) -> bool {
+        self.workers.contains_key(&worker)
+    }
+
+    /// Adds a worker or updates its address and start time. A worker that moved or restarted loses its idle
+    /// connections.
+    pub fn update_worker(
+        &mut self,
+        ctx: &mut Context<'_>,
+        id: WorkerId,
+        address: SocketAddr,
+        started_ms: u64,
+    ) {
+        let changed = self
+            .workers
+            .get(&id)
+            .is_some_and(|worker| worker.address != address || worker.started_ms != started_ms);
+        if changed {
+            self.close_idle(ctx, id);
+        }
+        let worker = self.workers.entry(id).or_insert(Worker { address, started_ms, idle: Vec::new() });
+        (worker.address, worker.started_ms) = (address, started_ms);
+    }
+
+    /// Removes a worker and its idle connections. Attempts on its busy connections end with those
+    /// connections.
+    pub fn remove_worker(&mut self, ctx: &mut Context<'_>, id: WorkerId) {
+        self.close_idle(ctx, id);
+        self.workers.remove(&id);
+    }
+
+    /// Applies new timeouts. Idle connections are checked against them when they are next used.
+    pub fn update_settings(&mut self, connect_timeout: Micros, worker_idle_timeout: Micros) {
+        self.connect_timeout = connect_timeout;
+        self.idle_limit.set_max(idle_limit_for(worker_idle_timeout));
+    }
+
+    /// Closes the idle connections to a worker.
+    pub fn close_idle(&mut self, ctx: &mut Context<'_>, id: WorkerId) {
+        let idle =
+            self.workers.get_mut(&id).map(|worker| std::mem::take(&mut worker.idle)).unwrap_or_default();
+        for token in idle {
+            self.drop_connection(ctx, token);
+        }
+    }
+
+    /// Sends an attempt. A failure is reported to the request table.
+    pub fn send_attempt(
+        &mut self,
+        ctx: &mut Context<'_>,
+        idle_clients: &mut dyn ReleaseIdle,
+        attempt: AttemptId,
+        worker: WorkerId,
+        payload: &Payload,
+        wait: Micros,
+    ) {
+        let timeout = format!("{:.3}", wait as f64 / 1e6);
+        let is_forwarded =
+            |name: &str| !NOT_FORWARDED.iter().any(|dropped| name.eq_ignore_ascii_case(dropped));
+        let mut headers: Vec<(&str, &str)> =
+            payload.headers.iter().filter(|(name, _)| is_forwarded(name)).collect();
+        headers.push(("Request-Timeout", &timeout));
+        let bytes = framing::write_request("POST", &payload.target, &headers, &payload.body);
+        if !self.send_request(ctx, idle_clients, worker, Task::Attempt(attempt), &bytes) {
+            ctx.request_table.connection_broken(ctx.now, attempt);
+        }
+    }
+
+    /// Cancels an attempt: by closing its connection if the worker has not accepted the job yet, otherwise by
+    /// a DELETE request.
+    pub fn cancel_attempt(
+        &mut self,
+        ctx: &mut Context<'_>,
+        idle_clients: &mut dyn ReleaseIdle,
+        attempt: AttemptId,
+        worker: WorkerId,
+        name: &str,
+    ) {
+        match self.pending_attempts.get(&attempt).copied() {
+            Some(token) => {
+                self.drop_connection(ctx, token);
+                ctx.deadlines.set(
+                    Deadline::CancelDelivered(attempt.request, attempt.number),
+                    ctx.now + network_delay::max_transit_time(self.connect_timeout),
+                );
+            }
+            None => {
+                let bytes = framing::write_request(
+                    "DELETE",
+                    &format!("/jobs/{name}"),
+                    &[("Host", "origin.svc")],
+                    b"",
+                );
+                self.send_request(ctx, idle_clients, worker, Task::Cancel(attempt), &bytes);
+            }
+        }
+    }
+
+    /// Closes the connection of an attempt that has already ended. A callback ended the attempt, but the
+    /// answer on its own connection did not arrive within the attempt's deadline, and nothing else would end
+    /// the wait for it.
+    pub fn release_attempt(&mut self, ctx: &mut Context<'_>, attempt: AttemptId) {
+        if let Some(token) = self.pending_attempts.get(&attempt).copied() {
+            self.drop_connection(ctx, token);
+        }
+    }
+
+    /// Requests the load report of a worker.
+    pub fn probe(&mut self, ctx: &mut Context<'_>, idle_clients: &mut dyn ReleaseIdle, worker: WorkerId) {
+        let bytes = framing::write_request("GET", "/metrics/load", &[("Host", "origin.svc")], b"");
+        if !self.send_request(ctx, idle_clients, worker, Task::Probe(ctx.now), &bytes) {
+            ctx.request_table.probe_finished(worker, Ending::Unreachable, 0, None);
+        }
+    }
+
+    /// Writes a request on an idle connection or on a new one. Returns false if no connection is available.
+    fn send_request(
+        &mut self,
+        ctx: &mut Context<'_>,
+        idle_clients: &mut dyn ReleaseIdle,
+        worker: WorkerId,
+        task: Task,
+        bytes: &[u8],
+    ) -> bool {
+        let token = match self.take_idle(ctx, worker) {
+            Some(token) => {
+                self.reused_total += 1;
+                token
+            }
+            None => match self.open_connection(ctx, idle_clients, worker) {
+                Some(token) => token,
+                None => return false,
+            },
+        };
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        connection.buffer.append_output(bytes);
+        if connection.is_connected && !matches!(task, Task::Attempt(_)) {
+            ctx.deadlines.set(
+                Deadline::Connection(token, ConnectionTimer::Timeout),
+                ctx.now + AUXILIARY_REQUEST_TIMEOUT,
+            );
+        }
+        if let Task::Attempt(attempt) = task {
+            self.pending_attempts.insert(attempt, token);
+        }
+        connection.task = task;
+        if connection.is_connected {
+            self.flush(ctx, token);
+        }
+        true
+    }
+
+    fn take_idle(&mut self, ctx: &mut Context<'_>, worker: WorkerId) -> Option<usize> {
+        while let Some(token) = self.workers.get_mut(&worker)?.idle.pop() {
+            ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Idle));
+            let Some(connection) = self.connections.get_mut(&token) else { continue };
+            connection.idle_before_request = connection.idle_since.map(|since| ctx.now.saturating_sub(since));
+            if connection.idle_before_request.is_some_and(|idle| idle > self.idle_limit.current(ctx.now)) {
+                self.drop_connection(ctx, token);
+                continue;
+            }
+            // Detects a close that arrived after the poll: a request written now would count as one that may
+            // have run.
+            let still_open = matches!(connection.stream.read(&mut [0]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
+            if still_open {
+                return Some(token);
+            }
+            self.drop_connection(ctx, token);
+        }
+        None
+    }
+
+    fn open_connection(
+        &mut self,
+        ctx: &mut Context<'_>,
+        idle_clients: &mut dyn ReleaseIdle,
+        worker: WorkerId,
+    ) -> Option<usize> {
+        if self.connections.len() >= self.max_connections {
+            let idle = self.workers.values().find_map(|worker| worker.idle.first().copied());
+            let Some(token) = idle else {
+                log_line!(
+                    "no connection available for another attempt: {} connections are open",
+                    self.connections.len()
+                );
+                return None;
+            };
+            self.drop_connection(ctx, token);
+        }
+        let address = self.workers.get(&worker)?.address;
+        let mut connect_result = TcpStream::connect(address);
+        // The connect fails when the process is out of descriptors, for example. Sending jobs takes
+        // precedence over idle client connections, and nothing has been sent yet.
+        if connect_result.is_err() && idle_clients.release_idle(ctx) {
+            connect_result = TcpStream::connect(address);
+        }
+        let mut stream = match connect_result {
+            Ok(stream) => stream,
+            Err(error) => {
+                log_line!("failed to connect to worker at {address}: {error}");
+                return None;
+            }
+        };
+        let token = ctx.next_token();
+        let both = Interest::READABLE | Interest::WRITABLE;
+        if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
+            log_line!("failed to register the connection to {address}: {error}");
+            return None;
+        }
+        ctx.deadlines
+            .set(Deadline::Connection(token, ConnectionTimer::Timeout), ctx.now + self.connect_timeout);
+        let connection = Connection {
+            stream,
+            buffer: Buffer::default(),
+            worker,
+            opened_at: ctx.now,
+            is_connected: false,
+            task: Task::Idle,
+            idle_since: None,
+            idle_before_request: None,
+        };
+        self.connections.insert(token, connection);
+        self.opened_total += 1;
+        Some(token)
+    }
+
+    /// Handles a readable or writable connection.
+    pub fn handle_ready(&mut self, ctx: &mut Context<'_>, token: usize) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if !connection.is_connected {
+            let failed = !matches!(connection.stream.take_error(), Ok(None));
+            if failed {
+                return self.handle_failure(ctx, token);
+            }
+            if connection.stream.peer_addr().is_err() {
+                return;
+            }
+            if ctx.now >= connection.opened_at + self.connect_timeout {
+                return self.handle_failure(ctx, token);
+            }
+            connection.is_connected = true;
+            let _ = connection.stream.set_nodelay(true);
+            if let Task::Attempt(_) = connection.task {
+                ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+                return self.connected_attempts.push(token);
+            }
+            ctx.deadlines.set(
+                Deadline::Connection(token, ConnectionTimer::Timeout),
+                ctx.now + AUXILIARY_REQUEST_TIMEOUT,
+            );
+        }
+        self.flush_and_read(ctx, token);
+    }
+
+    fn flush_and_read(&mut self, ctx: &mut Context<'_>, token: usize) {
+        if self.flush(ctx, token) {
+            self.read(ctx, token);
+        }
+    }
+
+    /// Sends the attempts whose connections were established in this iteration. The dispatcher has processed
+    /// all events of the iteration, so attempts that it no longer wants are already cancelled, or are
+    /// rejected here.
+    pub fn start_connected_attempts(&mut self, ctx: &mut Context<'_>) {
+        for token in std::mem::take(&mut self.connected_attempts) {
+            let Some(&Connection { task: Task::Attempt(attempt), .. }) = self.connections.get(&token) else {
+                continue;
+            };
+            match ctx.request_table.check_start(ctx.now, attempt) {
+                Ok(()) => self.flush_and_read(ctx, token),
+                Err(ending) => {
+                    self.drop_connection(ctx, token);
+                    ctx.request_table.attempt_not_started(ctx.now, attempt, ending);
+                }
+            }
+        }
+    }
+
+    /// Writes pending output. Returns true if the connection is alive and all output is written.
+    fn flush(&mut self, ctx: &mut Context<'_>, token: usize) -> bool {
+        // A healthy worker accepts a job at once. A worker that has not accepted it after this time is
+        // unresponsive or cut off from the network, which the connection itself does not show.
+        let acceptance_timeout = network_delay::acceptance_timeout(self.connect_timeout);
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        if !connection.buffer.has_output() {
+            return true;
+        }
+        match connection.buffer.flush(&mut connection.stream) {
+            Ok(true) => {
+                if let Task::Attempt(attempt) = connection.task {
+                    ctx.request_table.attempt_written(ctx.now, attempt);
+                    ctx.deadlines.set(
+                        Deadline::Connection(token, ConnectionTimer::Timeout),
+                        ctx.now + acceptance_timeout,
+                    );
+                }
+                true
+            }
+            Ok(false) => false,
+            Err(_) => {
+                self.handle_failure(ctx, token);
+                false
+            }
+        }
+    }
+
+    fn read(&mut self, ctx: &mut Context<'_>, token: usize) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let filled = connection.buffer.fill(&mut connection.stream, framing::MESSAGE_LIMIT);
+        if connection.task == Task::Idle {
+            // A worker sends nothing unrequested: input here is the end of the connection or a protocol
+            // error.
+            if filled != FillOutcome::WouldBlock || !connection.buffer.input().is_empty() {
+                self.drop_connection(ctx, token);
+            }
+            return;
+        }
+        match framing::parse_response(connection.buffer.input()) {
+            Ok(Some((response, length))) => {
+                connection.buffer.consume(length);
+                let task = std::mem::replace(&mut connection.task, Task::Idle);
+                let (worker, input_consumed) = (connection.worker, connection.buffer.input().is_empty());
+                ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+                if let Some(idle) = connection.idle_before_request.take() {
+                    self.idle_limit.record_success(idle);
+                }
+                connection.idle_since = Some(ctx.now);
+                match task {
+                    Task::Attempt(attempt) => {
+                        self.pending_attempts.remove(&attempt);
+                        report_answer(ctx, attempt, &response);
+                    }
+                    Task::Probe(sent) => {
+                        let report = serde_json::from_slice(&response.body).ok();
+                        let report = report.and_then(|value| parse_load_report(ctx.names, &value));
+                        let ending = if response.status == 200 { Ending::Ok } else { Ending::Error };
+                        ctx.request_table.probe_finished(
+                            worker,
+                            ending,
+                            ctx.now.saturating_sub(sent),
+                            report,
+                        );
+                    }
+                    // Any status will do: the worker has received the cancellation or does not know the job.
+                    Task::Cancel(attempt) => ctx.request_table.cancel_delivered(ctx.now, attempt),
+                    Task::Idle => {}
+                }
+                let reusable = self.workers.get_mut(&worker).filter(|worker| {
+                    self.connections.get(&token).is_some_and(|connection| {
+                        connection.stream.peer_addr().is_ok_and(|at| at == worker.address)
+                    })
+                });
+                match reusable {
+                    Some(worker)
+                        if response.keep_alive && input_consumed && filled == FillOutcome::WouldBlock =>
+                    {
+                        worker.idle.push(token);
+                        ctx.deadlines.set(
+                            Deadline::Connection(token, ConnectionTimer::Idle),
+                            ctx.now + self.idle_limit.current(ctx.now),
+                        );
+                    }
+                    _ => self.drop_connection(ctx, token),
+                }
+            }
+            Ok(None) if filled == FillOutcome::WouldBlock => {}
+            Ok(None) => self.handle_failure(ctx, token),
+            Err(_) => {
+                log_line!("malformed response from a worker");
+                self.handle_failure(ctx, token);
+            }
+        }
+    }
+
+    /// Handles a connection that broke or could not be established.
+    fn handle_failure(&mut self, ctx: &mut Context<'_>, token: usize) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let (worker, was_connected) = (connection.worker, connection.is_connected);
+        let task = std::mem::replace(&mut connection.task, Task::Idle);
+        if let Some(idle) = connection.idle_before_request {
+            self.idle_limit.record_break(ctx.now, idle);
+        }
+        match task {
+            Task::Attempt(attempt) => {
+                self.pending_attempts.remove(&attempt);
+                ctx.request_table.connection_broken(ctx.now, attempt);
+            }
+            Task::Probe(sent) => {
+                let ending = if was_connected { Ending::Broken } else { Ending::Unreachable };
+                ctx.request_table.probe_finished(worker, ending, ctx.now.saturating_sub(sent), None);
+            }
+            Task::Cancel(_) | Task::Idle => {}
+        }
+        self.drop_connection(ctx, token);
+    }
+
+    fn drop_connection(&mut self, ctx: &mut Context<'_>, token: usize) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let _ = ctx.registry.deregister(&mut connection.stream);
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+        ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Idle));
+        if let Task::Attempt(attempt) = connection.task {
+            self.pending_attempts.remove(&attempt);
+        }
+        if let Some(worker) = self.workers.get_mut(&connection.worker) {
+            worker.idle.retain(|&idle| idle != token);
+        }
+    }
+
+    /// Handles the timeout of a connect, of a probe or cancellation, or of the answer to an attempt.
+    fn handle_timeout(&mut self, ctx: &mut Context<'_>, token: usize) {
+        match self.connections.get(&token) {
+            // The worker may have the job and may still send callbacks for it: the dispatcher decides.
+            Some(Connection { is_connected: true, task: Task::Attempt(attempt), .. }) => {
+                ctx.request_table.acceptance_overdue(*attempt)
+            }
+            _ => self.handle_failure(ctx, token),
+        }
+    }
+
+    /// Handles a deadline of a connection.
+    pub fn handle_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
+        if alarm == ConnectionTimer::Idle {
+            self.handle_idle_timeout(ctx, token)
+        } else {
+            self.handle_timeout(ctx, token)
+        }
+    }
+
+    /// Closes a connection that has been idle for the idle limit.
+    fn handle_idle_timeout(&mut self, ctx: &mut Context<'_>, token: usize) {
+        if self.connections.get(&token).is_some_and(|connection| connection.task == Task::Idle) {
+            self.drop_connection(ctx, token);
+        }
+    }
+}
+
+/// Request headers that apply to a single connection only, or that are written anew.
+const NOT_FORWARDED: [&str; 8] = [
+    "connection",
+    "keep-alive",
+    "transfer-encoding",
+    "content-length",
+    "te",
+    "upgrade",
+    "expect",
+    "request-timeout",
+];
+
+/// Reports the worker's answer on the attempt's own connection to the request table.
+fn report_answer(ctx: &mut Context<'_>, attempt: AttemptId, response: &framing::Response) {
+    let load = response.headers.get("server-load").and_then(|text| serde_json::from_str(text).ok());
+    let report = load.and_then(|value| parse_load_report(ctx.names, &value));
+    let unstarted = response.headers.get("not-started") == Some("1");
+    match response.status {
+        202 => ctx.request_table.attempt_accepted(attempt),
+        503 | 504 if unstarted => ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, report),
+        status => {
+            if status != 500 {
+                log_line!("a worker answered with status {status}");
+            }
+            // An error in the client's request must not count against the worker, nor be tried at all other
+            // workers.
+            let ending = if (400..500).contains(&status) { Ending::Unusable } else { Ending::Error };
+            ctx.request_table.attempt_failed(ctx.now, attempt, ending, report);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
