--- a/src/net/core/request_table.rs
+++ b/src/net/core/request_table.rs
@@ -151,7 +151,7 @@
             key: job.key,
             retry: job.retry,
             skill: job.skill,
-            transferred: history.map(|history| history.handed_on(class_effect)),
+            transferred: history.map(|history| history.to_transferred(class_effect)),
         }));
         number
     }
--- a/src/net/core/request_table/actions.rs
+++ b/src/net/core/request_table/actions.rs
@@ -9,9 +9,9 @@
             Action::Send { request, worker, timeout } => {
                 self.send_attempt(now, request, worker, timeout, deadlines)
             }
-            Action::Refuse { request, retry_after: come_back, reason: why } => {
-                log_line!(debug: request = request.0, ?why, "request refused");
-                self.conclude(request.0, Answer::Busy { retry_after: come_back });
+            Action::Refuse { request, retry_after, reason } => {
+                log_line!(debug: request = request.0, why = ?reason, "request refused");
+                self.conclude(request.0, Answer::Busy { retry_after });
             }
             Action::Fail(request) => self.conclude(request.0, Answer::Failed),
             Action::Cancel { request, attempt } => {
--- a/src/net/core/request_table/end_of_process.rs
+++ b/src/net/core/request_table/end_of_process.rs
@@ -44,8 +44,8 @@
 impl RequestHistory {
     /// Converts the history to the decision module's type. `class_effect`: the effect of a repeat that the class
     /// states.
-    pub(super) fn handed_on(&self, class_effect: Effect) -> TransferredRequest {
-        let past = |attempt: &AttemptRecord| PriorAttempt {
+    pub(super) fn to_transferred(&self, class_effect: Effect) -> TransferredRequest {
+        let to_prior = |attempt: &AttemptRecord| PriorAttempt {
             worker: attempt.worker,
             sent: attempt.sent,
             state: attempt.state,
@@ -53,7 +53,7 @@
         TransferredRequest {
             arrived: self.arrived,
             effect: self.effect.unwrap_or(class_effect),
-            attempts: self.attempts.iter().map(past).collect(),
+            attempts: self.attempts.iter().map(to_prior).collect(),
         }
     }
 }
@@ -122,18 +122,18 @@
         open
     }
 
-    /// The action that a request needs in this phase of the shutdown. `movable`: a successor accepts the request, and
+    /// The action that a request needs in this phase of the shutdown. `transferable`: a successor accepts the request, and
     /// its client's connection can be passed on.
-    pub fn duty(&self, number: u32, phase: Phase, movable: bool) -> ShutdownAction {
+    pub fn shutdown_action(&self, number: u32, phase: Phase, transferable: bool) -> ShutdownAction {
         let Some(entry) = self.requests.get(&number) else { return ShutdownAction::Wait };
         let attempts: Vec<shutdown::Attempt> = entry.attempts.iter().map(Attempt::progress).collect();
         let request = shutdown::Request {
             answered: entry.concluded,
-            transferable: movable && !entry.streaming,
+            transferable: transferable && !entry.streaming,
             repeatable: self.effect(number, entry).repeatable(),
             attempts: &attempts,
         };
-        shutdown::shutdown_action(request, phase, movable)
+        shutdown::shutdown_action(request, phase, transferable)
     }
 
     /// The effect of a repeat of a request: the decision module's, or else that of its class.
--- a/src/net/core/worker_registry.rs
+++ b/src/net/core/worker_registry.rs
@@ -58,8 +58,8 @@
 mod tests {
     use super::*;
 
-    fn member(id: u32, standing: WorkerStatus) -> Member {
-        Member { worker: WorkerId(id), status: standing, ..Member::default() }
+    fn member(id: u32, status: WorkerStatus) -> Member {
+        Member { worker: WorkerId(id), status, ..Member::default() }
     }
 
     fn ids(members: &[Member]) -> Vec<u32> {
--- a/src/net/event_loop/settings_update.rs
+++ b/src/net/event_loop/settings_update.rs
@@ -82,8 +82,8 @@
         let started = Instant::now();
         let old = (self.request_table.settings(), &self.names);
         let (settings, names) = merge(old, (&new.settings, &new.names))?;
-        let SettingsUpdate { worker_idle_timeout: conn_idle, max_open_requests: most_open, .. } = new;
-        let unchanged = (self.worker_idle_timeout, self.max_open) == (conn_idle, most_open);
+        let SettingsUpdate { worker_idle_timeout, max_open_requests, .. } = new;
+        let unchanged = (self.worker_idle_timeout, self.max_open) == (worker_idle_timeout, max_open_requests);
         if unchanged && settings == *old.0 && names == *old.1 {
             return Ok(());
         }
@@ -100,13 +100,13 @@
         let classes = settings.classes.clone();
         self.request_table.apply_settings(now, settings, &mut self.deadlines);
         self.names = names;
-        (self.worker_idle_timeout, self.max_open) = (conn_idle, most_open);
+        (self.worker_idle_timeout, self.max_open) = (worker_idle_timeout, max_open_requests);
         if !self.drain.is_process_exiting() {
             self.grace = super::grace_period(&classes);
         }
         let (mut ctx, components) = self.split(now);
         components.discovery.set_grace(&mut ctx, grace);
-        components.http.upstream.update_settings(limits.connect_timeout, conn_idle);
+        components.http.upstream.update_settings(limits.connect_timeout, worker_idle_timeout);
         components.other_protocols.iter_mut().for_each(|other| other.apply_settings(&classes));
         self.distribute_descriptors(now);
         self.settings_updates += 1;
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -33,19 +33,19 @@
     /// Begins a drain. Requests are still accepted and processed; when clients have had the time to notice the drain,
     /// their connections are closed. After SIGTERM only requests that can be finished before the end of the process are
     /// accepted.
-    pub(super) fn begin_drain(&mut self, now: Micros, why: DrainReason) {
-        if why == DrainReason::ProcessExit && self.termination.is_none() {
+    pub(super) fn begin_drain(&mut self, now: Micros, reason: DrainReason) {
+        if reason == DrainReason::ProcessExit && self.termination.is_none() {
             self.graceful = false;
             log_line!("SIGTERM: {} requests are open", self.request_table.unanswered_requests());
             self.termination = Some(Termination { since: now, limited: false });
             self.request_table.set_process_end(now + self.grace.final_answer_at());
         }
-        if why == DrainReason::ProcessExit && self.handed_over && !self.drain.is_process_exiting() {
+        if reason == DrainReason::ProcessExit && self.handed_over && !self.drain.is_process_exiting() {
             // The clients' connections were closed when the successor took over.
             self.drain.start_disconnecting();
         }
         self.upgrade_link.send(Role::Predecessor, &Message::Drain(true));
-        if self.drain.begin(why) {
+        if self.drain.begin(reason) {
             log_line!("draining clients: {} requests are open", self.request_table.unanswered_requests());
             self.deadlines.set(
                 Deadline::DrainClients,
@@ -67,8 +67,8 @@
             self.request_table.limit_open_requests(&mut self.deadlines);
         }
         for (number, client) in self.request_table.open_requests() {
-            let movable = successor && self.can_transfer(number, client);
-            match self.request_table.duty(number, phase, movable) {
+            let transferable = successor && self.can_transfer(number, client);
+            match self.request_table.shutdown_action(number, phase, transferable) {
                 ShutdownAction::Wait => {}
                 ShutdownAction::Transfer => self.transfer_request(now, number, client),
                 ShutdownAction::Answer(_) => self.request_table.answer_at_process_end(number),
