--- a/src/net/core/request_table/end_of_process.rs
+++ b/src/net/core/request_table/end_of_process.rs
@@ -122,8 +122,8 @@
         open
     }
 
-    /// The action that a request needs in this phase of the shutdown. `transferable`: a successor accepts the request, and
-    /// its client's connection can be passed on.
+    /// The action that a request needs in this phase of the shutdown. `transferable`: a successor accepts the request,
+    /// and its client's connection can be passed on.
     pub fn shutdown_action(&self, number: u32, phase: Phase, transferable: bool) -> ShutdownAction {
         let Some(entry) = self.requests.get(&number) else { return ShutdownAction::Wait };
         let attempts: Vec<shutdown::Attempt> = entry.attempts.iter().map(Attempt::progress).collect();
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -136,8 +136,8 @@
         let listen_address = listener.local_addr()?;
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
         let management = match config.management {
-            Some(mgmt) => {
-                let mut listener = TcpListener::bind(mgmt)?;
+            Some(address) => {
+                let mut listener = TcpListener::bind(address)?;
                 registry.register(&mut listener, MANAGEMENT, Interest::READABLE)?;
                 log_line!("{} listens for operators on {}", config.name, listener.local_addr()?);
                 Some(ManagementServer::new(listener))
