--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -213,8 +213,8 @@
     }
 
     /// Handles a deadline of a connection or of the listener.
-    pub fn handle_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
-        match alarm {
+    pub fn handle_deadline(&mut self, ctx: &mut Context<'_>, token: usize, timer: ConnectionTimer) {
+        match timer {
             ConnectionTimer::Accept => self.accept(ctx),
             ConnectionTimer::ContinueRead => self.handle_ready(ctx, token),
             ConnectionTimer::Timeout | ConnectionTimer::Idle => self.handle_timeout(ctx, token),
@@ -523,7 +523,7 @@
         let _ = ctx.registry.deregister(&mut connection.stream);
         [ConnectionTimer::Timeout, ConnectionTimer::ContinueRead, ConnectionTimer::OfferTimeout]
             .into_iter()
-            .for_each(|alarm| ctx.deadlines.clear(Deadline::Connection(token, alarm)));
+            .for_each(|timer| ctx.deadlines.clear(Deadline::Connection(token, timer)));
     }
 
     /// Ends the drain: responses keep their connections open again.
--- a/src/net/http/client/tests.rs
+++ b/src/net/http/client/tests.rs
@@ -17,7 +17,7 @@
     poll: Poll,
     names: Names,
     deadlines: Deadlines,
-    desk: RequestTable<Payload>,
+    request_table: RequestTable<Payload>,
     tokens: usize,
     now: Micros,
 }
@@ -28,9 +28,10 @@
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
         let (settings, names) = wire::parse_settings(info).expect("the settings are valid");
         let now = 50 * SECOND;
-        let desk = RequestTable::new(settings, 1, now, 100);
+        let request_table = RequestTable::new(settings, 1, now, 100);
         let poll = Poll::new().expect("creating the poll");
-        let mut fixture = Fixture { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
+        let mut fixture =
+            Fixture { poll, names, deadlines: Deadlines::default(), request_table, tokens: 100, now };
         let at = "127.0.0.1:0".parse().expect("parsing the listen address");
         let mut clients = ClientConnections::new(TcpListener::bind(at).expect("binding a free port"), 1);
         fixture.with(|ctx| clients.listen(ctx)).expect("registering the listener");
@@ -43,7 +44,7 @@
             registry: self.poll.registry(),
             names: &self.names,
             deadlines: &mut self.deadlines,
-            request_table: &mut self.desk,
+            request_table: &mut self.request_table,
             last_token: &mut self.tokens,
             unmatched_callbacks: &mut Vec::new(),
             peer_outbox: &mut Vec::new(),
@@ -97,7 +98,7 @@
         client.write_all(REQUEST).expect("sending a request");
         fixture.with(|ctx| clients.handle_deadline(ctx, connection, ConnectionTimer::Timeout));
         assert_eq!(
-            (fixture.desk.unanswered_requests(), clients.connections[&connection].state),
+            (fixture.request_table.unanswered_requests(), clients.connections[&connection].state),
             (1, State::InProgress),
             "had_request: {had_request}"
         );
@@ -113,7 +114,7 @@
     client.write_all(REQUEST).expect("sending a request after the shutdown");
     fixture.with(|ctx| clients.handle_ready(ctx, connection));
     assert_eq!(
-        (fixture.desk.unanswered_requests(), clients.connections[&connection].state),
+        (fixture.request_table.unanswered_requests(), clients.connections[&connection].state),
         (0, State::Closing),
         "the request arrived after the shutdown"
     );
@@ -134,7 +135,7 @@
     assert!(fixture.with(|ctx| clients.release_idle(ctx)), "the idle second connection is released");
     assert!(
         !clients.owns_token(idle)
-            && fixture.desk.unanswered_requests() == 1
+            && fixture.request_table.unanswered_requests() == 1
             && clients.connections[&busy].state == State::InProgress
     );
     assert_eq!(read_to_end(second), "");
@@ -152,7 +153,7 @@
         client.write_all(REQUEST).expect("sending a request");
         until(|| {
             fixture.with(|ctx| clients.handle_ready(ctx, connection));
-            fixture.desk.unanswered_requests() == 1
+            fixture.request_table.unanswered_requests() == 1
         });
         fixture.with(|ctx| clients.begin_drain(ctx));
         fixture.with(|ctx| clients.answer(ctx, connection, Answer::Served(b"r".to_vec())));
@@ -198,6 +199,6 @@
         );
         clients.connections.is_empty()
     });
-    assert_eq!(fixture.desk.unanswered_requests(), 0);
+    assert_eq!(fixture.request_table.unanswered_requests(), 0);
     client.join().expect("the client thread sent all input");
 }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -42,11 +42,11 @@
         }
     }
 
-    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, timer: ConnectionTimer) {
         if self.clients.owns_token(token) {
-            self.clients.handle_deadline(ctx, token, alarm);
+            self.clients.handle_deadline(ctx, token, timer);
         } else {
-            self.upstream.handle_deadline(ctx, token, alarm);
+            self.upstream.handle_deadline(ctx, token, timer);
         }
     }
 
@@ -97,9 +97,9 @@
         self.clients.listen(ctx)
     }
 
-    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
-        self.clients.set_max_connections(ctx, shares.clients);
-        self.upstream.set_max_connections(ctx, shares.workers);
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, limits: DescriptorLimits) {
+        self.clients.set_max_connections(ctx, limits.clients);
+        self.upstream.set_max_connections(ctx, limits.workers);
     }
 
     fn begin_drain(&mut self, ctx: &mut Context<'_>) {
--- a/src/net/http/upstream.rs
+++ b/src/net/http/upstream.rs
@@ -604,8 +604,8 @@
     }
 
     /// Handles a deadline of a connection.
-    pub fn handle_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
-        if alarm == ConnectionTimer::Idle {
+    pub fn handle_deadline(&mut self, ctx: &mut Context<'_>, token: usize, timer: ConnectionTimer) {
+        if timer == ConnectionTimer::Idle {
             self.handle_idle_timeout(ctx, token)
         } else {
             self.handle_timeout(ctx, token)
