--- a/src/net/platform/discovery/entry.rs
+++ b/src/net/platform/discovery/entry.rs
@@ -29,7 +29,7 @@
 
 /// Converts an entry to the member that the dispatcher is given.
 pub(super) fn read_member(names: &Names, entry: &Entry) -> Result<Member, WireError> {
-    let standing = match entry.health.as_str() {
+    let status = match entry.health.as_str() {
         "in_service" => WorkerStatus::On,
         "terminating" => WorkerStatus::Draining,
         "terminated" => WorkerStatus::Gone,
@@ -40,7 +40,7 @@
         zone: names.zone(&entry.zone)?,
         kind: names.kind(&entry.kind)?,
         cell: entry.cell,
-        status: standing,
+        status,
         weight: entry.weight,
         // The dispatcher's clock is Unix time in microseconds; 0 stands for an unknown start long ago.
         started: entry.started_ms.checked_mul(1_000).filter(|&at| at > 0),
--- a/src/net/platform/discovery/versions.rs
+++ b/src/net/platform/discovery/versions.rs
@@ -68,7 +68,7 @@
             self.listed.remove(&member.worker);
             workers.remove_worker(ctx, member.worker);
         }
-        let count = |standing| members.iter().filter(|member| member.status == standing).count();
+        let count = |status| members.iter().filter(|member| member.status == status).count();
         let (draining, gone) = (count(WorkerStatus::Draining), count(WorkerStatus::Gone));
         self.counters.versions += 1;
         if self.discovery.is_some() {
