--- a/src/net/operators/drain.rs
+++ b/src/net/operators/drain.rs
@@ -1,24 +1,24 @@
-//! The drain: how the scheduler sends its clients away. LAMEDUCK and SIGTERM begin the same one; they differ
-//! in how it ends.
+//! The state of a drain, in which the scheduler moves its clients to other schedulers. The management command LAMEDUCK and
+//! the signal SIGTERM start the same drain; it ends with REJOIN or with the end of the process.
 
 use calicolb::api::Micros;
 
-/// From the beginning of a drain to the parting with the clients' connections. Until then clients are served
-/// on: the front goes on sending for 0.3 s, and the scheduler that was restarted before this one may not serve
-/// yet, so that who is sent away finds nobody. Of what is taken later than 2 s after LAMEDUCK nothing may be
-/// left on a connection 4 s after it.
+/// Time from the start of a drain until clients are disconnected, in microseconds. Clients are served during this time:
+/// the load balancer in front keeps sending for 0.3 s, and the scheduler that was restarted before this one may not be
+/// ready yet, so a client sent away earlier could find no scheduler. The upper bound is that no request accepted later than
+/// 2 s after LAMEDUCK may still be open on a connection 4 s after it.
 pub const CLIENT_DISCONNECT_DELAY: Micros = 1_800_000;
 
-/// Why clients are sent away.
+/// The reason for a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainReason {
-    /// An operator asked for it (LAMEDUCK); it lasts until REJOIN.
+    /// An operator sent LAMEDUCK. The drain lasts until REJOIN.
     OperatorRequest,
-    /// The program ends (SIGTERM); it lasts until all that was taken is answered.
+    /// The process received SIGTERM. The drain lasts until every accepted request is answered.
     ProcessExit,
 }
 
-/// See the head of this file.
+/// The state of the drain, if there is one.
 #[derive(Debug, Default)]
 pub struct Drain {
     reason: Option<DrainReason>,
@@ -26,7 +26,7 @@
 }
 
 impl Drain {
-    /// Begins a drain; tells whether there was none yet. The end of the program comes before an operator's wish.
+    /// Starts a drain. Returns whether none was running. [`DrainReason::ProcessExit`] is never replaced by another reason.
     pub fn begin(&mut self, reason: DrainReason) -> bool {
         let first = self.reason.is_none();
         if self.reason != Some(DrainReason::ProcessExit) {
@@ -35,7 +35,7 @@
         first
     }
 
-    /// Ends a drain that an operator asked for; tells whether the scheduler is open again.
+    /// Ends a drain, unless the process is exiting. Returns whether the scheduler accepts clients again.
     pub fn rejoin(&mut self) -> bool {
         if self.is_process_exiting() {
             return false;
@@ -44,27 +44,27 @@
         true
     }
 
-    /// Clients are welcome.
+    /// Whether no drain is running.
     pub fn accepts_clients(&self) -> bool {
         self.reason.is_none()
     }
 
-    /// An operator wants clients sent away.
+    /// Whether the drain was started by an operator and the process is not exiting.
     pub fn is_operator_drain(&self) -> bool {
         self.reason == Some(DrainReason::OperatorRequest)
     }
 
-    /// The program is to end.
+    /// Whether the process is exiting.
     pub fn is_process_exiting(&self) -> bool {
         self.reason == Some(DrainReason::ProcessExit)
     }
 
-    /// The time to part with the clients' connections has come.
+    /// Records that [`CLIENT_DISCONNECT_DELAY`] is over and clients are being disconnected.
     pub fn start_disconnecting(&mut self) {
         self.disconnecting = true;
     }
 
-    /// All that is left to do is to answer what was taken, and to exit.
+    /// Whether the process only has to answer the accepted requests before it exits.
     pub fn is_final_phase(&self) -> bool {
         self.is_process_exiting() && self.disconnecting
     }
@@ -75,7 +75,7 @@
     use super::*;
 
     #[test]
-    fn a_drain_ends_with_rejoin_unless_the_program_ends() {
+    fn rejoin_ends_a_drain_unless_the_process_is_exiting() {
         let mut drain = Drain::default();
         assert!(
             drain.accepts_clients() && drain.begin(DrainReason::OperatorRequest) && !drain.accepts_clients()
--- a/src/net/operators/management.rs
+++ b/src/net/operators/management.rs
@@ -1,4 +1,4 @@
-//! The operators' door: a second listener, where a connection carries one line and gets one answer.
+//! The management server: a separate listener on which each connection carries one command line and gets one response.
 
 use crate::log::log_line;
 use crate::net::Ctx;
@@ -13,166 +13,176 @@
 use std::net::Shutdown;
 
 const SECOND: Micros = 1_000_000;
-/// Calls that may be open at once. The next one ends the oldest: who connects and says nothing must not keep
-/// others out, and the descriptors kept for the door are so many.
+/// The largest number of open connections, for which descriptors are reserved. A further connection closes the oldest one,
+/// so that clients that connect without sending a command cannot lock others out.
 pub const MAX_MANAGEMENT_CONNECTIONS: usize = 16;
-/// A call whose line has not come by then is turned away.
-const SLOW: Micros = 3 * SECOND;
-/// How long the answer may take to be read before the call is cut.
-const LINGER: Micros = SECOND;
-/// The longest line that is looked at.
-const LINE: usize = 256;
-/// Accepting is tried again after this time when no descriptor could be had.
-const AGAIN: Micros = SECOND / 50;
+/// A connection that has not sent its command within this time gets an error response.
+const COMMAND_TIMEOUT: Micros = 3 * SECOND;
+/// Time for the client to read the response and close the connection before it is closed here.
+const CLOSE_TIMEOUT: Micros = SECOND;
+/// Input in bytes after which a command line counts as complete even without a line feed.
+const MAX_LINE_BYTES: usize = 256;
+/// Accepting is retried after this time if it failed, for example because no descriptor was free.
+const ACCEPT_RETRY_DELAY: Micros = SECOND / 50;
 
-/// What an operator wants.
+/// A management command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ManagementCommand {
+    /// Asks whether the scheduler is ready.
     Ping,
+    /// Asks for the metrics.
     Info,
+    /// Starts a drain.
     Lameduck,
+    /// Ends a drain.
     Rejoin,
 }
 
-struct Call {
+struct Connection {
     stream: TcpStream,
     buffer: Buffer,
-    answered: bool,
+    response_sent: bool,
 }
 
-/// See the head of this file.
+/// The management listener and its connections.
 pub struct ManagementServer {
     listener: TcpListener,
-    /// By the number of the connection, so the oldest comes first.
-    calls: BTreeMap<usize, Call>,
+    /// Connections by token. Tokens increase, so the oldest connection comes first.
+    connections: BTreeMap<usize, Connection>,
 }
 
 impl ManagementServer {
+    /// Creates a server for a listener that is registered with the event loop.
     pub fn new(listener: TcpListener) -> Self {
-        ManagementServer { listener, calls: BTreeMap::new() }
+        ManagementServer { listener, connections: BTreeMap::new() }
     }
 
-    /// The connection is one of these.
+    /// Whether the token belongs to a connection of this server.
     pub fn owns(&self, token: usize) -> bool {
-        self.calls.contains_key(&token)
+        self.connections.contains_key(&token)
     }
 
-    /// Takes new calls; those that bring their line along are given back at once.
+    /// Accepts new connections. Returns the token and the command of each connection whose command line has already
+    /// arrived, `None` for an unknown command.
     pub fn accept(
         &mut self,
         ctx: &mut Ctx<'_>,
         spare: &mut dyn Spare,
     ) -> Vec<(usize, Option<ManagementCommand>)> {
-        let mut orders = Vec::new();
-        // As many in a turn as may be open; the rest come in the next.
+        let mut commands = Vec::new();
+        // At most as many per iteration of the event loop as may be open; the rest are accepted in the next iteration.
         for _ in 0..MAX_MANAGEMENT_CONNECTIONS {
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     if let Some(token) = self.open(ctx, stream)
-                        && let Some(order) = self.handle_ready(ctx, token)
+                        && let Some(command) = self.handle_ready(ctx, token)
                     {
-                        orders.push((token, order));
+                        commands.push((token, command));
                     }
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return orders,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return commands,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
-                    // Out of descriptors, say: operators come before clients at rest.
-                    log_line!("accepting an operator's call: {error}");
+                    // The process may be out of descriptors. Operators have priority over idle client connections, which
+                    // are closed to free some.
+                    log_line!("accepting a management connection failed: {error}");
                     spare.shed(ctx);
-                    ctx.deadlines.set(Due::Door, ctx.now + AGAIN);
-                    return orders;
+                    ctx.deadlines.set(Due::Door, ctx.now + ACCEPT_RETRY_DELAY);
+                    return commands;
                 }
             }
         }
         ctx.deadlines.set(Due::Door, ctx.now + 1);
-        orders
+        commands
     }
 
     fn open(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream) -> Option<usize> {
-        if self.calls.len() >= MAX_MANAGEMENT_CONNECTIONS
-            && let Some(&oldest) = self.calls.keys().next()
+        if self.connections.len() >= MAX_MANAGEMENT_CONNECTIONS
+            && let Some(&oldest) = self.connections.keys().next()
         {
-            self.drop_call(ctx, oldest);
+            self.close(ctx, oldest);
         }
         let token = ctx.next_token();
-        let both = Interest::READABLE | Interest::WRITABLE;
-        if let Err(error) = ctx.registry.register(&mut stream, Token(token), both) {
-            log_line!("watching an operator's call: {error}");
+        let interests = Interest::READABLE | Interest::WRITABLE;
+        if let Err(error) = ctx.registry.register(&mut stream, Token(token), interests) {
+            log_line!("registering a management connection failed: {error}");
             return None;
         }
-        ctx.deadlines.set(Due::Call(token), ctx.now + SLOW);
-        self.calls.insert(token, Call { stream, buffer: Buffer::default(), answered: false });
+        ctx.deadlines.set(Due::Call(token), ctx.now + COMMAND_TIMEOUT);
+        self.connections
+            .insert(token, Connection { stream, buffer: Buffer::default(), response_sent: false });
         Some(token)
     }
 
-    /// Something can be read or written. Gives the order once its line is whole; `Some(None)` is one that
-    /// nobody understands.
+    /// Reads from and writes to a connection that is ready. Returns the command once its line is complete, `Some(None)` if
+    /// the command is unknown.
     pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> Option<Option<ManagementCommand>> {
-        let call = self.calls.get_mut(&token)?;
-        if call.buffer.has_output() {
+        let connection = self.connections.get_mut(&token)?;
+        if connection.buffer.has_output() {
             self.flush(ctx, token);
         }
-        let call = self.calls.get_mut(&token)?;
-        let filled = call.buffer.fill(&mut call.stream, LINE);
-        if call.answered {
-            call.buffer.consume(usize::MAX / 2);
+        let connection = self.connections.get_mut(&token)?;
+        let filled = connection.buffer.fill(&mut connection.stream, MAX_LINE_BYTES);
+        if connection.response_sent {
+            connection.buffer.consume(usize::MAX / 2);
             if filled == Filled::Ended {
-                self.drop_call(ctx, token);
+                self.close(ctx, token);
             }
             return None;
         }
-        let input = call.buffer.input();
+        let input = connection.buffer.input();
         let end = input.iter().position(|&byte| byte == b'\n');
         if end.is_none() && filled == Filled::Dry {
             return None;
         }
-        // The end of what the client has to say ends its line as well.
-        let order = read(&input[..end.unwrap_or(input.len())]);
+        // A line also ends where the client closes its side of the connection, or where the length limit is reached.
+        let command = parse_command(&input[..end.unwrap_or(input.len())]);
         if input.is_empty() {
-            self.drop_call(ctx, token);
+            self.close(ctx, token);
             return None;
         }
-        call.buffer.consume(usize::MAX / 2);
-        Some(order)
+        connection.buffer.consume(usize::MAX / 2);
+        Some(command)
     }
 
-    /// Answers a call; it ends with that.
+    /// Sends the response to a connection's command. The connection is closed afterwards.
     pub fn respond(&mut self, ctx: &mut Ctx<'_>, token: usize, text: &str) {
-        let Some(call) = self.calls.get_mut(&token) else { return };
-        call.answered = true;
-        call.buffer.put(text.as_bytes());
-        ctx.deadlines.set(Due::Call(token), ctx.now + LINGER);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.response_sent = true;
+        connection.buffer.put(text.as_bytes());
+        ctx.deadlines.set(Due::Call(token), ctx.now + CLOSE_TIMEOUT);
         self.flush(ctx, token);
     }
 
     fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        let Some(call) = self.calls.get_mut(&token) else { return };
-        match call.buffer.flush(&mut call.stream) {
-            // Closed with something unread, the connection would be reset, and take the answer along.
-            Ok(true) => drop(call.stream.shutdown(Shutdown::Write)),
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        match connection.buffer.flush(&mut connection.stream) {
+            // Only the write side is closed: closing the socket while it has unread input would reset the connection, and
+            // the client could lose the response.
+            Ok(true) => drop(connection.stream.shutdown(Shutdown::Write)),
             Ok(false) => {}
-            Err(_) => self.drop_call(ctx, token),
+            Err(_) => self.close(ctx, token),
         }
     }
 
-    /// A call has been open for too long.
+    /// Handles the timeout of a connection: sends an error if no command has arrived, else closes the connection.
     pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        match self.calls.get(&token) {
-            Some(call) if !call.answered => self.respond(ctx, token, "error no call came\n"),
-            _ => self.drop_call(ctx, token),
+        match self.connections.get(&token) {
+            Some(connection) if !connection.response_sent => self.respond(ctx, token, "error no call came\n"),
+            _ => self.close(ctx, token),
         }
     }
 
-    fn drop_call(&mut self, ctx: &mut Ctx<'_>, token: usize) {
-        let Some(mut call) = self.calls.remove(&token) else { return };
-        let _ = ctx.registry.deregister(&mut call.stream);
+    fn close(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let _ = ctx.registry.deregister(&mut connection.stream);
         ctx.deadlines.clear(Due::Call(token));
     }
 }
 
-fn read(line: &[u8]) -> Option<ManagementCommand> {
+/// Parses a command line; `None` if the command is unknown.
+fn parse_command(line: &[u8]) -> Option<ManagementCommand> {
     match line.trim_ascii() {
         b"PING" => Some(ManagementCommand::Ping),
         b"INFO" => Some(ManagementCommand::Info),
--- a/src/net/operators/mod.rs
+++ b/src/net/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: their door, and the one state of sending clients away.
+//! The operators' interface: the management server and the state of a drain.
 
 pub mod drain;
 pub mod management;
