--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -1,70 +1,80 @@
-//! Membership: what the list says of each worker, and when it is asked for.
+//! Worker list: the entries of the workers, and when the list is requested.
 
 use super::*;
 
 impl Dispatcher {
+    /// Handles an event of the worker list. Sets a timer for the next call where one is due, updates the workers and
+    /// rebuilds the size maps.
     pub(super) fn on_members(&mut self, now: Micros, kind: ListKind, members: Vec<Member>) {
         let after = match kind {
-            // Soon, and again soon: what is missed counts a few seconds after discovery can be reached.
+            // The next call follows soon each time. A missed change counts as notified a few seconds after discovery
+            // can be reached again.
             ListKind::Lost => {
-                self.list.subscribed = false;
-                let rest = if std::mem::replace(&mut self.list.lost, true) { SECOND / 2 } else { 1 };
-                Some(rest + self.rng.u64(0..SECOND))
+                self.worker_list.subscribed = false;
+                let pause = if std::mem::replace(&mut self.worker_list.lost, true) { SECOND / 2 } else { 1 };
+                Some(pause + self.rng.u64(0..SECOND))
             }
-            // Spread over time, so that dispatchers which start together do not swamp the list; and soon, since nothing
-            // may be sent by a saved list before it is confirmed.
-            ListKind::Saved if self.settings.list_on_request && !self.list.subscribed => {
-                Some(1 + self.rng.u64(0..(self.settings.rules.ask_every / 2).clamp(1, FIRST_CALL)))
+            // Calls are spread over time, so that dispatchers that start together do not overload discovery. They are
+            // also soon, because nothing may be sent by a saved list before it is confirmed.
+            ListKind::Saved if self.settings.list_on_request && !self.worker_list.subscribed => {
+                Some(1 + self.rng.u64(0..(self.settings.rules.ask_every / 2).clamp(1, MAX_FIRST_CALL_DELAY)))
             }
             _ => None,
         };
-        self.out.extend(after.map(|after| Action::SetTimer { timer: TIMER_LIST, after }));
+        self.actions.extend(after.map(|after| Action::SetTimer { timer: WORKER_LIST_TIMER, after }));
         if kind == ListKind::Lost {
             return;
         }
-        self.list.lost &= kind == ListKind::Saved;
+        self.worker_list.lost &= kind == ListKind::Saved;
         if kind != ListKind::Changes {
-            let gone = |of: &&mut Worker| members.iter().all(|member| member.worker != of.id);
-            self.workers.iter_mut().filter(gone).for_each(|worker| worker.standing = Standing::Gone);
+            let unlisted = |worker: &&mut Worker| members.iter().all(|member| member.worker != worker.id);
+            self.workers.iter_mut().filter(unlisted).for_each(|worker| worker.status = WorkerStatus::Gone);
         }
-        members.into_iter().for_each(|member| self.on_member(member));
-        self.rebuild_maps();
+        members.into_iter().for_each(|member| self.update_worker(member));
+        self.rebuild_size_maps();
         if kind == ListKind::Saved {
-            if self.company.speaks() {
-                self.out.push(Action::Tell { to: None, body: peer::greeting(self.settings.zone.0, true) });
+            if self.company.sends_peer_messages() {
+                self.actions.push(Action::SendMessage {
+                    to: None,
+                    body: peer_message::encode_hello(self.settings.zone.0, true),
+                });
             }
-            let homes: Vec<usize> = (0..self.workers.len()).filter(|&at| self.workers[at].home).collect();
-            self.probe_home(now, &homes, homes.len());
+            let home_workers: Vec<usize> =
+                (0..self.workers.len()).filter(|&index| self.workers[index].in_own_cohort).collect();
+            self.probe_home_workers(now, &home_workers, home_workers.len());
         }
-        self.pump(now);
+        self.process_hold_queue(now);
     }
 
-    pub(super) fn on_member(&mut self, member: Member) {
-        let at = *self.index.entry(member.worker).or_insert_with(|| {
+    /// Adds a worker of the list or updates its entry.
+    pub(super) fn update_worker(&mut self, member: Member) {
+        let index = *self.worker_index.entry(member.worker).or_insert_with(|| {
             self.workers.push(Worker { id: member.worker, started: member.started, ..Worker::default() });
             self.workers.len() - 1
         });
-        let worker = &mut self.workers[at];
+        let worker = &mut self.workers[index];
         if member.started != worker.started && member.started.is_some() {
-            // A new process: nothing learned of the old one's health or load holds.
-            worker.trust = Trust::default();
+            // The worker has a new process. Nothing learned about the health or load of the old process applies to it.
+            worker.health = WorkerHealth::default();
             worker.foreign = None;
             worker.peers.clear();
             worker.cold_sent.clear();
         }
-        worker.standing = member.standing;
+        worker.status = member.status;
         worker.started = member.started.or(worker.started);
-        worker.zone = ZoneIx(member.zone.0.min(self.know.mean_foreign.len() - 1));
-        worker.kind = member.kind.0.min(self.know.kinds.len() - 1);
+        worker.zone = ZoneIx(member.zone.0.min(self.knowledge.mean_foreign_share.len() - 1));
+        worker.kind = member.kind.0.min(self.knowledge.kinds.len() - 1);
         worker.cell = member.cell;
-        (worker.exact, worker.refuses) = (member.lanes.map(|lanes| lanes.max(1) as usize), member.refuses);
+        (worker.exact_lanes, worker.refuses) =
+            (member.lanes.map(|lanes| lanes.max(1) as usize), member.refuses);
         worker.weight = if member.weight.is_finite() && member.weight > 0.0 { member.weight } else { 1.0 };
     }
 
-    pub(crate) fn ask_list(&mut self) {
-        if self.settings.list_on_request && !self.list.subscribed {
-            self.list.subscribed = true;
-            self.out.push(Action::Subscribe(true));
+    /// Subscribes to the worker list, where it must be requested and is not subscribed to yet.
+    pub(crate) fn subscribe_to_list(&mut self) {
+        if self.settings.list_on_request && !self.worker_list.subscribed {
+            self.worker_list.subscribed = true;
+            self.actions.push(Action::Subscribe(true));
         }
     }
 }
--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -1,7 +1,7 @@
 //! Separates the settings that the control machines agree on for all schedulers from the few that each scheduler has for
 //! itself, and validates agreed versions.
 
-use super::Fault;
+use super::SettingsError;
 use super::document::{self, Direction, Document};
 use calicolb_agreed::{Check, Rules, Tighter};
 use serde_json::{Value, json};
@@ -32,9 +32,10 @@
 
 impl Check for SharedSettingsCheck {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
-        let to_agreed_error = |fault: Fault| calicolb_agreed::Fault { key: fault.key, why: fault.why };
+        let to_agreed_error =
+            |fault: SettingsError| calicolb_agreed::Fault { key: fault.key, why: fault.reason };
         if let Some(key) = LOCAL_KEYS.iter().find(|key| version.contains_key(**key)) {
-            return Err(to_agreed_error(Fault::new(
+            return Err(to_agreed_error(SettingsError::new(
                 *key,
                 "is set by each scheduler for itself and cannot be agreed",
             )));
@@ -57,7 +58,7 @@
 impl Check for SchedulerRules {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
         let checked = document::check(&with_local_settings(version, &self.local_settings)).map(drop);
-        checked.map_err(|fault| calicolb_agreed::Fault { key: fault.key, why: fault.why })
+        checked.map_err(|fault| calicolb_agreed::Fault { key: fault.key, why: fault.reason })
     }
 }
 
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -14,7 +14,7 @@
 #![allow(dead_code, reason = "some functions are only used by the control role, not by SIGHUP")]
 
 use super::platform;
-use super::{Fault, SettingsUpdate};
+use super::{SettingsError, SettingsUpdate};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -176,16 +176,19 @@
 ///
 /// # Errors
 /// The first key that cannot be part of settings, and the reason.
-pub fn from_document(document: &Document) -> Result<Value, Fault> {
+pub fn from_document(document: &Document) -> Result<Value, SettingsError> {
     if document.len() > MAX_KEYS {
-        return Err(Fault::new("", format!("has {} keys: the maximum is {MAX_KEYS}", document.len())));
+        return Err(SettingsError::new(
+            "",
+            format!("has {} keys: the maximum is {MAX_KEYS}", document.len()),
+        ));
     }
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
     let mut per_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
     for (key, value) in document {
         if key.len() > MAX_KEY_BYTES {
-            return Err(Fault::new(key.clone(), format!("is longer than {MAX_KEY_BYTES} bytes")));
+            return Err(SettingsError::new(key.clone(), format!("is longer than {MAX_KEY_BYTES} bytes")));
         }
         let named_list = NAMED_LISTS.iter().find_map(|list| Some((*list, strip_group(key, list)?)));
         let per_class_value = strip_group(key, EXTRA)
@@ -199,10 +202,10 @@
                 Some((name, field)) if !name.is_empty() && !field.is_empty() && field != "name" => {
                     (name, Some(field))
                 }
-                _ => return Err(Fault::new(key.clone(), "is not of the form list.name.field")),
+                _ => return Err(SettingsError::new(key.clone(), "is not of the form list.name.field")),
             };
             if name.is_empty() {
-                return Err(Fault::new(key.clone(), "has an empty entry name"));
+                return Err(SettingsError::new(key.clone(), "has an empty entry name"));
             }
             let fields = entries.entry(name).or_default();
             if let Some(field) = field {
@@ -220,7 +223,7 @@
         let class_entries = named.get(CLASSES);
         let classes: Vec<&str> = class_entries.into_iter().flatten().map(|(name, _)| *name).collect();
         if let Some(name) = values.keys().find(|name| !classes.contains(name)) {
-            return Err(Fault::new(
+            return Err(SettingsError::new(
                 format!("{EXTRA}.{list}.{name}"),
                 "belongs to a class that does not exist",
             ));
@@ -248,9 +251,12 @@
 }
 
 /// Checks that the document has no value for the group that a key belongs to.
-fn check_group_has_no_value(document: &Document, key: &str, group: &str) -> Result<(), Fault> {
+fn check_group_has_no_value(document: &Document, key: &str, group: &str) -> Result<(), SettingsError> {
     match document.contains_key(group) {
-        true => Err(Fault::new(key, format!("cannot be set beside '{group}', which has a value of its own"))),
+        true => Err(SettingsError::new(
+            key,
+            format!("cannot be set beside '{group}', which has a value of its own"),
+        )),
         false => Ok(()),
     }
 }
@@ -261,10 +267,10 @@
     key: &str,
     value: &Value,
     root: &mut Map<String, Value>,
-) -> Result<(), Fault> {
+) -> Result<(), SettingsError> {
     let parts: Vec<&str> = key.split('.').collect();
     if parts.len() > MAX_KEY_PARTS || parts.iter().any(|part| part.is_empty()) {
-        return Err(Fault::new(
+        return Err(SettingsError::new(
             key,
             format!("is not a valid key: it has an empty part or more than {MAX_KEY_PARTS} parts"),
         ));
@@ -277,7 +283,7 @@
     for part in &parts[..parts.len() - 1] {
         let group = object.entry(*part).or_insert_with(|| Value::Object(Map::new()));
         let Some(next) = group.as_object_mut() else {
-            return Err(Fault::new(key, "belongs to a key that has a value of its own"));
+            return Err(SettingsError::new(key, "belongs to a key that has a value of its own"));
         };
         object = next;
     }
@@ -291,7 +297,7 @@
 ///
 /// # Errors
 /// The first invalid key and the reason.
-pub fn check(document: &Document) -> Result<SettingsUpdate, Fault> {
+pub fn check(document: &Document) -> Result<SettingsUpdate, SettingsError> {
     platform::parse_settings(&from_document(document)?)
 }
 
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -169,7 +169,7 @@
             Err(fault) => {
                 rejected.set(rejected.get() + 1);
                 let names_a_key = !fault.key.is_empty() || document.contains_key("");
-                prop_assert!(names_a_key && !fault.why.is_empty(), "{:?} of {:?}", fault, document);
+                prop_assert!(names_a_key && !fault.reason.is_empty(), "{:?} of {:?}", fault, document);
             }
         }
         Ok(())
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -11,7 +11,7 @@
 
 use self::worker_list::ListUpdate;
 use calicolb::api::{ClassIx, KindIx, Member, Micros, Settings, ZoneIx};
-pub use calicolb::renewal::Fault;
+pub use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -4,7 +4,8 @@
 use super::settings_reader::{DiagnosticCollector, Diagnostics, SettingsReader, suggest_name};
 use super::*;
 use calicolb::api::{
-    Class, Effect, Group, Limits, Prices, QueueOrder, ReportSource, RuleFigures, SKILLS, Standing, Tenant,
+    Class, Effect, Group, Limits, MAX_SKILLS, Prices, QueueOrder, ReportSource, RuleParameters, Tenant,
+    WorkerStatus,
 };
 use kdl::{KdlDocument, KdlNode};
 use miette::{IntoDiagnostic, Report, WrapErr};
@@ -308,9 +309,9 @@
                 Function { name: owned_name, skill, priority_classes, background_timeout, takes_http_jobs };
             functions.push((name, function, runs_on_http));
         }
-        if classes.len() + functions.len() > SKILLS {
+        if classes.len() + functions.len() > MAX_SKILLS {
             let count = classes.len() + functions.len();
-            let help = format!("define at most {SKILLS} classes and functions in total");
+            let help = format!("define at most {MAX_SKILLS} classes and functions in total");
             self.collector.report((0, 0).into(), format!("there are {count} classes and functions"), help);
         }
         functions
@@ -370,7 +371,7 @@
                 }
             }
             let (Some(name), Some(address)) = (name, address) else { continue };
-            let worker = calicolb::wire::hop_id(name);
+            let worker = calicolb::wire::worker_id(name);
             if let Some((other, _)) = workers.iter().find(|(_, other)| other.member.worker == worker) {
                 let message = format!("the names \"{name}\" and \"{other}\" have the same hash");
                 self.collector.report(reader.span(), message, "rename one of them");
@@ -378,7 +379,7 @@
             let member = Member {
                 worker,
                 kind: KindIx(kinds.iter().position(|known| *known == kind).unwrap_or(0)),
-                standing: Standing::On,
+                status: WorkerStatus::On,
                 weight,
                 lanes: lanes.map(|lanes| lanes as u32),
                 refuses: !accepted_skills,
@@ -512,10 +513,10 @@
             queue_order: QueueOrder::Fifo,
             weights: true,
             limits: Limits {
-                tries: max_attempts,
+                max_attempts,
                 // No copies: once part of one attempt's output has been forwarded to the client, another attempt cannot
                 // continue it.
-                copies: false,
+                concurrent_attempts: false,
                 cancel: true,
                 probes,
                 peers: false,
@@ -523,7 +524,7 @@
                 retry_advice_max: max_retry_after.unwrap_or(2 * SECOND),
                 connect_timeout: connect_timeout.unwrap_or(250 * MILLI),
             },
-            rules: RuleFigures {
+            rules: RuleParameters {
                 answer_slack: 8 * MILLI,
                 drain_grace: 2 * SECOND,
                 cold,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -76,7 +76,7 @@
         let limits = root.section("limits")?;
         let settings = root.map.get("settings").ok_or("'settings' is missing")?;
         let update =
-            parse_settings(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.why))?;
+            parse_settings(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.reason))?;
         let SettingsUpdate { settings: parsed_settings, names, worker_idle_timeout, max_open_requests } =
             update;
         let known_workers = match root.map.get("known") {
@@ -123,20 +123,21 @@
 ///
 /// # Errors
 /// The first invalid key and the reason.
-pub(super) fn parse_settings(settings: &Value) -> Result<SettingsUpdate, Fault> {
+pub(super) fn parse_settings(settings: &Value) -> Result<SettingsUpdate, SettingsError> {
     let ceiling = |key: &str, default: u64| {
         let path = format!("ceilings.{key}");
         let section = match settings.get("ceilings") {
             Some(Value::Object(map)) => Section { prefix: "", map },
-            Some(_) => return Err(Fault::new("ceilings", "is not an object")),
+            Some(_) => return Err(SettingsError::new("ceilings", "is not an object")),
             None => return Ok(default),
         };
-        let value = section.unsigned(key).map_err(|_| Fault::new(path, "is not a number of at least 0"))?;
+        let value =
+            section.unsigned(key).map_err(|_| SettingsError::new(path, "is not a number of at least 0"))?;
         Ok(value.unwrap_or(default))
     };
-    let (mut parsed, names) = wire::settings_of(settings)?;
+    let (mut parsed, names) = wire::settings_from_json(settings)?;
     if parsed.classes.is_empty() {
-        return Err(Fault::new("request_classes", "is missing or empty"));
+        return Err(SettingsError::new("request_classes", "is missing or empty"));
     }
     check_values(&parsed, &names)?;
     // The key `retry_after` only applies to the simulator's clients. Here a rejection is an HTTP response, which can always
@@ -149,17 +150,24 @@
 }
 
 /// Checks that a duration is small enough to be added to any point in time without overflow.
-fn check_duration(key: &str, duration: Micros) -> Result<(), Fault> {
+fn check_duration(key: &str, duration: Micros) -> Result<(), SettingsError> {
     if duration > MAX_DURATION {
-        return Err(Fault::new(key, format!("is {duration}: the maximum is {MAX_DURATION} microseconds")));
+        return Err(SettingsError::new(
+            key,
+            format!("is {duration}: the maximum is {MAX_DURATION} microseconds"),
+        ));
     }
     Ok(())
 }
 
 /// Checks that all durations and figures are in their ranges and that no name of a class or tenant occurs twice.
-fn check_values(settings: &Settings, names: &Names) -> Result<(), Fault> {
+fn check_values(settings: &Settings, names: &Names) -> Result<(), SettingsError> {
     let not_negative = |key: String, value: f64| {
-        if value >= 0.0 { Ok(()) } else { Err(Fault::new(key, format!("is {value}: the minimum is 0"))) }
+        if value >= 0.0 {
+            Ok(())
+        } else {
+            Err(SettingsError::new(key, format!("is {value}: the minimum is 0")))
+        }
     };
     check_unique("request_classes", names.classes())?;
     check_unique("orgs", names.tenants())?;
@@ -196,14 +204,14 @@
 }
 
 /// Checks that names are not empty and that none occurs twice.
-fn check_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), Fault> {
+fn check_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), SettingsError> {
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() {
-            return Err(Fault::new(list, "contains an entry without a name"));
+            return Err(SettingsError::new(list, "contains an entry without a name"));
         }
         if !seen.insert(name) {
-            return Err(Fault::new(format!("{list}.{name}"), "appears twice"));
+            return Err(SettingsError::new(format!("{list}.{name}"), "appears twice"));
         }
     }
     Ok(())
--- a/src/main.rs
+++ b/src/main.rs
@@ -62,9 +62,11 @@
         },
     };
     log::start(args.log_format, args.log_level.unwrap_or(Level::INFO));
-    net::platform::inherit::announce(config.passed_socket, |name| std::env::var_os(name));
+    net::platform::inherited_socket::restart_with_listen_fds(config.passed_socket, |name| {
+        std::env::var_os(name)
+    });
     let (name, listen) = (config.name.clone(), config.listen);
-    match net::turn::Turn::new(config).and_then(net::turn::Turn::run) {
+    match net::event_loop::EventLoop::new(config).and_then(net::event_loop::EventLoop::run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("calicolb: {name} on {listen}: {error}");
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -2,8 +2,8 @@
 
 use super::{BODY_LIMIT, Io, TALK_LIMIT};
 use crate::log::log_line;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::{Alarm, Due};
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::http::framing::{self, HEAD_LIMIT, Reject, Request};
 use calicolb::api::Micros;
 use mio::net::{TcpListener, TcpStream};
@@ -112,7 +112,7 @@
             log_line!(warn: "watching a connection: {error}");
             return None;
         }
-        io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + SLOW);
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + SLOW);
         let buffer = Buffer::default();
         let conn = Conn { stream, buffer, phase: Phase::Open, keep_alive: true, owed: true };
         self.conns.insert(token, conn);
@@ -134,36 +134,36 @@
                 if conn.phase != Phase::Owing {
                     conn.buffer.consume(usize::MAX / 2);
                 }
-                if filled == Filled::Ended {
+                if filled == FillOutcome::Closed {
                     self.close(io, token);
                 }
                 return None;
             }
-            match framing::request_within(conn.buffer.input(), room) {
+            match framing::parse_request_with_limit(conn.buffer.input(), room) {
                 Ok(Some((request, length))) => {
                     conn.buffer.consume(length);
                     conn.phase = Phase::Owing;
                     conn.keep_alive = request.keep_alive;
                     conn.owed = false;
-                    io.deadlines.clear(Due::Conn(token, Alarm::Late));
+                    io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
                     return Some(request);
                 }
                 Ok(None) if conn.buffer.input().len() >= message(room) => self.reject(io, token, 413),
                 Ok(None) => match conn.buffer.fill(&mut conn.stream, message(room)) {
-                    Filled::Brimful => {}
-                    Filled::Ended if conn.buffer.input().is_empty() => {
+                    FillOutcome::LimitReached => {}
+                    FillOutcome::Closed if conn.buffer.input().is_empty() => {
                         self.close(io, token);
                         return None;
                     }
                     // What it brought along may be whole; if it isn't, it never will be.
-                    Filled::Ended => {
-                        if let Ok(None) = framing::request_within(conn.buffer.input(), room) {
+                    FillOutcome::Closed => {
+                        if let Ok(None) = framing::parse_request_with_limit(conn.buffer.input(), room) {
                             self.close(io, token);
                             return None;
                         }
                     }
-                    Filled::Dry => {
-                        if let Ok(None) = framing::request_within(conn.buffer.input(), room) {
+                    FillOutcome::WouldBlock => {
+                        if let Ok(None) = framing::parse_request_with_limit(conn.buffer.input(), room) {
                             self.rest(io, token);
                             return None;
                         }
@@ -195,7 +195,7 @@
         }
         conn.owed = !conn.buffer.input().is_empty();
         let span = if conn.owed { SLOW } else { IDLE };
-        io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + span);
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + span);
     }
 
     fn reject(&mut self, io: &mut Io<'_>, token: usize, status: u16) {
@@ -215,10 +215,10 @@
         body: &[u8],
     ) {
         let Some(conn) = self.conns.get_mut(&token) else { return };
-        conn.buffer.put(&framing::write_response(status, extra, body, conn.keep_alive));
+        conn.buffer.append_output(&framing::write_response(status, extra, body, conn.keep_alive));
         conn.phase = if conn.keep_alive { Phase::Open } else { Phase::Leaving };
         conn.owed = false;
-        io.deadlines.clear(Due::Conn(token, Alarm::Late));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
     }
 
     /// Makes a connection a watch; `false` where as many are open as may be.
@@ -232,23 +232,24 @@
         let _ = sockopt::set_tcp_user_timeout(&conn.stream, UNACKNOWLEDGED_MS);
         // Hundreds of them must not hold megabytes each in the system.
         let _ = sockopt::set_socket_send_buffer_size(&conn.stream, SYSTEM_BUFFER);
-        conn.buffer
-            .put(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
+        conn.buffer.append_output(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n",
+        );
         self.watching += 1;
-        io.deadlines.clear(Due::Conn(token, Alarm::Late));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
         true
     }
 
     /// Tells a watch a line. One that takes nothing is ended.
     pub fn tell(&mut self, io: &mut Io<'_>, token: usize, line: &[u8]) {
         let Some(conn) = self.conns.get_mut(&token) else { return };
-        if conn.buffer.waiting() + line.len() > WATCH_LIMIT {
+        if conn.buffer.pending_output() + line.len() > WATCH_LIMIT {
             log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
             return self.close(io, token);
         }
-        conn.buffer.put(format!("{:x}\r\n", line.len()).as_bytes());
-        conn.buffer.put(line);
-        conn.buffer.put(b"\r\n");
+        conn.buffer.append_output(format!("{:x}\r\n", line.len()).as_bytes());
+        conn.buffer.append_output(line);
+        conn.buffer.append_output(b"\r\n");
         self.flush(io, token);
     }
 
@@ -258,26 +259,29 @@
         if !conn.buffer.has_output() {
             return true;
         }
-        let before = conn.buffer.waiting();
+        let before = conn.buffer.pending_output();
         match conn.buffer.flush(&mut conn.stream) {
             Ok(true) => {
-                io.deadlines.clear(Due::Conn(token, Alarm::Owed));
+                io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
                 if conn.phase == Phase::Leaving {
                     // Closed with something unread, the connection would be reset, and take the answer along.
                     let _ = conn.stream.shutdown(Shutdown::Write);
-                    io.deadlines.set(Due::Conn(token, Alarm::Late), io.now + LINGER);
+                    io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + LINGER);
                 }
                 true
             }
             Ok(false) => {
-                if conn.buffer.waiting() < before || !io.deadlines.has(Due::Conn(token, Alarm::Owed)) {
-                    io.deadlines.set(Due::Conn(token, Alarm::Owed), io.now + UNREAD);
+                if conn.buffer.pending_output() < before
+                    || !io.deadlines.has(Deadline::Connection(token, ConnectionTimer::OfferTimeout))
+                {
+                    io.deadlines
+                        .set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), io.now + UNREAD);
                 }
                 false
             }
             Err(_) => {
                 // What waited was not taken, or its other side has gone.
-                if conn.phase == Phase::Watching && conn.buffer.waiting() > 0 {
+                if conn.phase == Phase::Watching && conn.buffer.pending_output() > 0 {
                     log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
                 }
                 self.close(io, token);
@@ -287,9 +291,9 @@
     }
 
     /// A time that was set for a connection has come.
-    pub fn late(&mut self, io: &mut Io<'_>, token: usize, alarm: Alarm) {
+    pub fn late(&mut self, io: &mut Io<'_>, token: usize, alarm: ConnectionTimer) {
         match self.conns.get(&token) {
-            Some(conn) if alarm == Alarm::Late && conn.phase == Phase::Open && conn.owed => {
+            Some(conn) if alarm == ConnectionTimer::Timeout && conn.phase == Phase::Open && conn.owed => {
                 self.reject(io, token, 408);
                 self.flush(io, token);
             }
@@ -306,8 +310,8 @@
         let Some(mut conn) = self.conns.remove(&token) else { return };
         self.watching -= usize::from(conn.phase == Phase::Watching);
         let _ = io.registry.deregister(&mut conn.stream);
-        io.deadlines.clear(Due::Conn(token, Alarm::Late));
-        io.deadlines.clear(Due::Conn(token, Alarm::Owed));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
+        io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
     }
 
     /// Ends all watches in order, and takes no more connections. Gives whether anything still waits to go out.
--- /dev/null
+++ b/src/net/core/request_table/attempts.rs
@@ -0,0 +1,214 @@
+//! Events on attempts, as reported by their connections and by their workers.
+
+use super::*;
+
+impl<P: Clone> RequestTable<P> {
+    /// Checks whether an attempt whose connection has been established may still start. It may not if meanwhile its
+    /// client has left, its time has run out, or the decision module no longer wants it at this worker.
+    ///
+    /// # Errors
+    /// Returns the ending of an attempt that may not start.
+    pub fn check_start(&mut self, now: Micros, id: AttemptId) -> Result<(), Ending> {
+        let open = |entry: &&Entry<P>| !entry.concluded && now < self.answer_by(entry);
+        let entry = self.requests.get(&id.request).filter(open);
+        if entry.is_none() {
+            return Err(Ending::NotSent);
+        }
+        let may_start = self.dispatcher.may_start_attempt(now, RequestId(id.request), id.number);
+        if may_start { Ok(()) } else { Err(Ending::Unreachable) }
+    }
+
+    /// Reports that an attempt ended before its first byte was written.
+    pub fn attempt_not_started(&mut self, now: Micros, id: AttemptId, ending: Ending) {
+        self.end_attempt(now, id, ending, false, None);
+    }
+
+    /// Reports that the last byte of an attempt has been written.
+    pub fn attempt_written(&mut self, now: Micros, id: AttemptId) {
+        let Some(attempt) = self.open_attempt(id) else { return };
+        attempt.written_at = Some(now);
+        if let Some(entry) = self.requests.get(&id.request) {
+            self.counters.class_mut(entry.class).attempts += 1;
+        }
+    }
+
+    /// Reports that the worker confirmed that it accepted the job. A pending cancellation is sent now.
+    pub fn attempt_accepted(&mut self, id: AttemptId) {
+        let Some(attempt) = self.open_attempt(id) else { return };
+        attempt.accepted = true;
+        if attempt.cancel_pending {
+            self.send_cancel(id);
+        }
+    }
+
+    /// Reports that the worker has not confirmed within the acceptance timeout that it accepted the job.
+    pub fn acceptance_overdue(&mut self, id: AttemptId) {
+        if self.open_attempt(id).is_some() {
+            let note = AttemptNote::Silent;
+            self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
+        }
+    }
+
+    /// Reports that the job of an attempt has started or progressed.
+    pub fn attempt_note(&mut self, id: AttemptId, note: AttemptNote) {
+        if self.open_attempt(id).is_some() {
+            if note == AttemptNote::Started
+                && let Some(entry) = self.requests.get(&id.request)
+                && entry.updates != ClientUpdates::Nothing
+                && !entry.concluded
+            {
+                self.commands
+                    .push(Command::SendPartialResult { client: entry.client, part: PartialResult::Started });
+            }
+            self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
+        }
+    }
+
+    /// Reports an update from a worker before the end of the job. Returns a part of the result that the client cannot
+    /// receive yet; the protocol of the worker has to keep it for the final answer.
+    pub fn partial_result(&mut self, id: AttemptId, part: PartialResult) -> Option<PartialResult> {
+        self.open_attempt(id)?;
+        let entry = self.requests.get_mut(&id.request)?;
+        let (request, attempt) = (RequestId(id.request), id.number);
+        let is_result = matches!(part, PartialResult::Data(_) | PartialResult::Warning(_));
+        if let PartialResult::Progress(numerator, denominator) = part {
+            let note = AttemptNote::Progress(if denominator > 0 {
+                numerator as f64 / denominator as f64
+            } else {
+                0.0
+            });
+            self.events.push_back(Event::Note { request, attempt, note });
+        }
+        if entry.concluded {
+            return None;
+        }
+        if entry.updates == ClientUpdates::Nothing || (is_result && entry.updates != ClientUpdates::All) {
+            return is_result.then_some(part);
+        }
+        if is_result && !entry.streaming {
+            entry.streaming = true;
+            self.events.push_back(Event::Streaming { request, attempt });
+        }
+        self.commands.push(Command::SendPartialResult { client: entry.client, part });
+        None
+    }
+
+    /// Reports that an attempt has ended with its result.
+    pub fn attempt_succeeded(&mut self, now: Micros, id: AttemptId, result: Vec<u8>, report: Option<Report>) {
+        if self.open_attempt(id).is_some() {
+            self.finish_with_result(now, id, result, report);
+        }
+    }
+
+    /// Reports that the connection of an attempt has ended without a result. Once the worker has accepted the job, the
+    /// state of the connection tells nothing about the job, and the report is ignored.
+    pub fn connection_broken(&mut self, now: Micros, id: AttemptId) {
+        match self.open_attempt(id) {
+            Some(attempt) if attempt.accepted => {}
+            Some(attempt) => {
+                // The worker cannot have started the job before the last byte was written.
+                let ending = if attempt.written_at.is_some() { Ending::Broken } else { Ending::Unreachable };
+                let running = ending == Ending::Broken;
+                self.end_attempt(now, id, ending, running, None);
+            }
+            None => {}
+        }
+    }
+
+    /// Sends a pending cancellation if its worker has not accepted the job within the acceptance timeout.
+    pub fn cancel_unaccepted(&mut self, id: AttemptId) {
+        if self.open_attempt(id).is_some_and(|attempt| attempt.cancel_pending && !attempt.accepted) {
+            self.send_cancel(id);
+        }
+    }
+
+    /// Reports that a cancellation has reached the worker. An attempt that is still open ends as cancelled. An attempt
+    /// that had ended here before is over at the worker too, if the worker had accepted the job and so received an
+    /// explicit cancellation: a worker that was accepting the job just then may have ignored the end of its connection.
+    ///
+    /// As long as a cancellation is not confirmed, it is unknown whether the job runs, and the attempt ends with a
+    /// report of the worker or with its time limit.
+    pub fn cancel_delivered(&mut self, now: Micros, id: AttemptId) {
+        let entry = self.requests.get_mut(&id.request);
+        let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
+        match attempt.filter(|attempt| attempt.may_run && attempt.accepted) {
+            Some(_) => self.confirm_not_running(id),
+            None => self.end_attempt(now, id, Ending::Cancelled, false, None),
+        }
+    }
+
+    /// Reports that an attempt is cancelled and its worker cannot be told, so that the job may run on.
+    pub fn cancel_undeliverable(&mut self, now: Micros, id: AttemptId) {
+        self.end_attempt(now, id, Ending::Cancelled, true, None);
+    }
+
+    /// Records that an attempt that had ended here, and might still have been running, is over at its worker.
+    fn confirm_not_running(&mut self, id: AttemptId) {
+        let entry = self.requests.get_mut(&id.request);
+        let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
+        let Some(attempt) = attempt.filter(|attempt| attempt.may_run) else { return };
+        attempt.may_run = false;
+        log_line!(debug: request = id.request, attempt = id.number, hop = attempt.worker.0, "attempt is over at its worker");
+        let note = AttemptNote::Over;
+        self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
+    }
+
+    /// Reports that the worker ended an attempt without a result, on the connection of the attempt.
+    pub fn attempt_failed(&mut self, now: Micros, id: AttemptId, ending: Ending, report: Option<Report>) {
+        self.end_attempt(now, id, ending, false, report);
+    }
+
+    /// Applies a callback of a worker about the request of this name. Returns whether it matched an open attempt.
+    pub fn attempt_update(
+        &mut self,
+        now: Micros,
+        name: &str,
+        worker: WorkerId,
+        update: AttemptUpdate,
+        report: Option<Report>,
+    ) -> bool {
+        let Some(&number) = self.by_name.get(name) else { return false };
+        let Some(entry) = self.requests.get(&number) else { return false };
+        let at_worker = |&index: &usize| entry.attempts[index].worker == worker;
+        let Some(index) = (0..entry.attempts.len()).rev().find(at_worker) else { return false };
+        let attempt = &entry.attempts[index];
+        // Before the last byte of an attempt is written its worker knows nothing of it, so the update belongs to an
+        // older attempt.
+        if attempt.ending.is_some() || attempt.written_at.is_none() {
+            let ended = matches!(update, AttemptUpdate::Served(_) | AttemptUpdate::Ended(_));
+            if ended && attempt.ending.is_some() {
+                self.confirm_not_running(AttemptId { request: number, number: index as u32 });
+            }
+            return false;
+        }
+        // The update that ended an older attempt at this worker arrives again before the worker has accepted the new
+        // attempt: it is a repeated callback, because the response to the first one was lost.
+        let repeats = |ending| {
+            entry.attempts[..index].iter().any(|old| old.worker == worker && old.ended_by == Some(ending))
+        };
+        let id = AttemptId { request: number, number: index as u32 };
+        match update {
+            AttemptUpdate::Note(AttemptNote::Progress(share)) if entry.updates != ClientUpdates::Nothing => {
+                self.partial_result(id, PartialResult::Progress((share.clamp(0.0, 1.0) * 100.0) as u64, 100));
+            }
+            AttemptUpdate::Note(note) => self.attempt_note(id, note),
+            AttemptUpdate::Served(result) => self.finish_with_result(now, id, result, report),
+            AttemptUpdate::Ended(ending) if !attempt.accepted && repeats(ending) => return false,
+            AttemptUpdate::Ended(ending) => {
+                if let Some(attempt) = self.open_attempt(id) {
+                    attempt.ended_by = Some(ending);
+                }
+                self.end_attempt(now, id, ending, false, report);
+            }
+        }
+        true
+    }
+
+    /// Ends an attempt whose time limit is reached. Returns whether it was still open.
+    pub fn attempt_timed_out(&mut self, now: Micros, id: AttemptId) -> bool {
+        let Some(attempt) = self.open_attempt(id) else { return false };
+        let ending = if attempt.written_at.is_some() { Ending::TimedOut } else { Ending::Unreachable };
+        self.cancel_attempt(now, id, ending);
+        true
+    }
+}
--- /dev/null
+++ b/src/net/core/request_table/upgrade.rs
@@ -0,0 +1,64 @@
+//! Upgrade of a scheduler: state that one process hands over to the other, and the names of requests that are open at
+//! the other process.
+
+use super::*;
+
+impl<P: Clone> RequestTable<P> {
+    /// Hands over to a successor: returns what the decision module has learned. From now on the successor sends peer
+    /// messages for both processes.
+    pub fn hand_over(&mut self) -> serde_json::Value {
+        self.events.push_back(Event::SuccessorActive(true));
+        self.dispatcher.knowledge()
+    }
+
+    /// Reports that the successor process has ended.
+    pub fn successor_gone(&mut self) {
+        self.events.push_back(Event::SuccessorActive(false));
+    }
+
+    /// Imports what the decision module of the predecessor process had learned.
+    pub fn import_knowledge(&mut self, knowledge: serde_json::Value) {
+        self.events.push_back(Event::KnowledgeReceived(knowledge));
+    }
+
+    /// Whether a request of this name is open here.
+    pub fn has_request(&self, name: &str) -> bool {
+        self.by_name.contains_key(name)
+    }
+
+    /// Returns the names of all open requests, and starts to record changes for [`RequestTable::take_name_changes`].
+    pub fn track_open_names(&mut self) -> Vec<String> {
+        self.name_changes.get_or_insert_default();
+        self.by_name.keys().cloned().collect()
+    }
+
+    /// Returns the names that were opened (`true`) or closed (`false`) since the last call.
+    pub fn take_name_changes(&mut self) -> Vec<(String, bool)> {
+        self.name_changes.as_mut().map(mem::take).unwrap_or_default()
+    }
+
+    /// Records that a request of this name was opened or closed at the other process.
+    pub fn set_open_elsewhere(&mut self, name: String, open: bool) {
+        if !open {
+            self.open_elsewhere.remove(&name);
+        } else if self.open_elsewhere.len() < MAX_OPEN_ELSEWHERE {
+            self.open_elsewhere.insert(name);
+        }
+    }
+
+    /// Whether requests are open at the other process.
+    pub fn any_open_elsewhere(&self) -> bool {
+        !self.open_elsewhere.is_empty()
+    }
+
+    /// Reports that no other process of this scheduler is left.
+    pub fn other_process_gone(&mut self) {
+        self.open_elsewhere.clear();
+        self.name_changes = None;
+    }
+
+    /// Sets the maximum number of open requests.
+    pub fn set_max_open(&mut self, max_open: usize) {
+        self.max_open = max_open;
+    }
+}
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -11,14 +11,14 @@
 
 use crate::config::{Function, GearmanConfig, PriorityClass};
 use crate::log::log_line;
-use crate::net::Ctx;
-use crate::net::core::deadlines::{Alarm, Due};
-use crate::net::core::desk::{Answer, AttemptId, ClientId, Part};
+use crate::net::Context;
+use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::envelope::Payload;
-use crate::net::core::roster::Source;
-use crate::net::protocol::{Protocol, Shares, Spare};
-use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, Standing, WorkerId};
-use calicolb::renewal::Fault;
+use crate::net::core::request_table::{Answer, AttemptId, ClientId, PartialResult};
+use crate::net::core::worker_registry::WorkerSource;
+use crate::net::protocol::{DescriptorLimits, Protocol, ReleaseIdle};
+use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, WorkerId, WorkerStatus};
+use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::{Book, End};
@@ -37,7 +37,7 @@
 /// A worker that was woken asks within this time, or has not taken what was offered to it.
 const GRAB: Micros = 500 * MILLI;
 /// Whose next hops the roster calls these.
-const SOURCE: Source = Source::Arrived("gearman");
+const SOURCE: WorkerSource = WorkerSource::SelfRegistered("gearman");
 
 /// See the head of this file.
 pub struct Gearman {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The address cannot be had.
-    pub fn new(ctx: &mut Ctx<'_>, config: GearmanConfig) -> io::Result<Gearman> {
+    pub fn new(ctx: &mut Context<'_>, config: GearmanConfig) -> io::Result<Gearman> {
         let listener = TcpListener::bind(config.listen).map_err(|error| {
             io::Error::new(error.kind(), format!("gearman on {}: {error}", config.listen))
         })?;
@@ -97,9 +97,9 @@
     }
 }
 
-impl Spare for Gearman {
+impl ReleaseIdle for Gearman {
     /// Closes a connection that is at its end, else a client that waits for nothing and has said nothing for longest.
-    fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool {
+    fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool {
         let order = |(&token, conn): (&ConnId, &Conn)| {
             let rests = conn.ending || !(self.fleet.knows(token) || self.book.awaits(token));
             rests.then_some((!conn.ending, conn.spoke, conn.since, token))
@@ -112,11 +112,11 @@
 }
 
 impl Protocol for Gearman {
-    fn has(&self, token: usize) -> bool {
+    fn owns_token(&self, token: usize) -> bool {
         token == self.token || self.conns.contains_key(&token)
     }
 
-    fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize) {
         if token == self.token {
             return self.accept(ctx);
         }
@@ -125,24 +125,24 @@
         }
     }
 
-    fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm) {
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
         match alarm {
-            Alarm::Accept => self.accept(ctx),
-            Alarm::More => self.ready(ctx, token),
-            Alarm::Owed => {
+            ConnectionTimer::Accept => self.accept(ctx),
+            ConnectionTimer::ContinueRead => self.on_ready(ctx, token),
+            ConnectionTimer::OfferTimeout => {
                 if let Some(attempt) = self.fleet.expire(token) {
                     log_line!(request = attempt.request, "a worker was woken and did not ask");
                     self.offers.remove(&attempt);
-                    ctx.desk.broke(ctx.now, attempt);
+                    ctx.request_table.connection_broken(ctx.now, attempt);
                 }
             }
-            Alarm::Rested => {
+            ConnectionTimer::Idle => {
                 // The worker's own limit is over.
                 if let Some(attempt) = self.fleet.running(token) {
-                    ctx.desk.time_up(ctx.now, attempt);
+                    ctx.request_table.attempt_timed_out(ctx.now, attempt);
                 }
             }
-            Alarm::Late => {
+            ConnectionTimer::Timeout => {
                 let Some(conn) = self.conns.get(&token) else { return };
                 if conn.ending || conn.buffer.has_output() || conn.begun.is_none() {
                     return self.drop_conn(ctx, token);
@@ -153,46 +153,48 @@
         }
     }
 
-    fn serves(&self, client: ClientId) -> bool {
+    fn owns_client(&self, client: ClientId) -> bool {
         self.book.has(client)
     }
 
-    fn answer(&mut self, ctx: &mut Ctx<'_>, client: ClientId, answer: Answer) {
+    fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         let end = match answer {
             Answer::Served(result) => End::Served(result),
-            Answer::Busy { come_back } => End::Refused(come_back),
+            Answer::Busy { retry_after: come_back } => End::Refused(come_back),
             Answer::Failed => End::Failed,
         };
         let mail = self.book.end(client, end);
         self.mail(ctx, mail);
     }
 
-    fn relay(&mut self, ctx: &mut Ctx<'_>, client: ClientId, part: Part) {
+    fn send_partial_result(&mut self, ctx: &mut Context<'_>, client: ClientId, part: PartialResult) {
         use calicolb_gearman::book::Part as Told;
         let part = match part {
-            Part::Started => Told::Started,
-            Part::Data(data) => Told::Data(data),
-            Part::Warning(data) => Told::Warning(data),
-            Part::Progress(done, of) => Told::Status(done, of),
-            Part::Exception(what) => Told::Exception(what),
+            PartialResult::Started => Told::Started,
+            PartialResult::Data(data) => Told::Data(data),
+            PartialResult::Warning(data) => Told::Warning(data),
+            PartialResult::Progress(done, of) => Told::Status(done, of),
+            PartialResult::Exception(what) => Told::Exception(what),
         };
         let mail = self.book.relay(client, part);
         self.mail(ctx, mail);
     }
 
-    fn drives(&self, hop: WorkerId) -> bool {
+    fn owns_worker(&self, hop: WorkerId) -> bool {
         self.hops.contains_key(&hop)
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
-        ctx: &mut Ctx<'_>,
+        ctx: &mut Context<'_>,
         attempt: AttemptId,
         hop: WorkerId,
         payload: &Payload,
         _wait: Micros,
     ) {
-        let Some(&nr) = self.hops.get(&hop) else { return ctx.desk.broke(ctx.now, attempt) };
+        let Some(&nr) = self.hops.get(&hop) else {
+            return ctx.request_table.connection_broken(ctx.now, attempt);
+        };
         let fits = |function: &&Function| {
             let as_http =
                 function.takes_http_jobs && function.priority_classes[1].class.0 as u32 == payload.skill;
@@ -203,43 +205,48 @@
         let handle = self.handle(attempt);
         let offered = self.fleet.offer(nr, attempt, &functions, &handle);
         let (Offered::Wake(token) | Offered::Awaited(token) | Offered::Asked(token)) = offered else {
-            return ctx.desk.answered(ctx.now, attempt, Ending::Full, None);
+            return ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, None);
         };
         self.offers.insert(attempt, Rc::clone(payload));
-        ctx.deadlines.set(Due::Conn(token, Alarm::Owed), ctx.now + GRAB);
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + GRAB);
         if matches!(offered, Offered::Wake(_)) {
             self.wake(ctx, token);
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
         let conn = self.fleet.give_up(attempt);
         if self.offers.remove(&attempt).is_some() {
             if let Some(token) = conn {
-                ctx.deadlines.clear(Due::Conn(token, Alarm::Owed));
+                ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             }
-            return ctx.desk.called_off(ctx.now, attempt);
+            return ctx.request_table.cancel_delivered(ctx.now, attempt);
         }
         // It was handed out, and there are no words for it: the worker runs on, and what it tells later meets nothing.
-        ctx.desk.runs_on(ctx.now, attempt);
+        ctx.request_table.cancel_undeliverable(ctx.now, attempt);
     }
 
-    fn release(&mut self, _ctx: &mut Ctx<'_>, _attempt: AttemptId) {}
+    fn release_attempt(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
 
-    fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId) {
+    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
         // What a worker could say of its load is known here.
         let free = self.hops.get(&hop).map(|&nr| self.fleet.free(nr) as f64);
         let ending = if free.is_some() { Ending::Ok } else { Ending::Unreachable };
-        ctx.desk.probed(hop, ending, 0, Some(Report { free_slots: free, ..Report::default() }));
+        ctx.request_table.probe_finished(
+            hop,
+            ending,
+            0,
+            Some(Report { free_slots: free, ..Report::default() }),
+        );
     }
 
-    fn close_idle(&mut self, _ctx: &mut Ctx<'_>, _hop: WorkerId) {}
+    fn close_idle(&mut self, _ctx: &mut Context<'_>, _hop: WorkerId) {}
 
     /// Tells of workers that came, went, or can do other things now.
-    fn gathered(&mut self, ctx: &mut Ctx<'_>) {
+    fn on_events_gathered(&mut self, ctx: &mut Context<'_>) {
         let mut members = Vec::new();
         for change in self.fleet.changes() {
-            let worker = calicolb::wire::hop_id(&format!("gearman worker {}", change.nr));
+            let worker = calicolb::wire::worker_id(&format!("gearman worker {}", change.nr));
             self.hops.insert(worker, change.nr);
             // Without a lane there is nothing that it could take.
             let can = |name: &str| change.lanes > 0 && change.functions.contains(name);
@@ -250,15 +257,15 @@
             }
             log_line!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
             let standing = match (change.here, change.functions.is_empty()) {
-                (false, _) => Standing::Gone,
-                (true, true) => Standing::Draining,
-                (true, false) => Standing::On,
+                (false, _) => WorkerStatus::Gone,
+                (true, true) => WorkerStatus::Draining,
+                (true, false) => WorkerStatus::On,
             };
             members.push(Member {
                 worker,
                 zone: self.config.zone,
                 kind: self.config.kind,
-                standing,
+                status: standing,
                 weight: 1.0,
                 started: Some(change.since),
                 lanes: Some(now.1),
@@ -267,22 +274,22 @@
             });
         }
         if !members.is_empty() {
-            ctx.desk.members(SOURCE, ListKind::Changes, members);
+            ctx.request_table.update_workers(SOURCE, ListKind::Changes, members);
         }
     }
 
-    fn settled(&mut self, ctx: &mut Ctx<'_>) {
+    fn on_commands_done(&mut self, ctx: &mut Context<'_>) {
         for token in std::mem::take(&mut self.asking) {
             self.assign(ctx, token);
         }
         let mail = self.book.settle();
         self.mail(ctx, mail);
         for token in std::mem::take(&mut self.blocked) {
-            ctx.deadlines.set(Due::Conn(token, Alarm::More), ctx.now);
+            ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::ContinueRead), ctx.now);
         }
     }
 
-    fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()> {
+    fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
         if !self.listening {
             ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
             log_line!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
@@ -291,42 +298,42 @@
         Ok(())
     }
 
-    fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares) {
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
         // Workers come in like clients.
-        self.most = shares.clients + shares.hops;
-        while self.conns.len() > self.most && self.shed(ctx) {}
+        self.most = shares.clients + shares.workers;
+        while self.conns.len() > self.most && self.release_idle(ctx) {}
     }
 
-    fn farewell(&mut self, ctx: &mut Ctx<'_>) {
+    fn begin_drain(&mut self, ctx: &mut Context<'_>) {
         self.parting = true;
         let rests = |token: &&ConnId| !(self.fleet.knows(**token) || self.book.awaits(**token));
         let resting: Vec<ConnId> = self.conns.keys().filter(rests).copied().collect();
         resting.into_iter().for_each(|token| self.drop_conn(ctx, token));
     }
 
-    fn stay(&mut self) {
+    fn resume(&mut self) {
         self.parting = false;
     }
 
-    fn could_take(&self, names: &Names, classes: &[Class]) -> Result<(), Fault> {
+    fn check_settings(&self, names: &Names, classes: &[Class]) -> Result<(), SettingsError> {
         for function in &self.config.functions {
             let effect = |grade: &PriorityClass| classes.get(grade.class.0).map(|class| class.effect);
             for grade in &function.priority_classes {
                 let Some(class) = self.config.classes.get(grade.class.0) else { continue };
                 if names.class(class).is_err() {
                     let why = format!("is the class of the function '{}', and cannot go", function.name);
-                    return Err(Fault::new(format!("request_classes.{class}"), why));
+                    return Err(SettingsError::new(format!("request_classes.{class}"), why));
                 }
                 if effect(grade) != effect(&function.priority_classes[1]) {
                     let why = format!("differs from that of the other classes of '{}'", function.name);
-                    return Err(Fault::new(format!("request_classes.{class}.effect"), why));
+                    return Err(SettingsError::new(format!("request_classes.{class}.effect"), why));
                 }
             }
         }
         Ok(())
     }
 
-    fn take_up(&mut self, classes: &[Class]) {
+    fn apply_settings(&mut self, classes: &[Class]) {
         for function in &mut self.config.functions {
             // A background job that was given no time of its own has its class's.
             let as_class = function.background_timeout == function.priority_classes[1].client_timeout;
@@ -340,11 +347,11 @@
         }
     }
 
-    fn at_rest(&self, _now: Micros) -> bool {
+    fn is_idle(&self, _now: Micros) -> bool {
         self.conns.values().all(|conn| !conn.buffer.has_output())
     }
 
-    fn figures(&self) -> Vec<(&'static str, u64)> {
+    fn metrics(&self) -> Vec<(&'static str, u64)> {
         let lanes = self.told.values().filter(|told| told.0).map(|told| u64::from(told.1)).sum();
         vec![
             ("gearman.connections", self.conns.len() as u64),
--- a/src/net/operators/management.rs
+++ b/src/net/operators/management.rs
@@ -1,10 +1,10 @@
 //! The management server: a separate listener on which each connection carries one command line and gets one response.
 
 use crate::log::log_line;
-use crate::net::Ctx;
-use crate::net::core::buffer::{Buffer, Filled};
-use crate::net::core::deadlines::Due;
-use crate::net::protocol::Spare;
+use crate::net::Context;
+use crate::net::core::buffer::{Buffer, FillOutcome};
+use crate::net::core::deadlines::Deadline;
+use crate::net::protocol::ReleaseIdle;
 use calicolb::api::Micros;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
@@ -66,8 +66,8 @@
     /// arrived, `None` for an unknown command.
     pub fn accept(
         &mut self,
-        ctx: &mut Ctx<'_>,
-        spare: &mut dyn Spare,
+        ctx: &mut Context<'_>,
+        spare: &mut dyn ReleaseIdle,
     ) -> Vec<(usize, Option<ManagementCommand>)> {
         let mut commands = Vec::new();
         // At most as many per iteration of the event loop as may be open; the rest are accepted in the next iteration.
@@ -87,17 +87,17 @@
                     // The process may be out of descriptors. Operators have priority over idle client connections, which
                     // are closed to free some.
                     log_line!("accepting a management connection failed: {error}");
-                    spare.shed(ctx);
-                    ctx.deadlines.set(Due::Door, ctx.now + ACCEPT_RETRY_DELAY);
+                    spare.release_idle(ctx);
+                    ctx.deadlines.set(Deadline::ManagementAccept, ctx.now + ACCEPT_RETRY_DELAY);
                     return commands;
                 }
             }
         }
-        ctx.deadlines.set(Due::Door, ctx.now + 1);
+        ctx.deadlines.set(Deadline::ManagementAccept, ctx.now + 1);
         commands
     }
 
-    fn open(&mut self, ctx: &mut Ctx<'_>, mut stream: TcpStream) -> Option<usize> {
+    fn open(&mut self, ctx: &mut Context<'_>, mut stream: TcpStream) -> Option<usize> {
         if self.connections.len() >= MAX_MANAGEMENT_CONNECTIONS
             && let Some(&oldest) = self.connections.keys().next()
         {
@@ -109,7 +109,7 @@
             log_line!("registering a management connection failed: {error}");
             return None;
         }
-        ctx.deadlines.set(Due::Call(token), ctx.now + COMMAND_TIMEOUT);
+        ctx.deadlines.set(Deadline::ManagementCall(token), ctx.now + COMMAND_TIMEOUT);
         self.connections
             .insert(token, Connection { stream, buffer: Buffer::default(), response_sent: false });
         Some(token)
@@ -117,7 +117,7 @@
 
     /// Reads from and writes to a connection that is ready. Returns the command once its line is complete, `Some(None)` if
     /// the command is unknown.
-    pub fn handle_ready(&mut self, ctx: &mut Ctx<'_>, token: usize) -> Option<Option<ManagementCommand>> {
+    pub fn handle_ready(&mut self, ctx: &mut Context<'_>, token: usize) -> Option<Option<ManagementCommand>> {
         let connection = self.connections.get_mut(&token)?;
         if connection.buffer.has_output() {
             self.flush(ctx, token);
@@ -126,14 +126,14 @@
         let filled = connection.buffer.fill(&mut connection.stream, MAX_LINE_BYTES);
         if connection.response_sent {
             connection.buffer.consume(usize::MAX / 2);
-            if filled == Filled::Ended {
+            if filled == FillOutcome::Closed {
                 self.close(ctx, token);
             }
             return None;
         }
         let input = connection.buffer.input();
         let end = input.iter().position(|&byte| byte == b'\n');
-        if end.is_none() && filled == Filled::Dry {
+        if end.is_none() && filled == FillOutcome::WouldBlock {
             return None;
         }
         // A line also ends where the client closes its side of the connection, or where the length limit is reached.
@@ -147,15 +147,15 @@
     }
 
     /// Sends the response to a connection's command. The connection is closed afterwards.
-    pub fn respond(&mut self, ctx: &mut Ctx<'_>, token: usize, text: &str) {
+    pub fn respond(&mut self, ctx: &mut Context<'_>, token: usize, text: &str) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.response_sent = true;
-        connection.buffer.put(text.as_bytes());
-        ctx.deadlines.set(Due::Call(token), ctx.now + CLOSE_TIMEOUT);
+        connection.buffer.append_output(text.as_bytes());
+        ctx.deadlines.set(Deadline::ManagementCall(token), ctx.now + CLOSE_TIMEOUT);
         self.flush(ctx, token);
     }
 
-    fn flush(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn flush(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         match connection.buffer.flush(&mut connection.stream) {
             // Only the write side is closed: closing the socket while it has unread input would reset the connection, and
@@ -167,17 +167,17 @@
     }
 
     /// Handles the timeout of a connection: sends an error if no command has arrived, else closes the connection.
-    pub fn handle_timeout(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    pub fn handle_timeout(&mut self, ctx: &mut Context<'_>, token: usize) {
         match self.connections.get(&token) {
             Some(connection) if !connection.response_sent => self.respond(ctx, token, "error no call came\n"),
             _ => self.close(ctx, token),
         }
     }
 
-    fn close(&mut self, ctx: &mut Ctx<'_>, token: usize) {
+    fn close(&mut self, ctx: &mut Context<'_>, token: usize) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let _ = ctx.registry.deregister(&mut connection.stream);
-        ctx.deadlines.clear(Due::Call(token));
+        ctx.deadlines.clear(Deadline::ManagementCall(token));
     }
 }
 
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -1,112 +1,124 @@
-//! What the loop asks of a protocol. It goes through the protocols and asks whose a connection, a client or a next hop
-//! is, so that another protocol adds a folder and nothing here or there.
+//! The interface between the event loop and a protocol. The event loop asks each protocol in turn whether it owns a
+//! connection, a client or a worker, so that another protocol only adds a module and needs no change here.
 
-use crate::net::Ctx;
-use crate::net::core::deadlines::Alarm;
-use crate::net::core::desk::{Answer, AttemptId, ClientId, Part};
+use crate::net::Context;
+use crate::net::core::deadlines::ConnectionTimer;
 use crate::net::core::envelope::Payload;
+use crate::net::core::request_table::{Answer, AttemptId, ClientId, PartialResult};
 use calicolb::api::{Class, Micros, WorkerId};
-use calicolb::renewal::Fault;
+use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
 use std::io;
 
-/// What a protocol wants of the whole program.
+/// A request of a protocol that concerns the whole process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// Send clients away, answer what was taken, and exit.
-    End {
-        /// However long the answers take; else as after SIGTERM.
-        patient: bool,
+pub enum ProtocolRequest {
+    /// Drain clients, answer the accepted requests, and exit.
+    Shutdown {
+        /// Wait without limit for the answers; otherwise the time limits of SIGTERM apply.
+        graceful: bool,
     },
 }
 
-/// How many descriptors a protocol may use.
+/// Numbers of file descriptors that a protocol may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
-    /// For connections that come in.
+pub struct DescriptorLimits {
+    /// For incoming connections.
     pub clients: usize,
-    /// For connections that go out to next hops.
-    pub hops: usize,
+    /// For outgoing connections to workers.
+    pub workers: usize,
 }
 
-/// Something that holds descriptors which others may need more.
-pub trait Spare {
-    /// Lets go of the descriptor that is needed least; tells whether there was one.
-    fn shed(&mut self, ctx: &mut Ctx<'_>) -> bool;
+/// Holder of file descriptors that can release one when they run short.
+pub trait ReleaseIdle {
+    /// Closes the connection that is needed least, if there is one that may be closed. Returns whether one was closed.
+    fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool;
 }
 
-/// One protocol: its connections, clients and next hops.
-pub trait Protocol: Spare {
-    /// This is one of its connections or listeners.
-    fn has(&self, token: usize) -> bool;
+/// A protocol with its connections, clients and workers.
+pub trait Protocol: ReleaseIdle {
+    /// Whether the token belongs to a connection or listener of this protocol.
+    fn owns_token(&self, token: usize) -> bool;
 
-    /// Something can be read, written or accepted there.
-    fn ready(&mut self, ctx: &mut Ctx<'_>, token: usize);
+    /// Handles readiness of a connection or listener: it can be read, written or accepted.
+    fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize);
 
-    /// A time that was set for it has come.
-    fn due(&mut self, ctx: &mut Ctx<'_>, token: usize, alarm: Alarm);
+    /// Handles a timer that this protocol set for a connection or listener and that has expired.
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, timer: ConnectionTimer);
 
-    /// This is one of its clients.
-    fn serves(&self, client: ClientId) -> bool;
+    /// Whether the client belongs to this protocol.
+    fn owns_client(&self, client: ClientId) -> bool;
 
-    /// Gives a client its final answer.
-    fn answer(&mut self, ctx: &mut Ctx<'_>, client: ClientId, answer: Answer);
+    /// Sends a client its final answer.
+    fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer);
 
-    /// Passes on to a client what its next hop told on the way to the end.
-    fn relay(&mut self, _ctx: &mut Ctx<'_>, _client: ClientId, _part: Part) {}
+    /// Sends a client a partial result or progress that its worker reported before the end of the attempt. Protocols
+    /// that cannot express it ignore it.
+    fn send_partial_result(&mut self, _ctx: &mut Context<'_>, _client: ClientId, _part: PartialResult) {}
 
-    /// This is one of its next hops.
-    fn drives(&self, hop: WorkerId) -> bool;
+    /// Whether the worker is reached through this protocol.
+    fn owns_worker(&self, worker: WorkerId) -> bool;
 
-    /// Sends an attempt. What becomes of it is told to the desk.
-    fn send(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, payload: &Payload, wait: Micros);
+    /// Sends an attempt, which ends `timeout` microseconds later at the latest. The outcome is reported to the request
+    /// table.
+    fn send_attempt(
+        &mut self,
+        ctx: &mut Context<'_>,
+        attempt: AttemptId,
+        worker: WorkerId,
+        payload: &Payload,
+        timeout: Micros,
+    );
 
-    /// An attempt was given up, and may be with its next hop, which knows it by this name.
-    fn give_up(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId, hop: WorkerId, name: &str);
+    /// Cancels an attempt that its worker may have received. `name`: the request name that the worker knows.
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, worker: WorkerId, name: &str);
 
-    /// All the time of an attempt has passed, which was over before: nothing need be kept for it.
-    fn release(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId);
+    /// Releases the state kept for an attempt that had ended before and whose time limit is now reached.
+    fn release_attempt(&mut self, ctx: &mut Context<'_>, attempt: AttemptId);
 
-    /// Asks a next hop for its load.
-    fn probe(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId);
+    /// Asks a worker for its load.
+    fn probe(&mut self, ctx: &mut Context<'_>, worker: WorkerId);
 
-    /// Closes connections to a next hop that are at rest.
-    fn close_idle(&mut self, ctx: &mut Ctx<'_>, hop: WorkerId);
+    /// Closes the idle connections to a worker.
+    fn close_idle(&mut self, ctx: &mut Context<'_>, worker: WorkerId);
 
-    /// All facts of a turn are in; the module is asked next.
-    fn gathered(&mut self, _ctx: &mut Ctx<'_>) {}
+    /// Called once per iteration after all events are gathered and before the decision module processes them.
+    fn on_events_gathered(&mut self, _ctx: &mut Context<'_>) {}
 
-    /// All that the module wanted in this turn is carried out.
-    fn settled(&mut self, _ctx: &mut Ctx<'_>) {}
+    /// Called once per iteration after all commands of the decision module are carried out.
+    fn on_commands_done(&mut self, _ctx: &mut Context<'_>) {}
 
-    /// Begins to take connections.
-    fn listen(&mut self, ctx: &mut Ctx<'_>) -> io::Result<()>;
+    /// Starts to accept connections.
+    ///
+    /// # Errors
+    /// Fails if a listening socket cannot be registered.
+    fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()>;
 
-    /// So many descriptors may be used from now on.
-    fn limit(&mut self, ctx: &mut Ctx<'_>, shares: Shares);
+    /// Sets the numbers of file descriptors that may be used from now on.
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, limits: DescriptorLimits);
 
-    /// Clients are parted with: those at rest now, the others after their answers.
-    fn farewell(&mut self, ctx: &mut Ctx<'_>);
+    /// Begins to close the clients' connections: idle ones now, the others after their answers.
+    fn begin_drain(&mut self, ctx: &mut Context<'_>);
 
-    /// Clients are welcome to stay again.
-    fn stay(&mut self);
+    /// Ends the drain: clients' connections are kept open again.
+    fn resume(&mut self);
 
-    /// No client is in the middle of a request, or has still to take its last answer.
-    fn at_rest(&self, now: Micros) -> bool;
+    /// Whether no client is sending a request, waits for an answer, or has still to receive its last answer.
+    fn is_idle(&self, now: Micros) -> bool;
 
-    /// Whether it could go by these classes, each at its old place.
+    /// Checks whether these settings can be applied. Each class has the index that it had before.
     ///
     /// # Errors
-    /// The key of the settings that stands in the way.
-    fn could_take(&self, _names: &Names, _classes: &[Class]) -> Result<(), Fault> {
+    /// Returns the settings key that prevents it.
+    fn check_settings(&self, _names: &Names, _classes: &[Class]) -> Result<(), SettingsError> {
         Ok(())
     }
 
-    /// Other settings are in force: these are the classes, each at its old place.
-    fn take_up(&mut self, _classes: &[Class]) {}
+    /// Applies the classes of settings that have come into force. Each class has the index that it had before.
+    fn apply_settings(&mut self, _classes: &[Class]) {}
 
-    /// What operators are shown of it, by name.
-    fn figures(&self) -> Vec<(&'static str, u64)> {
+    /// Metrics of this protocol for operators, by name.
+    fn metrics(&self) -> Vec<(&'static str, u64)> {
         Vec::new()
     }
 }
