--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -33,7 +33,7 @@
 impl Check for SharedSettingsCheck {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
         let to_agreed_error =
-            |fault: SettingsError| calicolb_agreed::Fault { key: fault.key, why: fault.reason };
+            |error: SettingsError| calicolb_agreed::Fault { key: error.key, why: error.reason };
         if let Some(key) = LOCAL_KEYS.iter().find(|key| version.contains_key(**key)) {
             return Err(to_agreed_error(SettingsError::new(
                 *key,
@@ -58,7 +58,7 @@
 impl Check for SchedulerRules {
     fn check(&self, version: &Document) -> Result<(), calicolb_agreed::Fault> {
         let checked = document::check(&with_local_settings(version, &self.local_settings)).map(drop);
-        checked.map_err(|fault| calicolb_agreed::Fault { key: fault.key, why: fault.reason })
+        checked.map_err(|error| calicolb_agreed::Fault { key: error.key, why: error.reason })
     }
 }
 
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -47,13 +47,13 @@
 }
 
 fn parse(settings: &Value) -> SettingsUpdate {
-    platform::parse_settings(settings).unwrap_or_else(|fault| panic!("{fault}"))
+    platform::parse_settings(settings).unwrap_or_else(|error| panic!("{error}"))
 }
 
 /// Asserts that converting settings to a document and back gives equivalent settings and the same document.
 fn assert_round_trip(settings: &Value) {
     let document = to_document(settings);
-    let back = from_document(&document).unwrap_or_else(|fault| panic!("{fault}: {document:?}"));
+    let back = from_document(&document).unwrap_or_else(|error| panic!("{error}: {document:?}"));
     assert_eq!(to_document(&back), document);
     let (original, converted) = (parse(settings), parse(&back));
     assert_eq!(by_name(&original), by_name(&converted));
@@ -166,10 +166,10 @@
         }
         match check(&document) {
             Ok(_) => accepted.set(accepted.get() + 1),
-            Err(fault) => {
+            Err(error) => {
                 rejected.set(rejected.get() + 1);
-                let names_a_key = !fault.key.is_empty() || document.contains_key("");
-                prop_assert!(names_a_key && !fault.reason.is_empty(), "{:?} of {:?}", fault, document);
+                let names_a_key = !error.key.is_empty() || document.contains_key("");
+                prop_assert!(names_a_key && !error.reason.is_empty(), "{:?} of {:?}", error, document);
             }
         }
         Ok(())
@@ -184,8 +184,8 @@
     let assert_error = |key: &str, value: Value, expected_key: &str| {
         let mut document = to_document(&full_settings());
         document.insert(key.to_owned(), value);
-        let fault = check(&document).err().unwrap_or_else(|| panic!("{key} was accepted"));
-        assert_eq!(fault.key, expected_key, "{fault}");
+        let error = check(&document).err().unwrap_or_else(|| panic!("{key} was accepted"));
+        assert_eq!(error.key, expected_key, "{error}");
     };
     for key in ["request_classes.look.aim_us", "ceilings.most_tries", "orgs.zeta.quota_rps", "rules.cold_us"]
     {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -76,7 +76,7 @@
         let limits = root.section("limits")?;
         let settings = root.map.get("settings").ok_or("'settings' is missing")?;
         let update =
-            parse_settings(settings).map_err(|fault| format!("'settings.{}' {}", fault.key, fault.reason))?;
+            parse_settings(settings).map_err(|error| format!("'settings.{}' {}", error.key, error.reason))?;
         let SettingsUpdate { settings: parsed_settings, names, worker_idle_timeout, max_open_requests } =
             update;
         let known_workers = match root.map.get("known") {
@@ -226,7 +226,7 @@
     number.ok_or_else(|| format!("'{key}': '{text}' is not a descriptor number of at least 3"))
 }
 
-/// The smallest value of `control_silence_ms`, in milliseconds. A shorter one could not be told from the normal pause
+/// The smallest value of `control_silence_ms`, in milliseconds. A shorter one could not be distinguished from the normal pause
 /// between two lines of a watch.
 const MIN_SILENCE_MS: u64 = 3_000;
 const DEFAULT_SILENCE_MS: u64 = 5_000;
--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -1,7 +1,7 @@
-//! What a control machine answers to each request, and tells its watches.
+//! Handles the HTTP requests to a control machine, and sends new versions to its watches.
 
 use super::learners::Watch;
-use super::machine::{AGREE, CHANGES, Machine, Waiting};
+use super::machine::{AGREEMENT_TIMEOUT, MAX_PENDING_CHANGES, Machine, PendingChange};
 use super::messages::{AcceptedChange, ChangeRequest, InForceReport, Refusal, State, WatchLine};
 use crate::config::agreed::SharedSettingsCheck;
 use crate::net::http::framing::{Request, query_parameter};
@@ -9,68 +9,68 @@
 use calicolb_agreed::{Answer, Change, Digest, Outcome, Refused};
 use std::collections::BTreeMap;
 
-const JSON: (&str, &str) = ("Content-Type", "application/json");
+const JSON_HEADER: (&str, &str) = ("Content-Type", "application/json");
 
 impl Machine {
-    pub(super) fn request(&mut self, now: Micros, token: usize, request: &Request) {
+    pub(super) fn handle_request(&mut self, now: Micros, token: usize, request: &Request) {
         match (request.method.as_str(), request.path()) {
             ("POST", "/control/talk") => {
                 let from = query_parameter(&request.target, "from").and_then(|text| text.parse().ok());
                 let Some(from) = from.filter(|from| self.links.iter().any(|link| link.id == *from)) else {
-                    return self.refuse(
+                    return self.respond_error(
                         now,
                         token,
                         400,
                         "",
-                        "it does not say which control machine it is from",
+                        "'from' is not the number of another control machine",
                     );
                 };
-                // What cannot be read is no message; that it came is all that the sender must know.
+                // The voter ignores a message that it cannot parse. The sender only needs to know that the message arrived.
                 self.voter.receive(from, &request.body);
-                self.answer(now, token, 204, &[], b"");
+                self.respond(now, token, 204, &[], b"");
             }
             ("GET", "/control/versions") if query_parameter(&request.target, "watch").is_some() => {
-                self.watch(now, token, &request.target);
+                self.start_watch(now, token, &request.target);
             }
             ("GET", "/control/versions") => {
-                let line = self.whole_line();
-                self.answer(now, token, 200, &[JSON], &line);
+                let line = self.full_line();
+                self.respond(now, token, 200, &[JSON_HEADER], &line);
             }
             ("GET", "/control/state") => {
                 let body = to_json(&self.state());
-                self.answer(now, token, 200, &[JSON], &body);
+                self.respond(now, token, 200, &[JSON_HEADER], &body);
             }
             ("POST", "/control/in-force") => match serde_json::from_slice::<InForceReport>(&request.body) {
-                Ok(told) if fit(&told.name) => {
-                    self.learners.told(now, told.name, told.seq);
-                    self.answer(now, token, 204, &[], b"");
+                Ok(report) if is_valid_name(&report.name) => {
+                    self.learners.record_version(now, report.name, report.seq);
+                    self.respond(now, token, 204, &[], b"");
                 }
-                Ok(_) => self.refuse(now, token, 400, "name", "it is no name"),
-                Err(error) => self.refuse(now, token, 400, "", &error.to_string()),
+                Ok(_) => self.respond_error(now, token, 400, "name", "is not a valid name"),
+                Err(error) => self.respond_error(now, token, 400, "", &error.to_string()),
             },
-            ("POST", "/control/changes") => self.change(now, token, &request.body),
+            ("POST", "/control/changes") => self.handle_change(now, token, &request.body),
             (
                 _,
                 "/control/talk" | "/control/versions" | "/control/state" | "/control/in-force"
                 | "/control/changes",
             ) => {
-                self.refuse(now, token, 405, "", "not by this method");
+                self.respond_error(now, token, 405, "", "the method is not allowed here");
             }
-            _ => self.refuse(now, token, 404, "", "nothing is there"),
+            _ => self.respond_error(now, token, 404, "", "there is no such resource"),
         }
     }
 
-    fn answer(&mut self, now: Micros, token: usize, status: u16, extra: &[(&str, &str)], body: &[u8]) {
-        let (mut io, inbound, _) = self.split(now);
-        inbound.answer(&mut io, token, status, extra, body);
+    fn respond(&mut self, now: Micros, token: usize, status: u16, extra: &[(&str, &str)], body: &[u8]) {
+        let (mut io, inbound, _) = self.split_borrows(now);
+        inbound.respond(&mut io, token, status, extra, body);
     }
 
-    /// Says no, and why.
-    fn refuse(&mut self, now: Micros, token: usize, status: u16, key: &str, why: &str) {
-        let body = to_json(&Refusal { key: key.to_owned(), why: why.to_owned() });
+    /// Sends an error response with the reason, and with the invalid key unless it is empty.
+    fn respond_error(&mut self, now: Micros, token: usize, status: u16, key: &str, reason: &str) {
+        let body = to_json(&Refusal { key: key.to_owned(), why: reason.to_owned() });
         match status {
-            503 => self.answer(now, token, status, &[JSON, ("Retry-After", "1")], &body),
-            _ => self.answer(now, token, status, &[JSON], &body),
+            503 => self.respond(now, token, status, &[JSON_HEADER, ("Retry-After", "1")], &body),
+            _ => self.respond(now, token, status, &[JSON_HEADER], &body),
         }
     }
 
@@ -91,9 +91,9 @@
         }
     }
 
-    fn whole_line(&self) -> Vec<u8> {
+    fn full_line(&self) -> Vec<u8> {
         let agreed = self.voter.agreed();
-        line(&WatchLine {
+        serialize_line(&WatchLine {
             seq: agreed.seq,
             complete: true,
             majority: self.voter.has_majority(),
@@ -103,23 +103,23 @@
         })
     }
 
-    /// That there is nothing new.
-    pub(super) fn level_line(&self) -> Vec<u8> {
+    /// The line that says that there is no newer version.
+    pub(super) fn unchanged_line(&self) -> Vec<u8> {
         let (agreed, majority) = (self.voter.agreed(), self.voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
-        line(&WatchLine { seq: agreed.seq, majority, digest, ..WatchLine::default() })
+        serialize_line(&WatchLine { seq: agreed.seq, majority, digest, ..WatchLine::default() })
     }
 
-    /// All that a learner with this version lacks.
-    fn since(&self, seq: u64, digest: Option<Digest>) -> Vec<u8> {
+    /// The lines that bring a learner from this version to the agreed one.
+    fn lines_since(&self, seq: u64, digest: Option<Digest>) -> Vec<u8> {
         let majority = self.voter.has_majority();
-        let Some(digest) = digest else { return self.whole_line() };
+        let Some(digest) = digest else { return self.full_line() };
         match self.voter.since(seq, digest) {
-            Answer::Level | Answer::Ahead => self.level_line(),
-            Answer::Whole(_) => self.whole_line(),
+            Answer::Level | Answer::Ahead => self.unchanged_line(),
+            Answer::Whole(_) => self.full_line(),
             Answer::Deltas(deltas) => {
                 let lines = deltas.into_iter().map(|delta| {
-                    line(&WatchLine {
+                    serialize_line(&WatchLine {
                         seq: delta.seq,
                         majority,
                         digest: delta.digest.to_string(),
@@ -134,122 +134,134 @@
         }
     }
 
-    fn watch(&mut self, now: Micros, token: usize, target: &str) {
-        let Some(name) = query_parameter(target, "name").filter(|name| fit(name)) else {
-            return self.refuse(now, token, 400, "name", "it is no name");
+    fn start_watch(&mut self, now: Micros, token: usize, target: &str) {
+        let Some(name) = query_parameter(target, "name").filter(|name| is_valid_name(name)) else {
+            return self.respond_error(now, token, 400, "name", "is not a valid name");
         };
         let seq = query_parameter(target, "from").and_then(|text| text.parse().ok()).unwrap_or(0);
         let digest = query_parameter(target, "digest").and_then(|text| text.parse::<Digest>().ok());
-        let (mut io, inbound, _) = self.split(now);
-        if !inbound.watch(&mut io, token) {
-            return self.refuse(
+        let (mut io, inbound, _) = self.split_borrows(now);
+        if !inbound.start_watch(&mut io, token) {
+            return self.respond_error(
                 now,
                 token,
                 503,
                 "",
-                "as many learners watch here as may: ask another machine",
+                "the maximum number of learners watch this machine: ask another one",
             );
         }
         let name = name.to_owned();
-        let lines = self.since(seq, digest);
+        let lines = self.lines_since(seq, digest);
         let agreed = self.voter.agreed();
-        // One that is ahead of this machine is told on when this machine has come further. Before the first version each
-        // learner has settings of its own under the number 0.
+        // A learner that is ahead of this machine gets lines only when this machine has caught up. Before the first version
+        // each learner has its own settings under the number 0.
         let (seq, digest) = if seq >= agreed.seq { (seq, digest) } else { (agreed.seq, Some(agreed.digest)) };
         let watch = Watch { name, seq, digest };
-        self.learners.begin(token, watch);
-        self.tell(now, token, &lines);
+        self.learners.add_watch(token, watch);
+        self.send_line(now, token, &lines);
     }
 
-    pub(super) fn tell(&mut self, now: Micros, token: usize, line: &[u8]) {
-        let (mut io, inbound, _) = self.split(now);
-        inbound.tell(&mut io, token, line);
-        self.gone(now, token);
+    /// Sends a line to the watch on a connection.
+    pub(super) fn send_line(&mut self, now: Micros, token: usize, line: &[u8]) {
+        let (mut io, inbound, _) = self.split_borrows(now);
+        inbound.send_line(&mut io, token, line);
+        self.remove_watch_if_closed(now, token);
     }
 
-    /// Tells the watches what is new.
-    pub(super) fn tell_all(&mut self, now: Micros) {
-        let present = (self.voter.agreed().seq, self.voter.has_majority());
-        if present == self.told {
+    /// Sends new versions, or a change of the majority, to all watches.
+    pub(super) fn announce_version(&mut self, now: Micros) {
+        let current = (self.voter.agreed().seq, self.voter.has_majority());
+        if current == self.last_announced {
             return;
         }
-        let moved = present.1 != self.told.1;
-        self.told = present;
+        let majority_changed = current.1 != self.last_announced.1;
+        self.last_announced = current;
         let agreed = (self.voter.agreed().seq, self.voter.agreed().digest);
-        let mut written: BTreeMap<(u64, Option<Digest>), Vec<u8>> = BTreeMap::new();
-        for token in self.learners.tokens() {
-            let Some(watch) = self.learners.watch(token) else { continue };
-            let known = (watch.seq, watch.digest);
-            if known == (agreed.0, Some(agreed.1)) && !moved {
+        let mut lines_by_version: BTreeMap<(u64, Option<Digest>), Vec<u8>> = BTreeMap::new();
+        for token in self.learners.watch_tokens() {
+            let Some(watch) = self.learners.watch_mut(token) else { continue };
+            let sent_version = (watch.seq, watch.digest);
+            if sent_version == (agreed.0, Some(agreed.1)) && !majority_changed {
                 continue;
             }
             if watch.seq <= agreed.0 {
                 (watch.seq, watch.digest) = (agreed.0, Some(agreed.1));
             }
-            // All that were told the same version lack the same.
-            let lines = match written.get(&known) {
+            // Watches with the same last version need the same lines.
+            let lines = match lines_by_version.get(&sent_version) {
                 Some(lines) => lines.clone(),
                 None => {
-                    let lines = self.since(known.0, known.1);
-                    written.insert(known, lines.clone());
+                    let lines = self.lines_since(sent_version.0, sent_version.1);
+                    lines_by_version.insert(sent_version, lines.clone());
                     lines
                 }
             };
-            self.tell(now, token, &lines);
+            self.send_line(now, token, &lines);
         }
     }
 
     // ---- Changes ---------------------------------------------------------------------------------
 
-    fn change(&mut self, now: Micros, token: usize, body: &[u8]) {
-        let wanted: ChangeRequest = match serde_json::from_slice(body) {
-            Ok(wanted) => wanted,
-            Err(error) => return self.refuse(now, token, 400, "", &error.to_string()),
+    fn handle_change(&mut self, now: Micros, token: usize, body: &[u8]) {
+        let request: ChangeRequest = match serde_json::from_slice(body) {
+            Ok(request) => request,
+            Err(error) => return self.respond_error(now, token, 400, "", &error.to_string()),
         };
-        if self.waiting.len() >= CHANGES {
-            return self.refuse(now, token, 503, "", "too many changes wait to be agreed");
+        if self.pending_changes.len() >= MAX_PENDING_CHANGES {
+            return self.respond_error(now, token, 503, "", "too many changes are pending");
         }
-        if self.ending {
-            return self.refuse(now, token, 503, "", "this machine is ending");
+        if self.shutting_down {
+            return self.respond_error(now, token, 503, "", "this machine is shutting down");
         }
-        let change = Change { set: wanted.set, unset: wanted.unset };
+        let change = Change { set: request.set, unset: request.unset };
         match self.voter.propose(change, &SharedSettingsCheck) {
-            Ok(ticket) => self.waiting.push(Waiting { ticket, token: Some(token), until: now + AGREE }),
-            Err(refused) => self.refused(now, token, refused),
+            Ok(ticket) => self.pending_changes.push(PendingChange {
+                ticket,
+                token: Some(token),
+                deadline: now + AGREEMENT_TIMEOUT,
+            }),
+            Err(refused) => self.respond_to_rejected_change(now, token, refused),
         }
     }
 
-    /// Answers a change with what became of it; `None` where that is not known in time.
-    pub(super) fn settled(&mut self, now: Micros, token: usize, outcome: Option<Outcome>) {
+    /// Answers a change request with the outcome of the change, `None` if it was not known in time.
+    pub(super) fn respond_to_change(&mut self, now: Micros, token: usize, outcome: Option<Outcome>) {
         match outcome {
             Some(Outcome::Agreed { seq, digest }) => {
                 let body = to_json(&AcceptedChange { seq, digest: digest.to_string() });
-                self.answer(now, token, 200, &[JSON], &body);
+                self.respond(now, token, 200, &[JSON_HEADER], &body);
             }
-            Some(Outcome::Void(fault)) => self.refuse(now, token, 400, &fault.key, &fault.why),
+            Some(Outcome::Void(fault)) => self.respond_error(now, token, 400, &fault.key, &fault.why),
             Some(Outcome::Unknown { sent: false }) => {
-                self.refuse(now, token, 503, "", "there is no majority of the control machines");
+                self.respond_error(now, token, 503, "", "there is no majority of the control machines");
             }
             Some(Outcome::Unknown { sent: true }) | None => {
-                self.refuse(now, token, 503, "", "not agreed in time; it may yet be: look at the versions");
+                self.respond_error(
+                    now,
+                    token,
+                    503,
+                    "",
+                    "not agreed in time, but it may still be: check the current version",
+                );
             }
         }
     }
 
-    fn refused(&mut self, now: Micros, token: usize, refused: Refused) {
+    fn respond_to_rejected_change(&mut self, now: Micros, token: usize, refused: Refused) {
         match refused {
-            Refused::Faulty(fault) => self.refuse(now, token, 400, &fault.key, &fault.why),
+            Refused::Faulty(fault) => self.respond_error(now, token, 400, &fault.key, &fault.why),
             Refused::NoMajority => {
-                self.refuse(now, token, 503, "", "there is no majority of the control machines");
+                self.respond_error(now, token, 503, "", "there is no majority of the control machines");
             }
-            Refused::Stopped => self.refuse(now, token, 503, "", "this machine's store has failed"),
-            Refused::TooMany => self.refuse(now, token, 503, "", "too many changes wait to be agreed"),
+            Refused::Stopped => self.respond_error(now, token, 503, "", "the store of this machine failed"),
+            Refused::TooMany => self.respond_error(now, token, 503, "", "too many changes are pending"),
         }
     }
 }
 
-/// It can stand in a request line, and in the log.
-fn fit(name: &str) -> bool {
+/// Whether a learner's name can be written to a request line and to the log unescaped: 1 to 64 ASCII letters, digits, '-', '_'
+/// or '.'.
+fn is_valid_name(name: &str) -> bool {
     (1..=64).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
@@ -258,7 +270,7 @@
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-fn line(line: &WatchLine) -> Vec<u8> {
+fn serialize_line(line: &WatchLine) -> Vec<u8> {
     let mut bytes = to_json(line);
     bytes.push(b'\n');
     bytes
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -1,6 +1,7 @@
-//! Connections that come in at a control machine: whole requests out of them, answers and watches into them.
+//! The connections that a control machine accepts: reads complete HTTP requests from them, and writes responses and watch
+//! lines to them.
 
-use super::{BODY_LIMIT, Io, TALK_LIMIT};
+use super::{IoContext, MAX_BODY_BYTES, MAX_PEER_MESSAGE_BYTES};
 use crate::log::log_line;
 use crate::net::core::buffer::{Buffer, FillOutcome};
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
@@ -14,275 +15,300 @@
 use std::net::Shutdown;
 
 const SECOND: Micros = 1_000_000;
-/// Who has begun owes the whole of a request by then.
-const SLOW: Micros = 5 * SECOND / 2;
-/// A connection at rest is ended by then. Control machines have something to say several times a second.
-const IDLE: Micros = 15 * SECOND;
-/// How long an answer or a line of a watch may wait to be taken, without any of it being taken.
-const UNREAD: Micros = 5 * SECOND;
-/// The same for what the other side's system has not even acknowledged, in milliseconds.
-const UNACKNOWLEDGED_MS: u32 = 10_000;
-/// What the system holds of a watch.
-const SYSTEM_BUFFER: usize = 64 * 1024;
-/// How long who was told to leave may take to do so.
-const LINGER: Micros = SECOND;
-/// Connections that may hold more than a change at once: each other control machine has one that talks.
-const LARGE: usize = calicolb_agreed::bounds::VOTERS;
-/// What may wait for one learner: a few whole versions. One that takes nothing falls behind here, and asks anew.
-const WATCH_LIMIT: usize = 4 * BODY_LIMIT;
-/// Connections beside the watches: operators, other control machines, learners that tell which version they have.
-const OTHERS: usize = 64;
-/// Connections that are taken in one turn.
-const ACCEPTS: usize = 64;
+/// The time for a complete request to arrive, from the connection's start or from the first byte of a later request.
+const REQUEST_TIMEOUT: Micros = 5 * SECOND / 2;
+/// An idle connection is closed after this time. Control machines send messages several times a second.
+const IDLE_TIMEOUT: Micros = 15 * SECOND;
+/// A connection with pending output is closed if the operating system accepts none of it for this time.
+const WRITE_STALL_TIMEOUT: Micros = 5 * SECOND;
+/// The operating system closes a watch if sent data is not acknowledged for this time, in milliseconds.
+const TCP_USER_TIMEOUT_MS: u32 = 10_000;
+/// The size of the operating system's send buffer of a watch, in bytes.
+const WATCH_SEND_BUFFER_BYTES: usize = 64 * 1024;
+/// The time for the client to close a connection after the last response before it is closed here.
+const CLOSE_TIMEOUT: Micros = SECOND;
+/// The largest number of connections that may hold more input than a change of settings needs. Each other control machine
+/// has one connection for peer messages.
+const MAX_LARGE_INPUTS: usize = calicolb_agreed::bounds::VOTERS;
+/// The largest amount of pending output for one learner, in bytes: a few complete versions. The watch of a learner that reads
+/// nothing is closed at this limit, and the learner opens a new one.
+const MAX_WATCH_OUTPUT_BYTES: usize = 4 * MAX_BODY_BYTES;
+/// The largest number of connections beside the watches: from operators, other control machines, and learners that report the
+/// version they have in force.
+const MAX_OTHER_CONNECTIONS: usize = 64;
+/// The largest number of connections accepted in one iteration of the event loop.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// A request may come.
-    Open,
-    /// One has come, and is to be answered.
-    Owing,
-    /// It is a watch.
+    /// Waits for a request.
+    Reading,
+    /// A request was read and has not been answered.
+    Responding,
+    /// Sends versions to a learner.
     Watching,
-    /// Nothing more is taken from it.
-    Leaving,
+    /// The last response was written; further input is ignored.
+    Closing,
 }
 
-struct Conn {
+struct Connection {
     stream: TcpStream,
     buffer: Buffer,
     phase: Phase,
     keep_alive: bool,
-    /// Since when the whole of a request, or the taking of an answer, is owed.
-    owed: bool,
+    /// Whether [`REQUEST_TIMEOUT`] is running: the connection is new, or a part of a request has arrived.
+    awaiting_request: bool,
 }
 
-/// See the head of this file.
-pub struct Inbound {
+/// The listener of a control machine and its accepted connections.
+pub struct InboundConnections {
     listener: TcpListener,
-    conns: BTreeMap<usize, Conn>,
-    /// Watches that may be open.
-    watches: usize,
-    watching: usize,
+    connections: BTreeMap<usize, Connection>,
+    /// The largest number of watches.
+    max_watches: usize,
+    open_watches: usize,
 }
 
-/// What may lie in a connection unread, where bodies are so large: a whole message, chunked in small pieces.
-fn message(body: usize) -> usize {
-    HEAD_LIMIT + 2 * body
+/// The largest size of a request, in bytes, with a body of up to `body_limit` bytes. The factor 2 covers chunked encoding with
+/// small chunks.
+fn max_request_bytes(body_limit: usize) -> usize {
+    HEAD_LIMIT + 2 * body_limit
 }
 
-impl Inbound {
-    /// Takes connections from this listener, of which so many may become watches.
-    pub fn new(listener: TcpListener, watches: usize) -> Self {
-        Inbound { listener, conns: BTreeMap::new(), watches, watching: 0 }
+impl InboundConnections {
+    /// Accepts connections from `listener`, of which at most `max_watches` may become watches.
+    pub fn new(listener: TcpListener, max_watches: usize) -> Self {
+        InboundConnections { listener, connections: BTreeMap::new(), max_watches, open_watches: 0 }
     }
 
-    /// The connection is one of these.
-    pub fn has(&self, token: usize) -> bool {
-        self.conns.contains_key(&token)
+    /// Whether the token belongs to an open connection.
+    pub fn owns(&self, token: usize) -> bool {
+        self.connections.contains_key(&token)
     }
 
-    /// Takes new connections; gives their numbers, and whether there may be more to take, which must be tried again.
-    pub fn accept(&mut self, io: &mut Io<'_>) -> (Vec<usize>, bool) {
-        let mut taken = Vec::new();
-        for _ in 0..ACCEPTS {
+    /// Accepts new connections. Returns their tokens, and whether `accept` must be called again because more may be waiting.
+    pub fn accept(&mut self, io: &mut IoContext<'_>) -> (Vec<usize>, bool) {
+        let mut tokens = Vec::new();
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             match self.listener.accept() {
-                Ok((stream, _)) => taken.extend(self.open(io, stream)),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return (taken, false),
+                Ok((stream, _)) => tokens.extend(self.open(io, stream)),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return (tokens, false),
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(error) => {
-                    log_line!(warn: "accepting a connection: {error}");
-                    return (taken, true);
+                    log_line!(warn: "accepting a connection failed: {error}");
+                    return (tokens, true);
                 }
             }
         }
-        (taken, true)
+        (tokens, true)
     }
 
-    fn open(&mut self, io: &mut Io<'_>, mut stream: TcpStream) -> Option<usize> {
-        if self.conns.len() >= self.watches + OTHERS {
-            // Best effort: who is too many for an answer hears the end.
+    fn open(&mut self, io: &mut IoContext<'_>, mut stream: TcpStream) -> Option<usize> {
+        if self.connections.len() >= self.max_watches + MAX_OTHER_CONNECTIONS {
+            // Best effort: if the response cannot be written at once, the client only sees that the connection is closed.
             let _ = stream.write(&framing::write_response(503, &[("Retry-After", "1")], b"", false));
             return None;
         }
         let _ = stream.set_nodelay(true);
         let token = io.next_token();
-        let both = Interest::READABLE | Interest::WRITABLE;
-        if let Err(error) = io.registry.register(&mut stream, Token(token), both) {
-            log_line!(warn: "watching a connection: {error}");
+        let interests = Interest::READABLE | Interest::WRITABLE;
+        if let Err(error) = io.registry.register(&mut stream, Token(token), interests) {
+            log_line!(warn: "registering a connection failed: {error}");
             return None;
         }
-        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + SLOW);
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + REQUEST_TIMEOUT);
         let buffer = Buffer::default();
-        let conn = Conn { stream, buffer, phase: Phase::Open, keep_alive: true, owed: true };
-        self.conns.insert(token, conn);
+        let connection =
+            Connection { stream, buffer, phase: Phase::Reading, keep_alive: true, awaiting_request: true };
+        self.connections.insert(token, connection);
         Some(token)
     }
 
-    /// Writes what waits, and gives the next whole request, which is to be answered with one of [`Inbound::answer`] and
-    /// [`Inbound::watch`].
-    pub fn next(&mut self, io: &mut Io<'_>, token: usize) -> Option<Request> {
+    /// Writes pending output and returns the next complete request. The caller must answer it with
+    /// [`InboundConnections::respond`] or [`InboundConnections::start_watch`].
+    pub fn next_request(&mut self, io: &mut IoContext<'_>, token: usize) -> Option<Request> {
         loop {
             if !self.flush(io, token) {
                 return None;
             }
-            let room = self.room(token);
-            let conn = self.conns.get_mut(&token)?;
-            if conn.phase != Phase::Open {
-                // Only its end is of interest. What an owing client sends ahead waits for its turn, within the limit.
-                let filled = conn.buffer.fill(&mut conn.stream, message(room));
-                if conn.phase != Phase::Owing {
-                    conn.buffer.consume(usize::MAX / 2);
+            let body_limit = self.body_limit(token);
+            let connection = self.connections.get_mut(&token)?;
+            if connection.phase != Phase::Reading {
+                // Reads only to notice that the client closes the connection. Input that arrives before the response is sent is
+                // kept, up to the limit, as the next request.
+                let outcome = connection.buffer.fill(&mut connection.stream, max_request_bytes(body_limit));
+                if connection.phase != Phase::Responding {
+                    connection.buffer.consume(usize::MAX / 2);
                 }
-                if filled == FillOutcome::Closed {
+                if outcome == FillOutcome::Closed {
                     self.close(io, token);
                 }
                 return None;
             }
-            match framing::parse_request_with_limit(conn.buffer.input(), room) {
+            match framing::parse_request_with_limit(connection.buffer.input(), body_limit) {
                 Ok(Some((request, length))) => {
-                    conn.buffer.consume(length);
-                    conn.phase = Phase::Owing;
-                    conn.keep_alive = request.keep_alive;
-                    conn.owed = false;
+                    connection.buffer.consume(length);
+                    connection.phase = Phase::Responding;
+                    connection.keep_alive = request.keep_alive;
+                    connection.awaiting_request = false;
                     io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
                     return Some(request);
                 }
-                Ok(None) if conn.buffer.input().len() >= message(room) => self.reject(io, token, 413),
-                Ok(None) => match conn.buffer.fill(&mut conn.stream, message(room)) {
-                    FillOutcome::LimitReached => {}
-                    FillOutcome::Closed if conn.buffer.input().is_empty() => {
-                        self.close(io, token);
-                        return None;
-                    }
-                    // What it brought along may be whole; if it isn't, it never will be.
-                    FillOutcome::Closed => {
-                        if let Ok(None) = framing::parse_request_with_limit(conn.buffer.input(), room) {
+                Ok(None) if connection.buffer.input().len() >= max_request_bytes(body_limit) => {
+                    self.reject(io, token, 413)
+                }
+                Ok(None) => {
+                    match connection.buffer.fill(&mut connection.stream, max_request_bytes(body_limit)) {
+                        FillOutcome::LimitReached => {}
+                        FillOutcome::Closed if connection.buffer.input().is_empty() => {
                             self.close(io, token);
                             return None;
                         }
-                    }
-                    FillOutcome::WouldBlock => {
-                        if let Ok(None) = framing::parse_request_with_limit(conn.buffer.input(), room) {
-                            self.rest(io, token);
-                            return None;
+                        // The last input may complete the request. If it does not, nothing will.
+                        FillOutcome::Closed => {
+                            if let Ok(None) =
+                                framing::parse_request_with_limit(connection.buffer.input(), body_limit)
+                            {
+                                self.close(io, token);
+                                return None;
+                            }
+                        }
+                        FillOutcome::WouldBlock => {
+                            if let Ok(None) =
+                                framing::parse_request_with_limit(connection.buffer.input(), body_limit)
+                            {
+                                self.start_read_timer(io, token);
+                                return None;
+                            }
                         }
                     }
-                },
+                }
                 Err(Reject(status)) => self.reject(io, token, status),
             }
         }
     }
 
-    /// The largest body that a connection may bring now.
-    fn room(&self, token: usize) -> usize {
-        let talks = |conn: &Conn| conn.buffer.input().starts_with(b"POST /control/talk?");
-        let large = |conn: &Conn| conn.buffer.input().len() > message(BODY_LIMIT);
-        match self.conns.get(&token) {
-            Some(conn) if talks(conn) => {
-                let others = self.conns.iter().filter(|(other, conn)| **other != token && large(conn));
-                if others.count() < LARGE { TALK_LIMIT } else { BODY_LIMIT }
+    /// The largest request body, in bytes, that a connection may send now.
+    fn body_limit(&self, token: usize) -> usize {
+        let is_peer_message =
+            |connection: &Connection| connection.buffer.input().starts_with(b"POST /control/talk?");
+        let is_large =
+            |connection: &Connection| connection.buffer.input().len() > max_request_bytes(MAX_BODY_BYTES);
+        match self.connections.get(&token) {
+            Some(connection) if is_peer_message(connection) => {
+                let others = self
+                    .connections
+                    .iter()
+                    .filter(|(other, connection)| **other != token && is_large(connection));
+                if others.count() < MAX_LARGE_INPUTS { MAX_PEER_MESSAGE_BYTES } else { MAX_BODY_BYTES }
             }
-            _ => BODY_LIMIT,
+            _ => MAX_BODY_BYTES,
         }
     }
 
-    /// Nothing more is to be read for now.
-    fn rest(&mut self, io: &mut Io<'_>, token: usize) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        if conn.owed {
+    /// Starts the timer of a connection from which nothing more can be read for now, unless a request timeout is running.
+    fn start_read_timer(&mut self, io: &mut IoContext<'_>, token: usize) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if connection.awaiting_request {
             return;
         }
-        conn.owed = !conn.buffer.input().is_empty();
-        let span = if conn.owed { SLOW } else { IDLE };
-        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + span);
+        connection.awaiting_request = !connection.buffer.input().is_empty();
+        let timeout = if connection.awaiting_request { REQUEST_TIMEOUT } else { IDLE_TIMEOUT };
+        io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + timeout);
     }
 
-    fn reject(&mut self, io: &mut Io<'_>, token: usize, status: u16) {
-        if let Some(conn) = self.conns.get_mut(&token) {
-            conn.keep_alive = false;
+    fn reject(&mut self, io: &mut IoContext<'_>, token: usize, status: u16) {
+        if let Some(connection) = self.connections.get_mut(&token) {
+            connection.keep_alive = false;
         }
-        self.answer(io, token, status, &[], b"");
+        self.respond(io, token, status, &[], b"");
     }
 
-    /// Answers a request. More may lie behind it: [`Inbound::next`] tells.
-    pub fn answer(
+    /// Sends the response to a request. The input may already contain another one; see
+    /// [`InboundConnections::next_request`].
+    pub fn respond(
         &mut self,
-        io: &mut Io<'_>,
+        io: &mut IoContext<'_>,
         token: usize,
         status: u16,
         extra: &[(&str, &str)],
         body: &[u8],
     ) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        conn.buffer.append_output(&framing::write_response(status, extra, body, conn.keep_alive));
-        conn.phase = if conn.keep_alive { Phase::Open } else { Phase::Leaving };
-        conn.owed = false;
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.buffer.append_output(&framing::write_response(status, extra, body, connection.keep_alive));
+        connection.phase = if connection.keep_alive { Phase::Reading } else { Phase::Closing };
+        connection.awaiting_request = false;
         io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
     }
 
-    /// Makes a connection a watch; `false` where as many are open as may be.
-    pub fn watch(&mut self, io: &mut Io<'_>, token: usize) -> bool {
-        if self.watching >= self.watches {
+    /// Turns a connection into a watch. Returns `false` if the largest number of watches is already open.
+    pub fn start_watch(&mut self, io: &mut IoContext<'_>, token: usize) -> bool {
+        if self.open_watches >= self.max_watches {
             return false;
         }
-        let Some(conn) = self.conns.get_mut(&token) else { return false };
-        conn.phase = Phase::Watching;
-        // One whose other side has gone without a word is ended by the system: each line is acknowledged, or it is over.
-        let _ = sockopt::set_tcp_user_timeout(&conn.stream, UNACKNOWLEDGED_MS);
-        // Hundreds of them must not hold megabytes each in the system.
-        let _ = sockopt::set_socket_send_buffer_size(&conn.stream, SYSTEM_BUFFER);
-        conn.buffer.append_output(
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        connection.phase = Phase::Watching;
+        // If the learner's host disappears without closing the connection, the operating system closes it, since sent lines
+        // are no longer acknowledged.
+        let _ = sockopt::set_tcp_user_timeout(&connection.stream, TCP_USER_TIMEOUT_MS);
+        // Hundreds of watches must not hold megabytes of kernel memory each.
+        let _ = sockopt::set_socket_send_buffer_size(&connection.stream, WATCH_SEND_BUFFER_BYTES);
+        connection.buffer.append_output(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n",
         );
-        self.watching += 1;
+        self.open_watches += 1;
         io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
         true
     }
 
-    /// Tells a watch a line. One that takes nothing is ended.
-    pub fn tell(&mut self, io: &mut Io<'_>, token: usize, line: &[u8]) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        if conn.buffer.pending_output() + line.len() > WATCH_LIMIT {
-            log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
+    /// Sends a line to a watch, as one HTTP chunk. Closes the watch if too much output is pending.
+    pub fn send_line(&mut self, io: &mut IoContext<'_>, token: usize, line: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if connection.buffer.pending_output() + line.len() > MAX_WATCH_OUTPUT_BYTES {
+            log_line!("a learner did not read its watch or has disconnected: the watch is closed");
             return self.close(io, token);
         }
-        conn.buffer.append_output(format!("{:x}\r\n", line.len()).as_bytes());
-        conn.buffer.append_output(line);
-        conn.buffer.append_output(b"\r\n");
+        connection.buffer.append_output(format!("{:x}\r\n", line.len()).as_bytes());
+        connection.buffer.append_output(line);
+        connection.buffer.append_output(b"\r\n");
         self.flush(io, token);
     }
 
-    /// Writes what waits; `false` if something is left, or the connection has gone.
-    fn flush(&mut self, io: &mut Io<'_>, token: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&token) else { return false };
-        if !conn.buffer.has_output() {
+    /// Writes pending output. Returns `false` if some is left or the connection was closed.
+    fn flush(&mut self, io: &mut IoContext<'_>, token: usize) -> bool {
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        if !connection.buffer.has_output() {
             return true;
         }
-        let before = conn.buffer.pending_output();
-        match conn.buffer.flush(&mut conn.stream) {
+        let pending_before = connection.buffer.pending_output();
+        match connection.buffer.flush(&mut connection.stream) {
             Ok(true) => {
                 io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
-                if conn.phase == Phase::Leaving {
-                    // Closed with something unread, the connection would be reset, and take the answer along.
-                    let _ = conn.stream.shutdown(Shutdown::Write);
-                    io.deadlines.set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + LINGER);
+                if connection.phase == Phase::Closing {
+                    // Only the write side is closed: closing the socket while it has unread input would reset the
+                    // connection, and the client could lose the response.
+                    let _ = connection.stream.shutdown(Shutdown::Write);
+                    io.deadlines
+                        .set(Deadline::Connection(token, ConnectionTimer::Timeout), io.now + CLOSE_TIMEOUT);
                 }
                 true
             }
             Ok(false) => {
-                if conn.buffer.pending_output() < before
+                if connection.buffer.pending_output() < pending_before
                     || !io.deadlines.has(Deadline::Connection(token, ConnectionTimer::OfferTimeout))
                 {
-                    io.deadlines
-                        .set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), io.now + UNREAD);
+                    io.deadlines.set(
+                        Deadline::Connection(token, ConnectionTimer::OfferTimeout),
+                        io.now + WRITE_STALL_TIMEOUT,
+                    );
                 }
                 false
             }
             Err(_) => {
-                // What waited was not taken, or its other side has gone.
-                if conn.phase == Phase::Watching && conn.buffer.pending_output() > 0 {
-                    log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
+                // The learner has not read the pending output, or has disconnected.
+                if connection.phase == Phase::Watching && connection.buffer.pending_output() > 0 {
+                    log_line!("a learner did not read its watch or has disconnected: the watch is closed");
                 }
                 self.close(io, token);
                 false
@@ -290,45 +316,55 @@
         }
     }
 
-    /// A time that was set for a connection has come.
-    pub fn late(&mut self, io: &mut Io<'_>, token: usize, alarm: ConnectionTimer) {
-        match self.conns.get(&token) {
-            Some(conn) if alarm == ConnectionTimer::Timeout && conn.phase == Phase::Open && conn.owed => {
+    /// Handles an expired timer of a connection.
+    pub fn handle_timeout(&mut self, io: &mut IoContext<'_>, token: usize, timer: ConnectionTimer) {
+        match self.connections.get(&token) {
+            Some(connection)
+                if timer == ConnectionTimer::Timeout
+                    && connection.phase == Phase::Reading
+                    && connection.awaiting_request =>
+            {
                 self.reject(io, token, 408);
                 self.flush(io, token);
             }
-            Some(conn) if conn.phase == Phase::Watching => {
-                log_line!("a learner took nothing of its watch, or has gone: the watch is ended");
+            Some(connection) if connection.phase == Phase::Watching => {
+                log_line!("a learner did not read its watch or has disconnected: the watch is closed");
                 self.close(io, token);
             }
             _ => self.close(io, token),
         }
     }
 
-    /// Ends a connection.
-    pub fn close(&mut self, io: &mut Io<'_>, token: usize) {
-        let Some(mut conn) = self.conns.remove(&token) else { return };
-        self.watching -= usize::from(conn.phase == Phase::Watching);
-        let _ = io.registry.deregister(&mut conn.stream);
+    /// Closes a connection.
+    pub fn close(&mut self, io: &mut IoContext<'_>, token: usize) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        self.open_watches -= usize::from(connection.phase == Phase::Watching);
+        let _ = io.registry.deregister(&mut connection.stream);
         io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Timeout));
         io.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
     }
 
-    /// Ends all watches in order, and takes no more connections. Gives whether anything still waits to go out.
-    pub fn farewell(&mut self, io: &mut Io<'_>) {
+    /// Ends all watches with the last HTTP chunk, and stops accepting connections.
+    pub fn begin_drain(&mut self, io: &mut IoContext<'_>) {
         let _ = io.registry.deregister(&mut self.listener);
-        let watches: Vec<usize> = self.tokens_in(Phase::Watching);
-        for token in watches {
-            self.tell(io, token, b"");
+        let watch_tokens: Vec<usize> = self.tokens_in_phase(Phase::Watching);
+        for token in watch_tokens {
+            self.send_line(io, token, b"");
         }
     }
 
-    fn tokens_in(&self, phase: Phase) -> Vec<usize> {
-        self.conns.iter().filter(|(_, conn)| conn.phase == phase).map(|(&token, _)| token).collect()
+    fn tokens_in_phase(&self, phase: Phase) -> Vec<usize> {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| connection.phase == phase)
+            .map(|(&token, _)| token)
+            .collect()
     }
 
-    /// Something waits to go out on a connection, or is owed to it.
-    pub fn busy(&self) -> bool {
-        self.conns.values().any(|conn| conn.buffer.has_output() || conn.phase == Phase::Owing)
+    /// Whether any connection has pending output or an unanswered request.
+    pub fn is_busy(&self) -> bool {
+        self.connections
+            .values()
+            .any(|connection| connection.buffer.has_output() || connection.phase == Phase::Responding)
     }
 }
--- a/src/net/control/learners.rs
+++ b/src/net/control/learners.rs
@@ -1,82 +1,90 @@
-//! What a control machine knows of the learners: their watches, and which version each has in force.
+//! The learners as a control machine knows them: their watches, and the version that each has in force.
 
 use calicolb::api::Micros;
 use calicolb_agreed::Digest;
 use std::collections::BTreeMap;
 
-/// What was told by a learner that no longer watches here is forgotten after this time.
-const FORGET: Micros = 10_000_000;
+/// How long the version of a learner is remembered after its last watch ended or its last report came, in microseconds.
+const RETENTION: Micros = 10_000_000;
 
-/// A watch.
+/// An open watch: a learner's connection on which it receives new versions.
 pub struct Watch {
-    /// Whose it is.
+    /// The learner's name.
     pub name: String,
-    /// The version that it was told last.
+    /// The number of the last version that was sent.
     pub seq: u64,
-    /// Its digest.
+    /// The digest of that version.
     pub digest: Option<Digest>,
 }
 
-struct Known {
+/// The version that a learner reported.
+struct ReportedVersion {
     seq: u64,
-    at: Micros,
+    /// The time of the report or of the end of the learner's watch, whichever is later.
+    updated: Micros,
 }
 
-/// See the head of this file.
+/// The watches of a control machine and the versions that learners reported.
 pub struct Learners {
+    /// By the token of the connection.
     watches: BTreeMap<usize, Watch>,
-    in_force: BTreeMap<String, Known>,
-    /// Names that are kept at most.
-    most: usize,
+    /// By the learner's name.
+    in_force: BTreeMap<String, ReportedVersion>,
+    /// The largest number of names in `in_force`.
+    max_names: usize,
 }
 
 impl Learners {
-    /// Nobody yet; so many names are kept at most.
-    pub fn new(most: usize) -> Self {
-        Learners { watches: BTreeMap::new(), in_force: BTreeMap::new(), most }
+    /// Creates an empty record that keeps the versions of at most `max_names` learners.
+    pub fn new(max_names: usize) -> Self {
+        Learners { watches: BTreeMap::new(), in_force: BTreeMap::new(), max_names }
     }
 
-    /// A watch has begun. Of one name there may be several for a while: one that came back, and its old connection.
-    pub fn begin(&mut self, token: usize, watch: Watch) {
+    /// Records a new watch. Several may exist with one name for a while: a learner that reconnected, and its old connection.
+    pub fn add_watch(&mut self, token: usize, watch: Watch) {
         self.watches.insert(token, watch);
     }
 
-    /// The connections that are watches.
-    pub fn tokens(&self) -> Vec<usize> {
+    /// The tokens of all watches.
+    pub fn watch_tokens(&self) -> Vec<usize> {
         self.watches.keys().copied().collect()
     }
 
-    /// The watch on a connection.
-    pub fn watch(&mut self, token: usize) -> Option<&mut Watch> {
+    /// The watch on a connection, if the connection is one.
+    pub fn watch_mut(&mut self, token: usize) -> Option<&mut Watch> {
         self.watches.get_mut(&token)
     }
 
-    /// A connection has gone.
-    pub fn end(&mut self, now: Micros, token: usize) {
+    /// Removes the watch of a closed connection, if the connection was one.
+    pub fn remove_watch(&mut self, now: Micros, token: usize) {
         if let Some(watch) = self.watches.remove(&token)
-            && let Some(known) = self.in_force.get_mut(&watch.name)
+            && let Some(reported) = self.in_force.get_mut(&watch.name)
         {
-            known.at = now;
+            reported.updated = now;
         }
     }
 
-    /// A learner tells which version it has in force. Of more than are kept the one heard of longest ago goes.
-    pub fn told(&mut self, now: Micros, name: String, seq: u64) {
-        if !self.in_force.contains_key(&name) && self.in_force.len() >= self.most {
-            let oldest = self.in_force.iter().min_by_key(|(_, known)| known.at).map(|(name, _)| name.clone());
+    /// Records the version that a learner has in force. If there are too many names, the one updated longest ago is removed.
+    pub fn record_version(&mut self, now: Micros, name: String, seq: u64) {
+        if !self.in_force.contains_key(&name) && self.in_force.len() >= self.max_names {
+            let oldest = self
+                .in_force
+                .iter()
+                .min_by_key(|(_, reported)| reported.updated)
+                .map(|(name, _)| name.clone());
             oldest.and_then(|name| self.in_force.remove(&name));
         }
-        self.in_force.insert(name, Known { seq, at: now });
+        self.in_force.insert(name, ReportedVersion { seq, updated: now });
     }
 
-    /// Forgets those that no longer watch here.
-    pub fn forget(&mut self, now: Micros) {
-        let watching = |name: &str| self.watches.values().any(|watch| watch.name == name);
-        self.in_force.retain(|name, known| known.at + FORGET > now || watching(name));
+    /// Removes the versions of learners that have no watch here and were not updated for [`RETENTION`].
+    pub fn remove_expired(&mut self, now: Micros) {
+        let has_watch = |name: &str| self.watches.values().any(|watch| watch.name == name);
+        self.in_force.retain(|name, reported| reported.updated + RETENTION > now || has_watch(name));
     }
 
-    /// Each learner with the version that it has in force.
+    /// The name of each learner with the number of the version that it has in force.
     pub fn in_force(&self) -> BTreeMap<String, u64> {
-        self.in_force.iter().map(|(name, known)| (name.clone(), known.seq)).collect()
+        self.in_force.iter().map(|(name, reported)| (name.clone(), reported.seq)).collect()
     }
 }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -1,8 +1,8 @@
-//! The loop of a control machine. Each turn takes what has come, and what is due, to the voter; what the voter wants said
-//! goes out at the end of the turn, when it has written down what that rests on.
+//! The event loop of a control machine. Each iteration passes received messages and expired deadlines to the voter. The voter's
+//! own messages are sent at the end of the iteration, when the voter has stored the state that they depend on.
 
-use super::Io;
-use super::inbound::Inbound;
+use super::IoContext;
+use super::inbound::InboundConnections;
 use super::learners::Learners;
 use super::link::Link;
 use crate::config::agreed::SharedSettingsCheck;
@@ -21,58 +21,59 @@
 
 const LISTENER: Token = Token(0);
 const SIGNALS: Token = Token(1);
-const FIRST: usize = 15;
+/// Tokens up to this number are reserved for the event loop itself. Connections get higher ones.
+const LAST_RESERVED_TOKEN: usize = 15;
 const MILLI: Micros = 1_000;
-/// The voter counts time in these.
-const TICK: Micros = 100 * MILLI;
-/// A watch is told this often that there is nothing new.
-const HEARTBEAT: Micros = 1_500 * MILLI;
-/// Changes that may wait for a majority at once.
-pub(super) const CHANGES: usize = 16;
-/// A change that is not agreed by then is answered 503.
-pub(super) const AGREE: Micros = 4_000 * MILLI;
-/// How long answers that are owed may take after SIGTERM.
-const LAST: Micros = 1_000 * MILLI;
+/// The interval of the voter's ticks, in which it counts time.
+const TICK_INTERVAL: Micros = 100 * MILLI;
+/// The interval of the lines that tell the watches that there is no newer version.
+const HEARTBEAT_INTERVAL: Micros = 1_500 * MILLI;
+/// The largest number of changes that wait for a majority at once.
+pub(super) const MAX_PENDING_CHANGES: usize = 16;
+/// A change that is not agreed within this time is answered with status 503.
+pub(super) const AGREEMENT_TIMEOUT: Micros = 4_000 * MILLI;
+/// The time for unfinished responses after SIGTERM, before the process exits.
+const SHUTDOWN_TIMEOUT: Micros = 1_000 * MILLI;
 
 /// A change that waits for a majority.
-pub(super) struct Waiting {
+pub(super) struct PendingChange {
     pub(super) ticket: Ticket,
-    /// Who asked for it; nobody where it is the first settings.
+    /// The token of the connection that requested the change; `None` for the initial settings.
     pub(super) token: Option<usize>,
-    pub(super) until: Micros,
+    pub(super) deadline: Micros,
 }
 
-/// A control machine at work.
+/// A running control machine.
 pub struct Machine {
     poll: Poll,
     registry: Registry,
     clock: Clock,
     signals: Signals,
     deadlines: Deadlines,
-    tokens: usize,
-    pub(super) inbound: Inbound,
+    last_token: usize,
+    pub(super) inbound: InboundConnections,
     pub(super) learners: Learners,
     pub(super) links: Vec<Link>,
     pub(super) voter: Voter<FileStore>,
     pub(super) id: u64,
     name: String,
-    pub(super) waiting: Vec<Waiting>,
-    /// The settings to begin with, until there are any.
-    first: Option<Document>,
-    /// What learners were told last: the version, and whether there is a majority.
-    pub(super) told: (u64, bool),
-    /// Connections that may have more to accept.
-    accepting: bool,
-    /// When the voter was told of a tick last.
-    ticked: Micros,
-    pub(super) ending: bool,
+    pub(super) pending_changes: Vec<PendingChange>,
+    /// The settings to propose as the first version, until a version is agreed.
+    initial_settings: Option<Document>,
+    /// What was last announced to the learners: the number of the version, and whether there is a majority.
+    pub(super) last_announced: (u64, bool),
+    /// Whether the listener may have more connections to accept.
+    accept_again: bool,
+    /// The time of the voter's last tick.
+    last_tick: Micros,
+    pub(super) shutting_down: bool,
 }
 
 impl Machine {
-    /// Opens the store and the sockets.
+    /// Opens the store and the listener.
     ///
     /// # Errors
-    /// The address is taken, or the store cannot be read or written.
+    /// The address is in use, or the store cannot be read or written.
     pub fn new(config: ControlConfig) -> io::Result<Self> {
         let mut signals = Signals::new([SIGTERM])?;
         let poll = Poll::new()?;
@@ -80,18 +81,18 @@
         registry.register(&mut signals, SIGNALS, Interest::READABLE)?;
         let mut listener = TcpListener::bind(config.listen)?;
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let clock = Clock::new();
-        let ticked = clock.now();
-        let seed = ticked ^ config.id << 56;
-        let others = config.machines.iter().enumerate().map(|(nr, &at)| (nr as u64 + 1, at));
+        let last_tick = clock.now();
+        let seed = last_tick ^ config.id << 56;
+        let others = config.machines.iter().enumerate().map(|(index, &address)| (index as u64 + 1, address));
         let others = others.filter(|(id, _)| *id != config.id);
-        let links: Vec<Link> = others.map(|(id, at)| Link::new(config.id, id, at, seed)).collect();
+        let links: Vec<Link> = others.map(|(id, address)| Link::new(config.id, id, address, seed)).collect();
         let voters: Vec<u64> = (1..=config.machines.len() as u64).collect();
         let store = FileStore::open(&config.store).map_err(io::Error::other)?;
         let voter = Voter::new(config.id, &voters, store, seed).map_err(io::Error::other)?;
         log_line!(
-            "{} is control machine {} of {} and serves on {at}",
+            "{} is control machine {} of {} and serves on {address}",
             config.name,
             config.id,
             config.machines.len()
@@ -101,32 +102,32 @@
             registry,
             signals,
             deadlines: Deadlines::default(),
-            tokens: FIRST,
-            inbound: Inbound::new(listener, config.max_learners),
+            last_token: LAST_RESERVED_TOKEN,
+            inbound: InboundConnections::new(listener, config.max_learners),
             learners: Learners::new(2 * config.max_learners),
             links,
             voter,
             id: config.id,
             name: config.name,
             clock,
-            waiting: Vec::new(),
-            first: config.initial_settings,
-            told: (0, false),
-            accepting: false,
-            ticked,
-            ending: false,
+            pending_changes: Vec::new(),
+            initial_settings: config.initial_settings,
+            last_announced: (0, false),
+            accept_again: false,
+            last_tick,
+            shutting_down: false,
         })
     }
 
     /// Serves until SIGTERM.
     ///
     /// # Errors
-    /// The poll fails, or what the voter must not forget cannot be written.
+    /// Polling fails, or the voter's state cannot be stored.
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
         let now = self.clock.now();
         self.deadlines.set(Deadline::ControlTick, now);
-        self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT);
+        self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT_INTERVAL);
         loop {
             let now = self.clock.now();
             match self.poll.poll(&mut events, self.deadlines.poll_timeout(now)) {
@@ -135,167 +136,192 @@
             }
             let now = self.clock.now();
             for event in &events {
-                self.ready(now, event.token());
+                self.handle_event(now, event.token());
             }
-            while let Some(due) = self.deadlines.next_due(now) {
-                if due == Deadline::DrainClients {
+            while let Some(deadline) = self.deadlines.next_due(now) {
+                if deadline == Deadline::DrainClients {
                     return Ok(());
                 }
-                self.due(now, due);
+                self.handle_deadline(now, deadline);
             }
-            self.settle(now)?;
-            if self.ending && self.waiting.is_empty() && !self.inbound.busy() {
+            self.finish_iteration(now)?;
+            if self.shutting_down && self.pending_changes.is_empty() && !self.inbound.is_busy() {
                 return Ok(());
             }
         }
     }
 
-    pub(super) fn split(&mut self, now: Micros) -> (Io<'_>, &mut Inbound, &mut Vec<Link>) {
-        let io =
-            Io { registry: &self.registry, deadlines: &mut self.deadlines, tokens: &mut self.tokens, now };
+    /// Borrows the parts of the machine separately, with the I/O context for its connections.
+    pub(super) fn split_borrows(
+        &mut self,
+        now: Micros,
+    ) -> (IoContext<'_>, &mut InboundConnections, &mut Vec<Link>) {
+        let io = IoContext {
+            registry: &self.registry,
+            deadlines: &mut self.deadlines,
+            last_token: &mut self.last_token,
+            now,
+        };
         (io, &mut self.inbound, &mut self.links)
     }
 
-    fn ready(&mut self, now: Micros, token: Token) {
+    fn handle_event(&mut self, now: Micros, token: Token) {
         match token {
             SIGNALS => {
-                if self.signals.pending().any(|signal| signal == SIGTERM) && !self.ending {
-                    log_line!("{} ends: {} changes are open", self.name, self.waiting.len());
-                    self.ending = true;
-                    let (mut io, inbound, _) = self.split(now);
-                    inbound.farewell(&mut io);
-                    self.deadlines.set(Deadline::DrainClients, now + LAST);
+                if self.signals.pending().any(|signal| signal == SIGTERM) && !self.shutting_down {
+                    log_line!(
+                        "{} is shutting down after SIGTERM: {} changes are pending",
+                        self.name,
+                        self.pending_changes.len()
+                    );
+                    self.shutting_down = true;
+                    let (mut io, inbound, _) = self.split_borrows(now);
+                    inbound.begin_drain(&mut io);
+                    self.deadlines.set(Deadline::DrainClients, now + SHUTDOWN_TIMEOUT);
                 }
             }
             LISTENER => self.accept(now),
-            Token(token) if self.inbound.has(token) => self.serve(now, token),
+            Token(token) if self.inbound.owns(token) => self.serve_requests(now, token),
             Token(token) => {
-                let (mut io, _, links) = self.split(now);
-                if let Some(link) = links.iter_mut().find(|link| link.has(token)) {
-                    link.pump(&mut io);
+                let (mut io, _, links) = self.split_borrows(now);
+                if let Some(link) = links.iter_mut().find(|link| link.owns(token)) {
+                    link.drive(&mut io);
                 }
             }
         }
     }
 
     fn accept(&mut self, now: Micros) {
-        if self.ending {
+        if self.shutting_down {
             return;
         }
-        let (mut io, inbound, _) = self.split(now);
-        let (tokens, more) = inbound.accept(&mut io);
-        self.accepting = more;
-        tokens.into_iter().for_each(|token| self.serve(now, token));
+        let (mut io, inbound, _) = self.split_borrows(now);
+        let (tokens, accept_again) = inbound.accept(&mut io);
+        self.accept_again = accept_again;
+        tokens.into_iter().for_each(|token| self.serve_requests(now, token));
     }
 
-    fn due(&mut self, now: Micros, due: Deadline) {
-        match due {
+    fn handle_deadline(&mut self, now: Micros, deadline: Deadline) {
+        match deadline {
             Deadline::ControlTick => {
-                // One that stood still does not make up for the ticks that it missed, but what it heard is older now.
-                let missed = now.saturating_sub(self.ticked) / TICK;
+                // Ticks that were missed while the process did not run are not made up for, but the voter must know that the
+                // messages it received are older now.
+                let missed = now.saturating_sub(self.last_tick) / TICK_INTERVAL;
                 if missed > 1 {
                     self.voter.missed(missed - 1);
                 }
-                self.ticked = now;
-                self.deadlines.set(Deadline::ControlTick, now + TICK);
+                self.last_tick = now;
+                self.deadlines.set(Deadline::ControlTick, now + TICK_INTERVAL);
                 self.voter.tick();
-                self.learners.forget(now);
-                if self.accepting {
+                self.learners.remove_expired(now);
+                if self.accept_again {
                     self.accept(now);
                 }
             }
             Deadline::Heartbeat => {
-                self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT);
-                let line = if self.voter.has_majority() { b"\n".to_vec() } else { self.level_line() };
-                for token in self.learners.tokens() {
-                    self.tell(now, token, &line);
+                self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT_INTERVAL);
+                let line = if self.voter.has_majority() { b"\n".to_vec() } else { self.unchanged_line() };
+                for token in self.learners.watch_tokens() {
+                    self.send_line(now, token, &line);
                 }
             }
             Deadline::ControlLinkRetry(id) => {
-                let (mut io, _, links) = self.split(now);
+                let (mut io, _, links) = self.split_borrows(now);
                 if let Some(link) = links.iter_mut().find(|link| link.id == id) {
-                    link.pump(&mut io);
+                    link.drive(&mut io);
                 }
             }
-            Deadline::Connection(token, alarm) => {
-                let (mut io, inbound, links) = self.split(now);
-                match links.iter_mut().find(|link| link.has(token)) {
-                    Some(link) if alarm == ConnectionTimer::Timeout => link.late(&mut io),
+            Deadline::Connection(token, timer) => {
+                let (mut io, inbound, links) = self.split_borrows(now);
+                match links.iter_mut().find(|link| link.owns(token)) {
+                    Some(link) if timer == ConnectionTimer::Timeout => link.handle_timeout(&mut io),
                     Some(_) => {}
-                    None => inbound.late(&mut io, token, alarm),
+                    None => inbound.handle_timeout(&mut io, token, timer),
                 }
-                self.gone(now, token);
+                self.remove_watch_if_closed(now, token);
             }
             _ => {}
         }
     }
 
-    /// Notes that a connection has gone, if it has.
-    pub(super) fn gone(&mut self, now: Micros, token: usize) {
-        if !self.inbound.has(token) {
-            self.learners.end(now, token);
+    /// Removes the watch of a connection that has been closed. Does nothing for an open connection.
+    pub(super) fn remove_watch_if_closed(&mut self, now: Micros, token: usize) {
+        if !self.inbound.owns(token) {
+            self.learners.remove_watch(now, token);
         }
     }
 
-    /// Takes all that has come on a connection.
-    fn serve(&mut self, now: Micros, token: usize) {
+    /// Handles all complete requests on a connection.
+    fn serve_requests(&mut self, now: Micros, token: usize) {
         loop {
-            let (mut io, inbound, _) = self.split(now);
-            let Some(request) = inbound.next(&mut io, token) else { break };
-            self.request(now, token, &request);
+            let (mut io, inbound, _) = self.split_borrows(now);
+            let Some(request) = inbound.next_request(&mut io, token) else { break };
+            self.handle_request(now, token, &request);
         }
-        self.gone(now, token);
+        self.remove_watch_if_closed(now, token);
     }
 
-    /// The settings of the first version are proposed by the machine that leads, once there is one.
-    fn begin(&mut self, now: Micros) {
+    /// Proposes the initial settings as the first version, if none is agreed yet and this machine is the leader of a majority.
+    fn propose_initial_settings(&mut self, now: Micros) {
         if self.voter.agreed().seq > 0 {
-            self.first = None;
+            self.initial_settings = None;
         }
-        let proposed = self.waiting.iter().any(|waiting| waiting.token.is_none());
-        if proposed || self.voter.leader() != Some(self.id) || !self.voter.has_majority() {
+        let is_proposed = self.pending_changes.iter().any(|change| change.token.is_none());
+        if is_proposed || self.voter.leader() != Some(self.id) || !self.voter.has_majority() {
             return;
         }
-        let Some(set) = self.first.clone() else { return };
+        let Some(set) = self.initial_settings.clone() else { return };
         match self.voter.propose(Change { set, ..Change::default() }, &SharedSettingsCheck) {
             Ok(ticket) => {
-                log_line!("there are no settings yet: those of the operator file are proposed");
-                self.waiting.push(Waiting { ticket, token: None, until: now + AGREE });
+                log_line!("no version is agreed yet: the initial settings of the operator file are proposed");
+                self.pending_changes.push(PendingChange {
+                    ticket,
+                    token: None,
+                    deadline: now + AGREEMENT_TIMEOUT,
+                });
             }
             Err(Refused::Faulty(fault)) => {
-                log_line!(warn: "the first settings cannot be used: '{}' {}", fault.key, fault.why);
-                self.first = None;
+                log_line!(
+                    warn: "the initial settings of the operator file are invalid: '{}' {}",
+                    fault.key,
+                    fault.why
+                );
+                self.initial_settings = None;
             }
             Err(_) => {}
         }
     }
 
-    /// Ends a turn: what the voter wants said goes out, and what it has decided is told.
-    fn settle(&mut self, now: Micros) -> io::Result<()> {
-        self.begin(now);
-        let mut settled: Vec<(Option<usize>, Option<Outcome>)> = Vec::new();
+    /// Ends an iteration of the event loop: sends the voter's messages, announces new versions to the learners, and answers the
+    /// changes whose outcome is known.
+    ///
+    /// # Errors
+    /// The voter's store failed.
+    fn finish_iteration(&mut self, now: Micros) -> io::Result<()> {
+        self.propose_initial_settings(now);
+        let mut outcomes: Vec<(Option<usize>, Option<Outcome>)> = Vec::new();
         for (ticket, outcome) in self.voter.settled(&SharedSettingsCheck) {
-            if let Some(nr) = self.waiting.iter().position(|waiting| waiting.ticket == ticket) {
-                settled.push((self.waiting.swap_remove(nr).token, Some(outcome)));
+            if let Some(index) = self.pending_changes.iter().position(|change| change.ticket == ticket) {
+                outcomes.push((self.pending_changes.swap_remove(index).token, Some(outcome)));
             }
         }
-        let late = self.waiting.extract_if(.., |waiting| waiting.until <= now);
-        settled.extend(late.map(|waiting| (waiting.token, None)));
+        let expired = self.pending_changes.extract_if(.., |change| change.deadline <= now);
+        outcomes.extend(expired.map(|change| (change.token, None)));
         for (id, message) in self.voter.outgoing() {
             if let Some(link) = self.links.iter_mut().find(|link| link.id == id) {
-                link.put(message);
+                link.enqueue(message);
             }
         }
         if self.voter.is_stopped() {
-            return Err(io::Error::other("the store failed"));
+            return Err(io::Error::other("the store of the agreed versions failed"));
         }
-        let (mut io, _, links) = self.split(now);
-        links.iter_mut().for_each(|link| link.pump(&mut io));
-        self.tell_all(now);
-        for (token, outcome) in settled {
+        let (mut io, _, links) = self.split_borrows(now);
+        links.iter_mut().for_each(|link| link.drive(&mut io));
+        self.announce_version(now);
+        for (token, outcome) in outcomes {
             let Some(token) = token else { continue };
-            self.settled(now, token, outcome);
-            self.serve(now, token);
+            self.respond_to_change(now, token, outcome);
+            self.serve_requests(now, token);
         }
         Ok(())
     }
--- a/src/net/control/messages.rs
+++ b/src/net/control/messages.rs
@@ -1,91 +1,92 @@
-//! What stands in the bodies of the control machines' interface, for both its sides.
+//! The JSON bodies of the control machines' HTTP interface, used by servers and clients.
 
 use calicolb_agreed::Document;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A line of a watch, and the answer to a call for the whole.
+/// A line of a watch, or the response to a request for the current version. A line with neither `settings` nor changed keys
+/// says that there is no newer version.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchLine {
-    /// The version that is known with this line.
+    /// The number of the version that the receiver has after this line.
     pub seq: u64,
-    /// All settings stand in it, and not only what has changed.
+    /// Whether the line contains the complete settings instead of a change.
     #[serde(rename = "whole", default, skip_serializing_if = "std::ops::Not::not")]
     pub complete: bool,
-    /// The machine that says it speaks with a majority, so that nothing newer was agreed a moment ago.
+    /// Whether the sending machine is connected to a majority, so that no newer version was agreed shortly before.
     pub majority: bool,
-    /// The digest of the version; none where nothing is told but that there is no majority.
+    /// The digest of the version; empty in a line that only reports the loss of the majority.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub digest: String,
-    /// The digest of the version that the change rests on.
+    /// The digest of the version that the change applies to; empty if the line contains no change.
     #[serde(rename = "from", default, skip_serializing_if = "String::is_empty")]
     pub base_digest: String,
-    /// Keys that have another value.
+    /// Keys with new values.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub set: Document,
-    /// Keys that have gone.
+    /// Removed keys.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub unset: BTreeSet<String>,
-    /// All keys.
+    /// The complete settings.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub settings: Document,
 }
 
-/// A change that is asked for.
+/// The body of a request to change settings.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Keys that get a value.
+    /// Keys to set, with their values.
     #[serde(default)]
     pub set: Document,
-    /// Keys that are to go.
+    /// Keys to remove.
     #[serde(default)]
     pub unset: BTreeSet<String>,
 }
 
-/// What a learner has in force.
+/// A learner's report of the version that it has in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InForceReport {
-    /// Its name.
+    /// The learner's name.
     pub name: String,
-    /// The version.
+    /// The number of the version.
     pub seq: u64,
 }
 
-/// What a change became.
+/// The response to a change that was agreed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The version that holds it.
+    /// The number of the version that contains the change.
     pub seq: u64,
-    /// Its digest.
+    /// The digest of that version.
     pub digest: String,
 }
 
-/// Why a change was not taken.
+/// The body of an error response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The key at fault, where it is one.
+    /// The invalid key, if the error concerns one.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub key: String,
-    /// What is wrong.
+    /// The reason.
     pub why: String,
 }
 
-/// What a control machine knows of itself and of its learners.
+/// The state of a control machine and of its learners.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
-    /// Its number.
+    /// The machine's number.
     pub id: u64,
-    /// The machine that leads, as far as it knows.
+    /// The number of the machine that this one believes to be the leader.
     pub leader: Option<u64>,
-    /// It speaks with a majority.
+    /// Whether the machine is connected to a majority.
     pub majority: bool,
-    /// The version that is agreed as far as it knows.
+    /// The number of the newest agreed version that the machine knows.
     pub seq: u64,
-    /// The digest of that.
+    /// The digest of that version.
     pub digest: String,
-    /// The learners that watch here, and the version that each has in force.
+    /// The learners that watch this machine, each with the number of the version that it has in force.
     pub learners: BTreeMap<String, u64>,
-    /// Those of them that have an older one.
+    /// The learners that have an older version than `seq` in force.
     pub behind: Vec<String>,
 }
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control role: one of the machines that agree on the settings of all schedulers. What is agreed, and when, is the
-//! business of [`calicolb_agreed`]; here are its sockets and its clock. `inbound` takes requests of learners, operators and
-//! other control machines, `link` is the way to another control machine, `form` is what stands in the bodies, `learners`
-//! is who watches, `answers` is what each request is answered, and `machine` is the loop.
+//! A control machine: one of the machines that agree on the settings of all schedulers. [`calicolb_agreed`] implements the
+//! agreement; this module provides its sockets and its clock. `inbound` accepts connections from learners, operators and
+//! other control machines, `link` connects to one other control machine, `messages` defines the JSON bodies, `learners`
+//! records the watches, `answers` handles each request, and `machine` is the event loop.
 
 mod answers;
 mod inbound;
@@ -14,23 +14,23 @@
 use calicolb::api::Micros;
 use mio::Registry;
 
-/// The largest body that is taken: a change of many keys.
-const BODY_LIMIT: usize = 256 * 1024;
-/// The largest message between control machines: all that one lacks that was away for long.
-const TALK_LIMIT: usize = calicolb_agreed::bounds::MESSAGE_BYTES;
+/// The largest request body, in bytes, that is accepted from anyone but another control machine: a change of many keys.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// The largest message between control machines, in bytes: everything that a machine lacks after a long absence.
+const MAX_PEER_MESSAGE_BYTES: usize = calicolb_agreed::bounds::MESSAGE_BYTES;
 
-/// What the connections of a control machine work with in a turn of its loop.
-struct Io<'a> {
+/// What the connections of a control machine need in one iteration of its event loop.
+struct IoContext<'a> {
     registry: &'a Registry,
     deadlines: &'a mut Deadlines,
-    tokens: &'a mut usize,
+    last_token: &'a mut usize,
     now: Micros,
 }
 
-impl Io<'_> {
-    /// A number for a new connection. None is given twice.
+impl IoContext<'_> {
+    /// Returns a token for a new connection. No token is used twice.
     fn next_token(&mut self) -> usize {
-        *self.tokens += 1;
-        *self.tokens
+        *self.last_token += 1;
+        *self.last_token
     }
 }
--- a/src/net/operators/management.rs
+++ b/src/net/operators/management.rs
@@ -67,7 +67,7 @@
     pub fn accept(
         &mut self,
         ctx: &mut Context<'_>,
-        spare: &mut dyn ReleaseIdle,
+        idle_connections: &mut dyn ReleaseIdle,
     ) -> Vec<(usize, Option<ManagementCommand>)> {
         let mut commands = Vec::new();
         // At most as many per iteration of the event loop as may be open; the rest are accepted in the next iteration.
@@ -87,7 +87,7 @@
                     // The process may be out of descriptors. Operators have priority over idle client connections, which
                     // are closed to free some.
                     log_line!("accepting a management connection failed: {error}");
-                    spare.release_idle(ctx);
+                    idle_connections.release_idle(ctx);
                     ctx.deadlines.set(Deadline::ManagementAccept, ctx.now + ACCEPT_RETRY_DELAY);
                     return commands;
                 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -469,7 +469,9 @@
         let set = json!({"set": {"notes": letter.repeat(120_000)}});
         regions.wait("a large change is agreed", LIMIT, || regions.ask(1, &set).0 == 200);
     }
-    regions.wait("it is let go", LIMIT, || regions.machines[0].log().contains("a learner took nothing"));
+    regions.wait("it is let go", LIMIT, || {
+        regions.machines[0].log().contains("a learner did not read its watch")
+    });
     regions.wait("the notes are gone", LIMIT, || regions.ask(1, &json!({"unset": ["notes"]})).0 == 200);
     regions.change(1, 10);
     regions.level("a change after");
