--- a/crates/decisions/src/rules/release.rs
+++ b/crates/decisions/src/rules/release.rs
@@ -33,8 +33,7 @@
         let attributes =
             Request { class, effect: spec.effect, skill, slots, hint, size, expires, ..Request::default() };
         let request =
-            Request { deadline, queue_key,
-            over_share, worth_per_work, lower_bound_factor, ..attributes };
+            Request { deadline, queue_key, over_share, worth_per_work, lower_bound_factor, ..attributes };
         self.requests.insert(arrival.request, request);
         if let Some(transferred) = arrival.transferred {
             return self.adopt_request(now, arrival.request, transferred);
