--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -66,7 +66,7 @@
     Keyed {
         /// Workers that share the record of the keys that ran.
         group: Group,
-        /// How long the group keeps a key, in microseconds.
+        /// Time for which the group keeps a key, in microseconds.
         span: Micros,
     },
     /// Repeats do harm: the request must never run twice. This is assumed where the effect is unknown.
@@ -88,7 +88,7 @@
     pub aim: Micros,
     /// Multiple of the job's work that is added to `aim`.
     pub stretch: f64,
-    /// How long a client waits for an answer, over all of its tries.
+    /// Time for which a client waits for an answer, over the first try and all retries.
     pub deadline: Micros,
     /// Share of the worth that an answer between aim and deadline earns.
     pub late_worth: f64,
@@ -121,7 +121,7 @@
     /// Only probe results carry a report.
     Probes,
     /// There are no load reports.
-    Nowhere,
+    NoReports,
 }
 
 /// Order in which workers serve their own queues.
@@ -140,15 +140,15 @@
 pub struct Limits {
     /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be outstanding at the same time.
+    /// True if two attempts of one request may be outstanding at the same time.
     pub concurrent_attempts: bool,
-    /// Whether attempts may be cancelled.
+    /// True if attempts may be cancelled.
     pub cancel: bool,
-    /// Whether workers may be probed.
+    /// True if workers may be probed.
     pub probes: bool,
-    /// Whether dispatchers may send each other messages.
+    /// True if dispatchers may send each other messages.
     pub peers: bool,
-    /// Whether a refused client is told when to retry.
+    /// True if a refused client is told when to retry.
     pub retry_advice: bool,
     /// The longest retry time that clients respect, in microseconds.
     pub retry_advice_max: Micros,
@@ -207,23 +207,23 @@
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a fraction of the usual worth.
     pub over_share_worth: f64,
-    /// Whether worth counts per unit of work rather than per request.
+    /// True if worth counts per unit of work rather than per request.
     pub worth_by_work: bool,
-    /// Whether the worker list answers only when asked, instead of pushing changes.
+    /// True if the worker list answers only when asked, instead of pushing changes.
     pub list_on_request: bool,
     /// Source of load reports.
     pub reports: ReportSource,
-    /// Whether reports carry the number of free slots.
+    /// True if reports carry the number of free slots.
     pub reports_free_slots: bool,
-    /// Whether jobs need memory too, and reports carry the free memory.
+    /// True if jobs need memory too, and reports carry the free memory.
     pub reports_free_memory: bool,
-    /// Whether workers report the start of a job.
+    /// True if workers report the start of a job.
     pub tells_start: bool,
     /// Interval of progress notes; 0 if there are none.
     pub progress_every: Micros,
     /// Order in which workers serve their queues.
     pub queue_order: QueueOrder,
-    /// Whether the weights in the worker list are an indication of worker size.
+    /// True if the weights in the worker list are an indication of worker size.
     pub weights: bool,
     /// Limits set by the site.
     pub limits: Limits,
@@ -292,9 +292,9 @@
     pub class: ClassIx,
     /// Tenant of the request.
     pub tenant: Option<TenantIx>,
-    /// Expected work, as run time on a standard core.
+    /// Expected work as the client stated it: run time on a standard core, in microseconds.
     pub hint: Option<f64>,
-    /// Time at which the client gives up this try.
+    /// Time at which the client stops waiting for an answer to this request.
     pub expires: Micros,
     /// Slots that the job takes.
     pub slots: u32,
@@ -302,7 +302,7 @@
     pub memory: f64,
     /// Subject of the request; requests with the same key cost about the same.
     pub key: Option<u64>,
-    /// Whether the client has tried before.
+    /// True if this is a retry: the client has sent the same request before.
     pub retry: bool,
     /// Skill that the worker needs for the request, below [`MAX_SKILLS`].
     pub skill: u32,
@@ -338,7 +338,7 @@
 pub struct Report {
     /// Requests that the worker has, waiting or running.
     pub outstanding: Option<f64>,
-    /// Requests that wait.
+    /// Requests that wait at the worker.
     pub backlog: Option<f64>,
     /// Share of the CPU in use.
     pub utilization: Option<f64>,
@@ -358,11 +358,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// The worker served it.
+    /// The worker answered with the result.
     Ok,
     /// The worker answered with an error; the attempt may have run.
     Error,
-    /// The worker turned it away because it is full; the attempt never ran.
+    /// The worker refused the attempt because the worker is full; the attempt never ran.
     Full,
     /// There was no answer in time; the attempt may have run or may still be running.
     TimedOut,
@@ -370,9 +370,9 @@
     Unreachable,
     /// The connection broke; the attempt may have run.
     Broken,
-    /// The dispatcher cancelled it; the attempt may have run.
+    /// The dispatcher cancelled the attempt; it may have run.
     Cancelled,
-    /// It was not sent; the attempt never ran.
+    /// The attempt was not sent; it never ran.
     #[serde(rename = "moot")]
     NotSent,
     /// The worker rejected the request as malformed for any worker: the client is at fault, not the worker.
@@ -400,9 +400,9 @@
 pub enum AttemptNote {
     /// The job has started.
     Started,
-    /// This share of the job is done.
+    /// This fraction of the job (0 to 1) is done.
     Progress(f64),
-    /// The worker has not confirmed that it took the job, although the time for that is over.
+    /// The worker has not confirmed in time that it accepted the job.
     Silent,
     /// The attempt was reported as ended while it might still be running (see [`Outcome::running`]); its worker has now
     /// confirmed that it is over.
@@ -422,10 +422,10 @@
     pub ending: Ending,
     /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// Whether the attempt may still be running: its worker has neither reported its end nor learned that it was given
+    /// True if the attempt may still be running: its worker has neither reported its end nor learned that it was given
     /// up.
     pub running: bool,
-    /// Whether the request has its final answer.
+    /// True if the request has its final answer.
     pub concluded: bool,
     /// Load report of the worker, if one came with the result.
     pub report: Option<Report>,
@@ -477,15 +477,15 @@
     /// The worker list has moved to another address; the subscription, if any, will end.
     ListMoved,
     /// End of the lease on the worker list: after this time, changes that this dispatcher may have missed count as
-    /// notified for longer than the grace, and the list must not be acted on. `None`: no change can have been missed.
+    /// notified for longer than the grace, and the list must not be used. `None`: no change can have been missed.
     ListLease(Option<Micros>),
     /// New settings take effect, all of them or, if one of them cannot change, none. Classes and tenants keep their
     /// indices: an entry that is no longer used stays in its list, and no new request arrives for it.
     Settings(Box<Settings>),
     /// The client has left or the answer is overdue; the request is over.
     RequestAbandoned(RequestId),
-    /// The process ends at this time. No client is answered later, so clients with a later deadline count as leaving
-    /// then.
+    /// The process ends at this time. No client is answered later, so clients with a later deadline count as leaving at
+    /// this time.
     ShutdownAt(Micros),
     /// The request continues at another process of this dispatcher.
     RequestTransferred(RequestId),
--- a/crates/decisions/src/rules/admission.rs
+++ b/crates/decisions/src/rules/admission.rs
@@ -28,10 +28,10 @@
             (start, end)
         };
         // Under overload a planned job that still earns something when it is late yields to a job of much higher
-        // value.
+        // worth per unit of work.
         let late_worth = |job: &Request| self.settings.classes[job.class].late_worth;
         let yields_to_this = |job: &Request| {
-            job.worth_per_work * YIELD_VALUE_RATIO <= request.worth_per_work && late_worth(job) > 0.0
+            job.worth_per_work * YIELD_WORTH_RATIO <= request.worth_per_work && late_worth(job) > 0.0
         };
         let mut placed = None;
         for &(queue_key, other) in self.workers[index].planned.iter().filter(|plan| plan.1 != id) {
@@ -85,25 +85,26 @@
 
     /// Returns true if the worker can run this request and may get it now.
     pub(super) fn is_usable(&self, index: usize, now: Micros, request: &Request) -> bool {
-        // A job that must not run twice would be lost if a trial of a worker failed, so it is no trial job. Only the
-        // dispatchers of the worker's cohort try the worker again, each with one job at a time.
+        // A job that must not run twice would be lost if a trial of a worker failed, so it is not used for a trial.
+        // Only dispatchers with the worker in their own share try the worker again, each with one job at a time.
         let not_repeatable = request.effect == Effect::Unsafe;
         let worker = &self.workers[index];
-        let trial_barred = worker.health.on_trial(now)
-            && (not_repeatable || !worker.in_own_cohort || !worker.own.is_empty());
+        let trial_barred =
+            worker.health.on_trial(now) && (not_repeatable || !worker.in_own_share || !worker.own.is_empty());
         let kind = self.settings.classes[request.class].kind;
         let kind_matches = kind.is_none_or(|kind| kind.0 == worker.kind);
         kind_matches && !trial_barred && !self.is_avoided(now, index) && self.may_send(now, request, index)
     }
 
-    /// Chooses a worker for a held job. The candidates are the workers of the job's size range, first those of the own
-    /// cohort's share, then those of the neighbouring ranges' shares, then a sample of other workers. A worker that
-    /// passes the demand test and can start the job now is preferred; otherwise the worker that ends the job first is
-    /// returned.
+    /// Chooses a worker for a held job. The candidates are, in this order: the own share of the job's size range, the
+    /// own shares of the neighbouring ranges, and a sample of other workers of the job's size range. A worker that
+    /// passes the demand test and can start the job now is preferred. If there is none, the worker that would end the
+    /// job first is returned.
     ///
-    /// If dispatchers exchange messages, the first suitable worker of the own share is taken. Otherwise the one with
-    /// most free lanes is taken: of all workers if there are no reports, and of [`MAX_SAMPLED_WORKERS`] if there are,
-    /// because all dispatchers react to the same reports in the same way.
+    /// If several workers of own shares can start the job now and dispatchers exchange messages, the first of these
+    /// workers is taken. Without messages the one with most free lanes is taken: of all these workers if there are no
+    /// load reports, and of the first [`MAX_SAMPLED_WORKERS`] if there are, because all dispatchers react to the same
+    /// reports in the same way.
     pub(super) fn choose_worker(&self, now: Micros, id: RequestId) -> Option<Placement> {
         let request = &self.requests[&id];
         let (map_index, range) = self.size_range(request)?;
@@ -111,17 +112,17 @@
         let (mut lane_ends, mut most_free, mut candidates) = (Vec::new(), f64::NEG_INFINITY, 0);
         let (mut best, mut soonest): (Option<Placement>, Option<Placement>) = (None, None);
         let max_without_peers =
-            if self.settings.reports == ReportSource::Nowhere { usize::MAX } else { MAX_SAMPLED_WORKERS };
+            if self.settings.reports == ReportSource::NoReports { usize::MAX } else { MAX_SAMPLED_WORKERS };
         let max_candidates = if self.settings.limits.peers { 1 } else { max_without_peers };
         let free_lanes = |index| {
             self.lane_count(index) as f64 - self.workers[index].busy() as f64 - self.foreign_lanes(index, now)
         };
         let neighbours =
             (1..ranges.len()).flat_map(|distance| [range + distance, range.wrapping_sub(distance)]);
-        let own_cohort_workers =
+        let own_share_workers =
             std::iter::once(range).chain(neighbours.filter(|&number| number < ranges.len()));
-        let own_cohort_workers = own_cohort_workers.flat_map(|number| ranges[number].own_cohort.iter());
-        for &index in own_cohort_workers.filter(|&&index| self.is_usable(index, now, request)) {
+        let own_share_workers = own_share_workers.flat_map(|number| ranges[number].own_share.iter());
+        for &index in own_share_workers.filter(|&&index| self.is_usable(index, now, request)) {
             let Some((start, end)) = self.demand_test(index, now, id, &mut lane_ends) else { continue };
             if start <= now {
                 if free_lanes(index) > most_free {
@@ -138,8 +139,8 @@
         if best.is_some() {
             return best;
         }
-        // Of the workers outside the share the one with most free lanes is chosen, because information about them is
-        // old.
+        // Of the workers outside the own share, the one with most free lanes is chosen, because information
+        // about these workers is old.
         most_free = 0.0;
         for index in self.sample_outside_workers(&ranges[range]) {
             let zone_margin =
@@ -157,9 +158,9 @@
         best.or(soonest)
     }
 
-    /// Returns a sample of the range's workers outside the own share; successive jobs get different samples. Workers
-    /// of the own zone count double. More weight for them would let all dispatchers of a crowded zone examine its few
-    /// workers and send on the same aged report.
+    /// Returns a sample of the range's workers outside the own share (see the module documentation of `rules`);
+    /// successive jobs get different samples. Workers of the own zone count double. With more weight, all dispatchers
+    /// of a crowded zone would examine the same few workers there and send jobs because of the same old report.
     pub(super) fn sample_outside_workers(&self, range: &SizeRange) -> Vec<usize> {
         let (same_zone, other_zones) = (range.same_zone.len(), range.other_zones.len());
         let near_count = (MAX_SAMPLED_WORKERS * 2 * same_zone)
--- a/crates/decisions/src/rules/adoption.rs
+++ b/crates/decisions/src/rules/adoption.rs
@@ -4,9 +4,10 @@
 use crate::settings_update::effect_after_update;
 
 impl Dispatcher {
-    /// Takes over a transferred request with its attempts. Attempts in flight go on. The tighter of the effects at
-    /// both processes decides what may be repeated. If the request was safe to repeat at the other process and may
-    /// have run there, no worker has recorded that, so it is repeated only if it is still safe.
+    /// Takes over a transferred request with its attempts. Attempts in flight go on. The more restrictive of the
+    /// effects at the two processes decides whether the request may be repeated. If the request was safe to repeat at
+    /// the other process and may have run there, no worker has recorded that, so it is repeated only if it is still
+    /// safe.
     pub(super) fn adopt_request(&mut self, now: Micros, id: RequestId, transferred: TransferredRequest) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_have_run = transferred.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverRan);
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Returns what a repeat of this request would do, by the tightest effect that has been in force since it arrived,
-    /// or `None` if the request is not open.
+    /// Returns the most restrictive effect that a repeat of this request has had since the request arrived, or `None`
+    /// if the request is not open.
     pub fn effect(&self, id: RequestId) -> Option<Effect> {
         self.requests.get(&id).map(|request| request.effect)
     }
--- a/crates/decisions/src/rules/dealing.rs
+++ b/crates/decisions/src/rules/dealing.rs
@@ -62,7 +62,7 @@
                 let cohort = bounds.into_iter().find_map(find_cohort).unwrap_or(0);
                 taken[cohort] += 1;
                 self.workers[index].cohort = cohort;
-                self.workers[index].in_own_cohort = self.cohorts[cohort].1.contains(&self.settings.rank);
+                self.workers[index].in_own_share = self.cohorts[cohort].1.contains(&self.settings.rank);
             }
         }
     }
@@ -78,7 +78,7 @@
             // The zones of the other dispatchers are unknown. Each dispatcher begins with the workers of its own zone,
             // in its own order.
             let own_zone = self.settings.zone;
-            self.workers.iter_mut().for_each(|worker| worker.in_own_cohort = worker.zone == own_zone);
+            self.workers.iter_mut().for_each(|worker| worker.in_own_share = worker.zone == own_zone);
         }
         if self.settings.weights {
             self.seed_speeds_from_weights();
@@ -128,25 +128,25 @@
         let rank = self.settings.rank;
         let mut ranges = Vec::with_capacity(count);
         for (number, &upper) in bounds.iter().enumerate() {
-            let (mut own_cohort, others): (Vec<usize>, Vec<usize>) =
-                workers_of(number).iter().partition(|&&index| self.workers[index].in_own_cohort);
+            let (mut own_share, others): (Vec<usize>, Vec<usize>) =
+                workers_of(number).iter().partition(|&&index| self.workers[index].in_own_share);
             let own_zone = |&index: &usize| self.workers[index].zone == self.settings.zone;
             let (mut same_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
                 others.into_iter().partition(own_zone);
             let draw_key = |&index: &usize| mix(u64::from(rank), u64::from(self.workers[index].id.0));
             if !self.settings.limits.peers {
-                own_cohort.sort_by_key(draw_key);
-            } else if let Some(&first) = own_cohort.first() {
+                own_share.sort_by_key(draw_key);
+            } else if let Some(&first) = own_share.first() {
                 // Each member of the cohort begins at another worker of the share.
                 let cohort = &self.cohorts[self.workers[first].cohort].1;
                 let place = cohort.iter().position(|&member| member == rank).unwrap_or(0);
-                let offset = place * own_cohort.len() / cohort.len();
-                own_cohort.rotate_left(offset);
-                own_cohort.sort_by_key(|&index| self.workers[index].zone != self.settings.zone);
+                let offset = place * own_share.len() / cohort.len();
+                own_share.rotate_left(offset);
+                own_share.sort_by_key(|&index| self.workers[index].zone != self.settings.zone);
             }
             same_zone.sort_by_key(draw_key);
             other_zones.sort_by_key(draw_key);
-            ranges.push(SizeRange { upper, own_cohort, same_zone, other_zones });
+            ranges.push(SizeRange { upper, own_share, same_zone, other_zones });
         }
         self.size_maps[map_index].ranges = ranges;
     }
--- a/crates/decisions/src/rules/endings.rs
+++ b/crates/decisions/src/rules/endings.rs
@@ -13,7 +13,8 @@
         request.zip(index).is_some_and(|(request, index)| self.attempt_allowed(now, request, position, index))
     }
 
-    /// Applies the rules on sending that hold until the first byte of an attempt, given its number and worker.
+    /// Returns true if the rules that hold until the first byte of an attempt allow the attempt of this number at this
+    /// worker.
     fn attempt_allowed(&self, now: Micros, request: &Request, attempt: usize, index: usize) -> bool {
         let worker = &self.workers[index];
         if request.done || attempt >= self.settings.limits.max_attempts as usize {
@@ -27,36 +28,37 @@
         let repeat_harmless = match request.effect {
             Effect::Safe => true,
             Effect::Unsafe => may_have_run.next().is_none(),
-            // The workers of the group remember a request from its first send. Half of that time is kept as a margin
-            // for the transport.
+            // The workers of the group remember a request for `span` after its first send. Only half of `span` is
+            // used; the other half is a margin for the time on the network.
             Effect::Keyed { group, span } => may_have_run.all(|attempt| {
                 let drops_repeats = worker.drops_repeats(group, &self.workers[attempt.worker]);
                 drops_repeats && now < attempt.sent + span / 2
             }),
         };
-        // Rule 3 forbids sends to a draining worker. Nothing is sent after the notification, so its grace is never
-        // used. Nothing is sent by an outdated worker list either.
+        // Rule 3 forbids sends to a draining worker. Nothing is sent after the notification of the drain, so the grace
+        // period that rule 3 allows is never used. Nothing is sent by an outdated worker list either.
         repeat_harmless
             && !runs_there
             && !self.worker_list.stale(now)
             && worker.status == WorkerStatus::On
-            && !worker.refuses(request.skill)
+            && !worker.lacks_skill(request.skill)
     }
 
-    /// Applies all rules on sending a job to this worker now, except the check for attempts in flight, which
-    /// [`Self::send_attempt`] makes.
+    /// Returns true if all rules allow sending the job to this worker now. [`Self::send_attempt`] checks in addition
+    /// whether an attempt of the request is in flight.
     pub(super) fn may_send(&self, now: Micros, request: &Request, index: usize) -> bool {
         if !self.attempt_allowed(now, request, request.attempts.len(), index) {
             return false;
         }
-        // Rule 4 limits the work sent to a cold worker. The successor continues this count, so a process with a
-        // successor sends nothing to cold workers.
+        // Rule 4 limits the work sent to a cold worker. The successor process goes on counting that work, so a process
+        // with a successor sends nothing to cold workers.
         let work = request.size * request.slots as f64;
         self.capacity_fraction(index, now) >= 1.0
             || (!self.has_successor && self.cold_allowance(now, index, work) == Allowance::Yes)
     }
 
-    /// Returns the work sent to a worker within the last window of rule 4, in microseconds at speed 1.
+    /// Returns the work that this dispatcher sent to a cold worker within the last window (`fall_window`) of rule 4, in
+    /// microseconds at speed 1.
     pub(super) fn cold_work_sent(&self, now: Micros, index: usize) -> f64 {
         let window_start = now.saturating_sub(self.settings.rules.fall_window);
         self.workers[index]
@@ -67,9 +69,9 @@
             .sum()
     }
 
-    /// Decides whether this dispatcher may send this amount of work, in microseconds at speed 1, to a cold worker: as
-    /// a member of the cohort whose share holds the worker, as a designated sender drawn by the id and start time of
-    /// the worker, or, without messages between dispatchers, in rotation.
+    /// Decides whether this dispatcher may send this amount of work, in microseconds at speed 1, to a cold worker. It
+    /// may send as a member of the cohort whose share holds the worker, or as a designated sender chosen by the id and
+    /// start time of the worker. Without messages between dispatchers the senders rotate.
     pub(super) fn cold_allowance(&self, now: Micros, index: usize, work: f64) -> Allowance {
         let (worker, rules) = (&self.workers[index], &self.settings.rules);
         let (capacity, window) =
@@ -96,7 +98,7 @@
         let members = self.cohorts.get(worker.cohort).map_or(0, |cohort| cohort.1.len());
         let cold_budget = ColdBudget::new(budget, members, work_per_window, self.peer_set.size());
         let sender =
-            Sender::of(worker.in_own_cohort, cold_budget.is_designated(draw, rank, self.peer_set.size()));
+            Sender::of(worker.in_own_share, cold_budget.is_designated(draw, rank, self.peer_set.size()));
         let recent = |peer: &&PeerLoad| peer.received_at + rules.fall_window > now && peer.from != rank;
         let sent_by_peers = worker.peers.iter().filter(recent).map(|peer| peer.cold_work).sum();
         self.shared_spending.count_allowance(cold_budget.allows(sender, sent, sent_by_peers, work))
@@ -218,10 +220,10 @@
         let size = self.requests[&id].size;
         let end = now + self.run_time(index, size, now);
         let own = &mut self.workers[index].own[position];
-        let (awaited, waited) = (own.awaits_start, now > own.sent + START_NOTICE_TIMEOUT);
+        let (start_awaited, job_waited) = (own.awaits_start, now > own.sent + START_NOTICE_TIMEOUT);
         (own.start, own.end, own.measures_size, own.awaits_start) = (now, end, true, false);
-        if awaited && self.counts_lanes_by_starts() {
-            self.record_start(now, index, waited);
+        if start_awaited && self.counts_lanes_by_starts() {
+            self.record_start(now, index, job_waited);
         }
     }
 
@@ -235,7 +237,7 @@
             AttemptNote::Started => self.on_started(now, id, attempt),
             AttemptNote::Silent if self.workers[index].own[position].awaits_start => {
                 // The worker or the connection to it has failed; this is not a sign of a queue at the worker. A job
-                // that may run twice is tried elsewhere, any other job can only wait.
+                // that may run twice is tried at another worker. For any other job the dispatcher can only wait.
                 self.workers[index].own[position].awaits_start = false;
                 self.record_fault(now, index, 1);
                 if self.requests[&id].effect == Effect::Safe && self.settings.limits.cancel {
@@ -285,7 +287,8 @@
             Ending::Full => {
                 self.adjust_lanes(index, own.slots, false);
                 let lanes = self.lane_count(index) as f64;
-                // The waiting room of the worker is full too. It is assumed to hold half a lane of work per lane.
+                // All lanes of the worker and its own queue are full. The queue is assumed to hold half as many jobs as
+                // there are lanes.
                 self.workers[index].foreign = Some((now, 1.5 * lanes));
                 self.workers[index].load_known_at = now;
                 self.learn_zone_load(index, lanes);
--- a/crates/decisions/src/rules/lanes.rs
+++ b/crates/decisions/src/rules/lanes.rs
@@ -37,7 +37,7 @@
         let reported = worker.current_peer_loads(now).map(|peer| peer.lanes).sum::<usize>() as f64;
         // Other dispatchers report their use of the own share, as far as they send messages. Elsewhere it is estimated
         // from load reports or start notices.
-        let unreported = if worker.in_own_cohort { 1.0 - self.peer_set.confidence(now) } else { 1.0 };
+        let unreported = if worker.in_own_share { 1.0 - self.peer_set.confidence(now) } else { 1.0 };
         let share = if worker.exact_lanes.is_some() {
             0.0
         } else {
--- a/crates/decisions/src/rules/list.rs
+++ b/crates/decisions/src/rules/list.rs
@@ -40,8 +40,8 @@
                 });
             }
             let own_workers: Vec<usize> =
-                (0..self.workers.len()).filter(|&index| self.workers[index].in_own_cohort).collect();
-            self.probe_own_cohort(now, &own_workers, own_workers.len());
+                (0..self.workers.len()).filter(|&index| self.workers[index].in_own_share).collect();
+            self.probe_own_share(now, &own_workers, own_workers.len());
         }
         self.process_hold_queue(now);
     }
--- a/crates/decisions/src/rules/mod.rs
+++ b/crates/decisions/src/rules/mod.rs
@@ -60,8 +60,8 @@
 const START_NOTICE_TIMEOUT: Micros = 50 * MILLISECOND;
 /// Share of a cold worker's budget that is used, because the worker's true capacity is only estimated.
 const COLD_BUDGET_SHARE: f64 = 0.4;
-/// A planned job yields to a job whose value per unit of work is at least this many times as high.
-const YIELD_VALUE_RATIO: f64 = 2.0;
+/// A planned job yields to a job whose worth per unit of work is at least this many times as high.
+const YIELD_WORTH_RATIO: f64 = 2.0;
 /// Maximum delay of the first call for the worker list after a process starts.
 const MAX_FIRST_CALL_DELAY: Micros = 2 * SECOND;
 /// Timer for the next pass over the hold queue.
--- a/crates/decisions/src/rules/talk.rs
+++ b/crates/decisions/src/rules/talk.rs
@@ -15,7 +15,7 @@
     /// Returns true if workers are probed for load reports. In that case no job is sent to a worker of another cohort
     /// without a recent report.
     pub(super) fn uses_probes(&self) -> bool {
-        self.settings.reports != ReportSource::Nowhere && self.settings.limits.probes
+        self.settings.reports != ReportSource::NoReports && self.settings.limits.probes
     }
 
     /// Probes at most `max_probes` of these workers, those in service without recent knowledge of their load.
@@ -38,7 +38,7 @@
     }
 
     /// Probes workers of the own share, where load reports come with probe results only.
-    pub(super) fn probe_own_cohort(&mut self, now: Micros, candidates: &[usize], max_probes: usize) {
+    pub(super) fn probe_own_share(&mut self, now: Micros, candidates: &[usize], max_probes: usize) {
         let needed = self.settings.reports == ReportSource::Probes;
         self.probe_workers(now, candidates, if needed { max_probes } else { 0 });
     }
@@ -48,9 +48,9 @@
     pub(super) fn probe_for_job(&mut self, now: Micros, id: RequestId, spill: bool) {
         let Some((map_index, range)) = self.size_range(&self.requests[&id]) else { return };
         let range = &self.size_maps[map_index].ranges[range];
-        let (own_cohort, sample) =
-            (range.own_cohort[..range.own_cohort.len().min(2)].to_vec(), self.sample_outside_workers(range));
-        self.probe_own_cohort(now, &own_cohort, 1);
+        let (own_share, sample) =
+            (range.own_share[..range.own_share.len().min(2)].to_vec(), self.sample_outside_workers(range));
+        self.probe_own_share(now, &own_share, 1);
         self.probe_workers(now, &sample, if spill { MAX_SAMPLED_WORKERS } else { 0 });
     }
 
--- a/crates/decisions/src/settings_update.rs
+++ b/crates/decisions/src/settings_update.rs
@@ -29,7 +29,7 @@
 pub struct RejectedSetting {
     /// Name of the field of [`Settings`].
     pub field: &'static str,
-    /// What is wrong with the field, phrased to follow its name in a sentence.
+    /// The fault of the field, phrased to follow the field's name in a sentence.
     pub reason: &'static str,
 }
 
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// A peer's load at a worker counts until this time after the expected end of its last job there.
+/// A peer's load at a worker counts until this time (microseconds) after the expected end of the peer's last job there.
 const PEER_LOAD_VALIDITY: Micros = 2_000_000;
 
 /// An attempt of this dispatcher that occupies lanes of a worker.
@@ -62,12 +62,12 @@
     pub(crate) end: Micros,
     /// Known or estimated start.
     pub(crate) start: Micros,
-    /// Whether the run time of the attempt is a measure of the job's size: the attempt was sent to a lane that was
+    /// True if the run time of the attempt is a measure of the job's size: the attempt was sent to a lane that was
     /// considered free, or its start is known.
     pub(crate) measures_size: bool,
-    /// Whether the worker will report the start and has not done so yet.
+    /// True if the worker will report the start and has not done so yet.
     pub(crate) awaits_start: bool,
-    /// Last progress report: its time and the share of the job that was done.
+    /// Last progress report: its time, and the fraction of the job (0 to 1) that was done.
     pub(crate) progress: Option<(Micros, f64)>,
 }
 
@@ -89,7 +89,7 @@
     /// The largest number of slots that any job so far has asked for.
     #[serde(rename = "most_slots")]
     pub(crate) max_slots: usize,
-    /// Work that arrives per second, in microseconds on a standard core.
+    /// Work that arrives per second, in microseconds of run time on a standard core.
     #[serde(default, rename = "work")]
     pub(crate) work_rate: Rate,
     /// Zone of each dispatcher, by rank, where it is known.
@@ -104,7 +104,7 @@
     /// Returns the initial knowledge. `fleet` is the number of dispatchers.
     pub(crate) fn new(settings: &Settings, fleet: u32, now: Micros) -> Self {
         let mut zones = vec![None; fleet as usize];
-        // The list holds no entry for an own rank above the limit of ranks that are counted.
+        // The own rank may be above the limit of counted ranks. `zones` has no entry for it then.
         if let Some(own) = zones.get_mut(settings.rank as usize).filter(|_| settings.limits.peers) {
             *own = Some(settings.zone.0 as u8);
         }
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Returns whether both have the same number of kinds, classes, tenants and zones. Knowledge of another process may
-    /// come from other settings.
+    /// Returns true if `self` and `other` have the same numbers of kinds, classes, tenants and zones. Knowledge from
+    /// another process may have been learned under other settings.
     pub(crate) fn has_same_shape(&self, other: &Knowledge) -> bool {
         let shape = |of: &Knowledge| {
             (
@@ -136,7 +136,7 @@
         shape(self) == shape(other)
     }
 
-    /// Returns whether the worker's zone and kind are among the known ones.
+    /// Returns true if this knowledge has entries for the worker's zone and kind.
     pub(crate) fn covers(&self, worker: &Worker) -> bool {
         worker.zone.0 < self.mean_foreign_share.len() && worker.kind < self.kinds.len()
     }
@@ -188,7 +188,7 @@
     /// version of the program can read it.
     #[serde(default, rename = "told")]
     pub(crate) exact_lanes: Option<usize>,
-    /// Skills that the worker lacks, one bit each.
+    /// Skills that the worker lacks, one bit each (see [`Worker::lacks_skill`]).
     #[serde(default)]
     pub(crate) refuses: u64,
     /// Relative size according to the worker list.
@@ -224,9 +224,9 @@
     /// Index of its cohort.
     #[serde(skip)]
     pub(crate) cohort: usize,
-    /// Whether this dispatcher is in the worker's cohort. Without peer messages: whether the worker is in its zone.
+    /// True if this dispatcher is in the worker's cohort or, without peer messages, in the worker's zone.
     #[serde(skip)]
-    pub(crate) in_own_cohort: bool,
+    pub(crate) in_own_share: bool,
 }
 
 impl Worker {
@@ -240,8 +240,8 @@
         self.own.iter().filter(|own| !own.awaits_start).map(|own| own.slots).sum()
     }
 
-    /// Returns whether this worker drops a repeat of a request that worker `of` had, given the group that drops
-    /// repeats.
+    /// Returns true if this worker drops a repeat of a request that was sent to worker `of` before. `group` is the
+    /// group of workers that drop repeats of each other's requests.
     pub(crate) fn drops_repeats(&self, group: Group, of: &Worker) -> bool {
         match group {
             Group::All => true,
@@ -256,7 +256,7 @@
     }
 
     /// Returns whether the worker lacks this skill.
-    pub(crate) fn refuses(&self, skill: u32) -> bool {
+    pub(crate) fn lacks_skill(&self, skill: u32) -> bool {
         self.refuses >> skill.min(u64::BITS - 1) & 1 == 1
     }
 }
@@ -295,20 +295,20 @@
     pub(crate) skill: u32,
     /// Slots that the job takes.
     pub(crate) slots: usize,
-    /// Expected work as the client stated it, as run time on a standard core.
+    /// Expected work as the client stated it: run time on a standard core, in microseconds.
     pub(crate) hint: Option<f64>,
     /// Estimated run time on a standard core, in microseconds.
     pub(crate) size: f64,
-    /// Time at which the client gives up this try.
+    /// Time at which the client stops waiting for an answer to this request.
     pub(crate) expires: Micros,
     /// The aim while it can be met, after that the client's deadline.
     pub(crate) deadline: Micros,
     /// Key by which the hold queue is sorted: the deadline, or, for work beyond its tenant's share, the client's
     /// deadline, so that work within the share comes first.
     pub(crate) queue_key: Micros,
-    /// Whether the request can no longer meet its aim.
+    /// True if the request can no longer meet its aim.
     pub(crate) late: bool,
-    /// Whether the request is beyond its tenant's share.
+    /// True if the request is beyond its tenant's share.
     pub(crate) over_share: bool,
     /// Worth of each unit of work if the request is answered in time.
     pub(crate) worth_per_work: f64,
@@ -317,9 +317,9 @@
     pub(crate) lower_bound_factor: f64,
     /// Attempts of the request, in order of sending.
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether the request has its final answer.
+    /// True if the request has its final answer.
     pub(crate) done: bool,
-    /// Whether the request is in the hold queue.
+    /// True if the request is in the hold queue.
     pub(crate) held: bool,
     /// Index of the worker to whose lanes a held job is admitted.
     pub(crate) planned: Option<usize>,
@@ -367,9 +367,9 @@
 /// State of the subscription to the worker list, and of the lease on the list.
 #[derive(Default)]
 pub(crate) struct ListState {
-    /// Whether a subscription is open or requested.
+    /// True if a subscription is open or requested.
     pub(crate) subscribed: bool,
-    /// Whether a call failed or the watch broke, and no list has been received since.
+    /// True if a call failed or the watch broke, and no list has been received since.
     pub(crate) lost: bool,
     /// End of the lease on the list; `None` if no change can have been missed.
     pub(crate) lease_end: Option<Micros>,
@@ -386,11 +386,12 @@
 pub(crate) struct SizeRange {
     /// Largest size in the range, as run time on a standard core in microseconds times the slots.
     pub(crate) upper: f64,
-    /// Indices of the workers of this dispatcher's cohort.
-    pub(crate) own_cohort: Vec<usize>,
-    /// Indices of the other workers in this dispatcher's zone.
+    /// Indices of the workers in the own share of this range: those of this dispatcher's cohort or, without peer
+    /// messages, those of its zone.
+    pub(crate) own_share: Vec<usize>,
+    /// Indices of the workers outside the own share that are in this dispatcher's zone.
     pub(crate) same_zone: Vec<usize>,
-    /// Indices of the other workers in other zones.
+    /// Indices of the workers outside the own share that are in other zones.
     pub(crate) other_zones: Vec<usize>,
 }
 
--- a/crates/slopes/src/quota.rs
+++ b/crates/slopes/src/quota.rs
@@ -38,7 +38,7 @@
             let mut settings = scene::settings(&size, rank);
             settings.zone = ZoneIx(0);
             settings.tenants = vec![Tenant { quota_per_s, share: 1.0 }];
-            settings.reports = ReportSource::Nowhere;
+            settings.reports = ReportSource::NoReports;
             settings.tells_start = false;
             (settings.limits.peers, settings.limits.probes) = (false, false);
             let mut dispatcher = Dispatcher::new(settings, u64::from(rank), BEGIN);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -135,7 +135,7 @@
 /// Parses one entry of a worker list.
 ///
 /// # Errors
-/// The line is no list entry, or a field is missing, malformed or not among `names`.
+/// The line is no list entry, or a field is missing or malformed, or names something that is not among `names`.
 pub fn parse_member(text: &str, names: &Names) -> Result<Member, WireError> {
     let fields = Fields::split(text);
     if fields.message_type != "M" {
@@ -177,7 +177,7 @@
 /// Parses an event other than a worker list event.
 ///
 /// # Errors
-/// A field is missing, malformed or not among `names`.
+/// A field is missing or malformed, or names something that is not among `names`.
 pub fn parse_event(fields: Fields<'_>, names: &Names) -> Result<Event, WireError> {
     match fields.message_type {
         "ARRIVAL" => parse_arrival(fields, names).map(Event::Arrival),
@@ -293,7 +293,8 @@
         }
         _ => match ending {
             Some(ending) => {
-                // The protocol has no message for the end of such an attempt at its worker, so it may still be running.
+                // The protocol has no message for the end of such an attempt at its worker, so the attempt may still be
+                // running.
                 let running = matches!(ending, Ending::TimedOut | Ending::Broken | Ending::Cancelled);
                 let outcome =
                     Outcome { request, attempt, worker, ending, elapsed, running, concluded, report };
@@ -329,8 +330,8 @@
     Ok(names.report(pairs.into_iter()))
 }
 
-/// Appends one action of an instance to `out`, with a line feed. Fields are pushed without formatting machinery because this
-/// is the hot path of the simulator's adapter.
+/// Appends one action of an instance to `out`, with a line feed. Fields are appended without `format!`, because this
+/// function is on the hot path of the simulator's adapter.
 pub fn write_action(out: &mut String, instance: &str, action: &Action) {
     let message_type = match action {
         Action::Send { .. } => "PASS_ON",
@@ -628,7 +629,7 @@
         reports: match info.report.how.as_str() {
             "answers" => ReportSource::Answers,
             "probe" => ReportSource::Probes,
-            _ => ReportSource::Nowhere,
+            _ => ReportSource::NoReports,
         },
         reports_free_slots: reported(ReportExtra::FreeSlots),
         reports_free_memory: reported(ReportExtra::FreeMemory),
--- a/tests/alone.rs
+++ b/tests/alone.rs
@@ -10,7 +10,7 @@
 fn alone() -> Settings {
     let mut settings = settings();
     (settings.reports, settings.reports_free_slots, settings.tells_start) =
-        (ReportSource::Nowhere, false, true);
+        (ReportSource::NoReports, false, true);
     (settings.limits.concurrent_attempts, settings.limits.probes) = (false, true);
     let keyed = Effect::Keyed { group: Group::All, span: 40 * SECOND };
     settings.classes.push(Class { worth: 8.0, ..class(keyed) });
--- a/tests/renewal.rs
+++ b/tests/renewal.rs
@@ -63,7 +63,7 @@
         ("kinds", |new| new.kinds = 1),
         ("worth_by_work", |new| new.worth_by_work = !new.worth_by_work),
         ("list_on_request", |new| new.list_on_request = true),
-        ("reports", |new| new.reports = ReportSource::Nowhere),
+        ("reports", |new| new.reports = ReportSource::NoReports),
         ("reports_free_slots", |new| new.reports_free_slots = false),
         ("tells_start", |new| new.tells_start = true),
         ("weights", |new| new.weights = true),
@@ -330,7 +330,7 @@
         merge((&old, &names), (&new, &names)).expect_err("it cannot change").key
     };
     assert_eq!(refused(&|new| new.instances = 7), "n_instances");
-    assert_eq!(refused(&|new| new.reports = ReportSource::Nowhere), "report.how");
+    assert_eq!(refused(&|new| new.reports = ReportSource::NoReports), "report.how");
     assert_eq!(refused(&|new| new.limits.peers = true), "ceilings.peers");
     assert_eq!(refused(&|new| new.progress_every = 1), "extra.progress_us");
     let others = Names::new(vec!["look".to_owned()], vec![], vec!["y".to_owned()], vec!["k".to_owned()]);
