--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -1,10 +1,10 @@
 //! Limits on the work that a scheduler may send to a cold worker.
 //!
 //! A worker that is still cold fails if it is sent too much work. All schedulers together may therefore send it at most
-//! a budget of work in each window; the caller sets the budget, with a margin. Its senders are the members of the
-//! cohort that the worker belongs to, who try it first, and a few *designated senders* chosen by the worker's id. With
-//! the designated senders, more than one sender has a share that is large enough for a job even where cohorts are
-//! small.
+//! a budget of work in each window (rule 4 of the decision module); the caller sets the budget, with a margin. The
+//! senders of a cold worker are the members of the cohort that the worker belongs to, who send to it first, and a few
+//! *designated senders* chosen by the worker's id. Without designated senders, a small cohort could leave no more than
+//! one sender with a share that is large enough for a job.
 //!
 //! Each sender has an equal share of the budget. A member of the cohort may exceed its share by the amount that the
 //! other members report as unused, up to [`MAX_MEMBER_MULTIPLE`] times its share. The cohort as a whole then keeps to
@@ -38,7 +38,7 @@
     Neither,
 }
 
-/// Decision whether a job may be sent to a cold worker, with the reason against it.
+/// Decision on sending a job to a cold worker, with the reason if the job may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allowance {
     /// The job may be sent.
@@ -64,10 +64,10 @@
 
 impl ColdBudget {
     /// Creates the budget of a worker to which all senders together may send `budget` in a window. The worker's cohort
-    /// has `members` members, and each of `schedulers` schedulers usually sends `usual` in a window (see
-    /// [`designated_sender_count`]).
-    pub fn new(budget: f64, members: usize, usual: f64, schedulers: u32) -> Self {
-        ColdBudget { budget, members, designated: designated_sender_count(budget, usual, schedulers) }
+    /// has `members` members, and each of `schedulers` schedulers usually sends `usual_work` in a window to all workers
+    /// (see [`designated_sender_count`]). Both amounts of work are in microseconds at speed 1.
+    pub fn new(budget: f64, members: usize, usual_work: f64, schedulers: u32) -> Self {
+        ColdBudget { budget, members, designated: designated_sender_count(budget, usual_work, schedulers) }
     }
 
     /// Returns whether the scheduler of this rank is a designated sender. `hash` is the hash of the worker's id and
@@ -76,12 +76,12 @@
         is_designated_sender(hash, rank, schedulers, self.designated)
     }
 
-    /// Returns the share of the budget that each sender has.
+    /// Returns the share of the budget that each sender has, in microseconds at speed 1.
     pub fn sender_share(&self) -> f64 {
         self.budget / (self.members + self.designated).max(1) as f64
     }
 
-    /// Returns the work that the members of the cohort together may send in a window.
+    /// Returns the work that the members of the cohort together may send in a window, in microseconds at speed 1.
     pub fn pool(&self) -> f64 {
         self.sender_share() * self.members as f64
     }
@@ -110,10 +110,11 @@
     (start_capacity + (1.0 - start_capacity) * age as f64 / cold as f64).clamp(0.01, 1.0)
 }
 
-/// Returns the number of designated senders of a cold worker: as many as can each have a share of `usual`, the work
-/// that a scheduler usually sends in a window. There is at least one, and at most one per scheduler.
-pub fn designated_sender_count(budget: f64, usual: f64, schedulers: u32) -> usize {
-    let count = if usual > 0.0 { (budget / usual).floor() } else { 1.0 };
+/// Returns the number of designated senders of a cold worker: the largest number for which `budget` divided by that
+/// number is at least `usual_work`, the work that a scheduler usually sends in a window. The result is at least 1,
+/// and at most the number of schedulers.
+pub fn designated_sender_count(budget: f64, usual_work: f64, schedulers: u32) -> usize {
+    let count = if usual_work > 0.0 { (budget / usual_work).floor() } else { 1.0 };
     count.clamp(1.0, f64::from(schedulers.max(1))) as usize
 }
 
@@ -125,34 +126,36 @@
     position < count as u64
 }
 
-/// Maximum size of the only job that a scheduler sends in a window, as a multiple of the budget.
+/// Maximum size of a job that is the only one its scheduler sends to the cold worker in a window, as a multiple of the
+/// budget.
 pub const MAX_SINGLE_JOB_MULTIPLE: f64 = 1.25;
 
 /// Rotation of the senders of a cold worker, for schedulers that send each other no messages. In each window the
 /// schedulers that may send are chosen by a hash of the worker and the window, which all schedulers compute alike. The
-/// budget of the fleet is kept on average over the windows. No scheduler sends more than its share, or one job that is
-/// its only one in the window and at most [`MAX_SINGLE_JOB_MULTIPLE`] times the budget.
+/// budget of the fleet is kept on average over the windows. A scheduler sends at most its share, or a single job
+/// of at most [`MAX_SINGLE_JOB_MULTIPLE`] times the budget.
 ///
-/// With one zone, or fewer than 8 schedulers per zone, exactly the number of schedulers that have a share is chosen
-/// among all schedulers. Otherwise only schedulers in the worker's zone are chosen. Their number is not known, so it is
-/// assumed that schedulers are spread evenly over the zones, and each scheduler is chosen independently.
+/// With one zone, or fewer than 8 schedulers per zone, the senders are chosen among all schedulers, and their number is
+/// exactly [`ColdBudget::designated`]. Otherwise only schedulers in the worker's zone are chosen. The number of
+/// schedulers in a zone is not known, so they are assumed to be spread evenly over the zones, and each scheduler is
+/// chosen independently of the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRotation {
     budget: ColdBudget,
     /// Number of schedulers among which senders are chosen.
     candidates: u32,
-    /// Whether only schedulers in the worker's zone are chosen.
+    /// True if only schedulers in the worker's zone are chosen.
     by_zone: bool,
 }
 
 impl ColdRotation {
-    /// Creates the rotation among `schedulers` schedulers in `zones` zones. `budget` and `usual` are as for
+    /// Creates the rotation among `schedulers` schedulers in `zones` zones. `budget` and `usual_work` are as for
     /// [`ColdBudget::new`].
-    pub fn new(budget: f64, usual: f64, schedulers: u32, zones: usize) -> Self {
+    pub fn new(budget: f64, usual_work: f64, schedulers: u32, zones: usize) -> Self {
         let zones = u32::try_from(zones.max(1)).unwrap_or(u32::MAX);
         let by_zone = zones > 1 && schedulers >= zones.saturating_mul(8);
         let candidates = if by_zone { schedulers / zones } else { schedulers };
-        ColdRotation { budget: ColdBudget::new(budget, 0, usual, candidates), candidates, by_zone }
+        ColdRotation { budget: ColdBudget::new(budget, 0, usual_work, candidates), candidates, by_zone }
     }
 
     /// Decides whether the scheduler of this rank may send a job with `work` if it has sent `own_work` in the current
--- a/crates/fleet/src/fleet_size.rs
+++ b/crates/fleet/src/fleet_size.rs
@@ -11,7 +11,7 @@
 /// Minimum number of schedulers in the fleet, and the ranks from which messages were received.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
-    /// For each rank, whether a message was received from it.
+    /// For each rank: true if a message was received from the scheduler of that rank.
     seen: Vec<bool>,
     /// Minimum number of schedulers.
     size: u32,
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -16,20 +16,20 @@
 pub const TRIAL_STRIKES: u32 = 3;
 /// Maximum number of strikes.
 pub const MAX_STRIKES: u32 = 6;
-/// Time for which a worker is avoided after the fault report of a single other scheduler.
+/// Time for which a worker is avoided after the fault report of a single other scheduler, in microseconds.
 pub const UNCONFIRMED_REPORT_SPAN: Micros = 1_000_000;
 /// A worker is unhealthy if it reports failures for at least this share of the jobs that it can run at once.
 pub const UNHEALTHY_ERROR_SHARE: f64 = 0.05;
-/// Time for which a worker without strikes would be avoided; each strike doubles it.
+/// Time for which a worker without strikes would be avoided, in microseconds; each strike doubles it.
 const BASE_AVOID_SPAN: Micros = 250_000;
-/// Fault reports of two schedulers about the same worker within this time confirm each other.
+/// Fault reports of two schedulers about the same worker within this time (microseconds) confirm each other.
 const CONFIRM_WINDOW: Micros = 10_000_000;
-/// Once a worker is no longer avoided, one strike is dropped each time this time passes without another fault.
+/// Once a worker is no longer avoided, it loses one strike per this time (microseconds) without another fault.
 const STRIKE_FADE_TIME: Micros = 30_000_000;
-/// Time for which a direct observation takes precedence over the reports of other schedulers.
+/// Time for which a direct observation takes precedence over the reports of other schedulers, in microseconds.
 const OBSERVATION_PRECEDENCE: Micros = 2_000_000;
 /// Minimum time from the last report about a worker, sent or received, until this scheduler reports another fault of
-/// it. Recoveries are reported without delay.
+/// that worker, in microseconds. Recoveries are reported without delay.
 const MIN_REPORT_INTERVAL: Micros = 1_000_000;
 
 /// Health of one worker. All times are in microseconds on the caller's clock, which must be monotonic.
--- a/crates/fleet/src/peer_set.rs
+++ b/crates/fleet/src/peer_set.rs
@@ -12,17 +12,17 @@
 /// A point in time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Peers count as silent if no message arrived for this time. Peers that may send messages and have work send several
-/// a second.
+/// The peers count as silent if no message from any of them arrived for this time, in microseconds. Peers that may send
+/// messages and have work send several a second.
 pub const SILENCE_TIMEOUT: Micros = 1_000_000;
-/// After [`SILENCE_TIMEOUT`], the weight of the peers' messages falls to 0 over this time.
+/// After [`SILENCE_TIMEOUT`], the weight of the peers' messages falls to 0 over this time (microseconds).
 pub const FADE_TIME: Micros = 2_000_000;
 
 /// The other schedulers, as far as they are known. The module documentation describes the assumptions.
 #[derive(Clone, Debug)]
 pub struct PeerSet {
     fleet: FleetSize,
-    /// Whether peers may send each other messages.
+    /// True if peers may send each other messages.
     allowed: bool,
     /// Time of the last message from any peer.
     last_message: Option<Micros>,
--- a/crates/fleet/src/speed.rs
+++ b/crates/fleet/src/speed.rs
@@ -21,7 +21,7 @@
 
 impl Speed {
     /// Learns from a job. `error` is the natural logarithm of its run time divided by the run time at the estimated
-    /// speed. The estimate weighs as much as `prior` jobs at first, and at most as `max_weight` jobs, so that it
+    /// speed. The estimate has the weight of `prior` jobs at first, and of at most `max_weight` jobs later, so that it
     /// follows a worker whose speed changes.
     pub fn learn(&mut self, error: f64, prior: f64, max_weight: f64) {
         if error.is_finite() {
--- a/crates/freshness/src/lib.rs
+++ b/crates/freshness/src/lib.rs
@@ -18,10 +18,11 @@
 //! any age: with a shared service, nothing may be sent by it. Only a complete message renews the lease. Bytes of an
 //! incomplete change keep the watch open, but for no longer than [`MISSED_CHANGE_DELAY`].
 //!
-//! A missed change counts as notified [`MISSED_CHANGE_DELAY`] after discovery had it and could be reached. If discovery
-//! refuses or ends a call, it could not be reached when the call was made, so the delay starts again at that time. The
-//! silence of a watch or a call does not show this, so after a silence the delay keeps running until a message arrives.
-//! The same applies if another scheduler has reached discovery in the meantime ([`ListLease::discovery_reachable`]).
+//! A missed change counts as notified [`MISSED_CHANGE_DELAY`] after the first time at which discovery had the change
+//! and could be reached. If discovery refuses or ends a call, discovery could not be reached when the call was made, so
+//! the delay starts again at that time. The silence of a watch or a call does not show that discovery could not be
+//! reached, so after a silence the delay keeps running until a message arrives. The delay also keeps running if another
+//! scheduler has reached discovery in the meantime ([`ListLease::discovery_reachable`]).
 //!
 //! With a *local agent* ([`ListSource::LocalAgent`]), an agent on the scheduler's own machine answers at once and at no
 //! cost: the lease requests each call itself ([`WatchAction::Open`]) and repeats it until there is an answer. With a
@@ -37,7 +38,7 @@
 const MILLI: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Interval of the empty lines that a watch sends while nothing changes.
+/// Interval at which discovery sends an empty line on a watch while nothing changes.
 pub const KEEPALIVE_INTERVAL: Micros = 2 * SECOND;
 /// A watch is silent if nothing arrived for this time: one keepalive interval, and the delay that a busy machine may
 /// add.
@@ -49,7 +50,8 @@
 /// A call to a local agent is silent if there was no message for this time, since an agent answers at once.
 pub const AGENT_TIMEOUT: Micros = SECOND;
 /// A call to a shared service, which may have to queue there, is silent if there was no message for this time. The
-/// service answers or refuses within 2 s, and a second call must fit in before changes that the first one missed count.
+/// service answers or refuses within 2 s, and a second call must be possible before changes that the first call missed
+/// count as notified.
 pub const SERVICE_TIMEOUT: Micros = 3 * SECOND;
 /// Maximum delay of a scheduler between reading its clock and writing to a connection. The lease ends earlier by this
 /// time.
@@ -92,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct ListLease {
     source: ListSource,
-    /// Time after the notification of a change for which a scheduler may still act on the old list.
+    /// Grace period: time after the notification of a change for which a scheduler may still act on the old list.
     grace: Micros,
     /// Start of the process.
     started: Micros,
@@ -105,10 +107,10 @@
     confirmed: Option<Micros>,
     /// Time at which changes that may have been missed count as notified; `None`: at a time before the process started.
     notified_at: Option<Micros>,
-    /// Whether discovery may have been reachable since the list was confirmed. A refused call then does not extend the
+    /// True if discovery may have been reachable since the list was confirmed. A refused call then does not extend the
     /// lease.
     maybe_reachable: bool,
-    /// Whether discovery has moved and no message has arrived from the new address yet. Confirmations of other
+    /// True if discovery has moved and no message has arrived from the new address yet. Confirmations of other
     /// schedulers may then refer to the old address.
     moved: bool,
 }
@@ -210,14 +212,15 @@
         self.state = WatchState::Closed(now);
     }
 
-    /// Records that this scheduler ended the watch, or could not or did not want to request one.
+    /// Records that this scheduler ended the watch, or that it requested none, because none is wanted or the request
+    /// failed.
     pub fn watch_closed(&mut self, now: Micros) {
         self.maybe_reachable = true;
         self.state = WatchState::Closed(now);
     }
 
     /// Records that discovery has moved to another address. Changes at the new address count as notified after
-    /// [`MOVE_DELAY`]; changes that were missed before do not count any later because of the move.
+    /// [`MOVE_DELAY`]; the move does not postpone the time at which changes that were missed before count.
     pub fn discovery_moved(&mut self, now: Micros) {
         self.notified_at = self.notified_at.map(|notified_at| notified_at.min(now + MOVE_DELAY));
         self.moved = true;
--- a/crates/freshness/src/witness.rs
+++ b/crates/freshness/src/witness.rs
@@ -20,12 +20,12 @@
 pub const VERSION: u8 = 0xf1;
 /// Number of other schedulers that get each question.
 pub const PEERS_PER_QUESTION: usize = 3;
-/// Age of the last confirmation from which on a scheduler asks. Before, there is time for a message of discovery
-/// itself.
+/// Age of the last confirmation, in microseconds, from which on a scheduler asks other schedulers. Before that age, a
+/// message of discovery itself may still arrive in time.
 const MIN_AGE_TO_ASK: Micros = 4_000_000;
-/// Interval between the first two questions. Each further interval is twice the previous one.
+/// Interval between the first two questions, in microseconds. Each further interval is twice the previous one.
 const FIRST_INTERVAL: Micros = 300_000;
-/// Maximum interval between two questions.
+/// Maximum interval between two questions, in microseconds.
 const MAX_INTERVAL: Micros = 2_400_000;
 
 /// Type byte of a question.
--- a/crates/knowledge/src/lanes.rs
+++ b/crates/knowledge/src/lanes.rs
@@ -13,7 +13,7 @@
     /// Largest number of jobs seen running at once.
     #[serde(rename = "most")]
     max_running: usize,
-    /// Whether a job had to wait while `max_running` jobs ran.
+    /// True if a job had to wait while `max_running` jobs ran.
     #[serde(rename = "capped")]
     is_exact: bool,
 }
--- a/crates/shutdown/src/lib.rs
+++ b/crates/shutdown/src/lib.rs
@@ -22,15 +22,16 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Minimum time from SIGTERM to SIGKILL, in addition to the longest deadline of the classes. That deadline counts up
-/// to [`MAX_COUNTED_DEADLINE`].
+/// Minimum time from SIGTERM to SIGKILL beyond the longest deadline of the classes, in microseconds. The longest
+/// deadline counts as at most [`MAX_COUNTED_DEADLINE`].
 pub const KILL_MARGIN: Micros = 700_000;
-/// Upper limit for the longest deadline of the classes when the time from SIGTERM to SIGKILL is computed.
+/// Upper limit for the longest deadline of the classes, in microseconds, when the time from SIGTERM to SIGKILL is
+/// computed.
 pub const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// Final answers are sent this long before the earliest SIGKILL.
+/// Final answers are sent this long before the earliest SIGKILL, in microseconds.
 pub const FINAL_ANSWER_MARGIN: Micros = 200_000;
-/// Requests with attempts in flight are transferred to the successor this long before the earliest SIGKILL. Most attempts
-/// have ended by then.
+/// Requests with attempts in flight are transferred to the successor this long before the earliest SIGKILL, in
+/// microseconds. Most attempts have ended by that time.
 pub const HANDOVER_MARGIN: Micros = 600_000;
 
 /// State of an attempt, as the rules on repeats distinguish it.
