--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -68,7 +68,7 @@
     /// No complete request has arrived yet.
     awaits_first_request: bool,
     last_activity: Micros,
-    /// When the first byte of the incomplete request arrived, in microseconds.
+    /// Time at which the first byte of the incomplete request arrived, in microseconds.
     request_started: Option<Micros>,
 }
 
--- a/src/net/http/upstream.rs
+++ b/src/net/http/upstream.rs
@@ -24,11 +24,11 @@
 /// Idle connections are closed this long before the worker's own idle timeout, in microseconds. The answer
 /// that started the idle period and the next request each spend part of this time on the network.
 const IDLE_MARGIN: Micros = 300 * MILLI;
-/// Time without a kept connection breaking under a request after which the idle limit is doubled again, in
-/// microseconds.
+/// Time after which a lowered idle limit is doubled, in microseconds, if it was not lowered again during that
+/// time.
 const RECOVERY_INTERVAL: Micros = 60_000 * MILLI;
-/// Smallest idle limit, in microseconds. A connection that was idle for less did not break because it was
-/// idle.
+/// Smallest idle limit, in microseconds. If a connection breaks after a shorter idle time, the idle time is
+/// not taken as the cause.
 const MIN_IDLE_LIMIT: Micros = 50 * MILLI;
 /// Share of kept connections that must break under a request, in a moving average over about the last ten,
 /// before the idle limit is lowered. Breaks also occur for other reasons, and opening a connection per
@@ -53,7 +53,7 @@
     opened_at: Micros,
     is_connected: bool,
     task: Task,
-    /// When the connection last became idle, in microseconds; `None` during its first request.
+    /// Time at which the connection last became idle, in microseconds; `None` during its first request.
     idle_since: Option<Micros>,
     /// Time for which the connection was idle before the current request was written, in microseconds; `None`
     /// for the first request of a connection.
@@ -76,7 +76,7 @@
     max: Micros,
     /// Moving average of the share of kept connections that broke under a request.
     break_rate: f64,
-    /// When `limit` was last changed, in microseconds.
+    /// Time at which `limit` was last changed, in microseconds.
     changed_at: Micros,
 }
 
@@ -111,7 +111,8 @@
         if idle >= MIN_IDLE_LIMIT {
             self.break_rate += (1.0 - self.break_rate) * 0.1;
             if self.break_rate > MAX_BREAK_RATE {
-                // Half of an idle time that was too long: a few such breaks converge on a safe limit.
+                // The new limit is half of the idle time after which the connection broke, so a few breaks
+                // bring the limit down to a safe value.
                 (self.limit, self.changed_at) = (self.limit.min(idle / 2).max(MIN_IDLE_LIMIT), now);
             }
         }
@@ -135,9 +136,9 @@
     connect_timeout: Micros,
     idle_limit: IdleLimit,
     max_connections: usize,
-    /// Number of connections opened, and of requests sent on a kept connection, since the start of the
-    /// process.
+    /// Number of connections opened since the start of the process.
     opened_total: u64,
+    /// Number of requests sent on a kept connection since the start of the process.
     reused_total: u64,
 }
 
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Sends an attempt. A failure is reported to the request table.
+    /// Sends an attempt that may take `timeout` microseconds. A failure is reported to the request table.
     pub fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
@@ -237,14 +238,14 @@
         attempt: AttemptId,
         worker: WorkerId,
         payload: &Payload,
-        wait: Micros,
+        timeout: Micros,
     ) {
-        let timeout = format!("{:.3}", wait as f64 / 1e6);
+        let timeout_s = format!("{:.3}", timeout as f64 / 1e6);
         let is_forwarded =
             |name: &str| !NOT_FORWARDED.iter().any(|dropped| name.eq_ignore_ascii_case(dropped));
         let mut headers: Vec<(&str, &str)> =
             payload.headers.iter().filter(|(name, _)| is_forwarded(name)).collect();
-        headers.push(("Request-Timeout", &timeout));
+        headers.push(("Request-Timeout", &timeout_s));
         let bytes = framing::write_request("POST", &payload.target, &headers, &payload.body);
         if !self.send_request(ctx, idle_clients, worker, Task::Attempt(attempt), &bytes) {
             ctx.request_table.connection_broken(ctx.now, attempt);
@@ -344,8 +345,8 @@
                 self.drop_connection(ctx, token);
                 continue;
             }
-            // Detects a close that arrived after the poll: a request written now would count as one that may
-            // have run.
+            // Detects that the worker closed the connection after the poll. A request written on the closed
+            // connection would fail but count as one that may have run.
             let still_open = matches!(connection.stream.read(&mut [0]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
             if still_open {
                 return Some(token);
@@ -526,7 +527,8 @@
                             report,
                         );
                     }
-                    // Any status will do: the worker has received the cancellation or does not know the job.
+                    // Any status confirms the cancellation: the worker has received it or does not know the
+                    // job.
                     Task::Cancel(attempt) => ctx.request_table.cancel_delivered(ctx.now, attempt),
                     Task::Idle => {}
                 }
@@ -595,7 +597,8 @@
     /// Handles the timeout of a connect, of a probe or cancellation, or of the answer to an attempt.
     fn handle_timeout(&mut self, ctx: &mut Context<'_>, token: usize) {
         match self.connections.get(&token) {
-            // The worker may have the job and may still send callbacks for it: the dispatcher decides.
+            // The worker may have the job and may still send callbacks for it, so the dispatcher decides
+            // whether the attempt has failed.
             Some(Connection { is_connected: true, task: Task::Attempt(attempt), .. }) => {
                 ctx.request_table.acceptance_overdue(*attempt)
             }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -47,14 +47,14 @@
     /// Settings that belong to this scheduler alone and are never agreed.
     local_settings: Document,
     watch: Option<Call>,
-    /// When the watch was opened, when it last brought input, and when a machine with a majority last
+    /// Times at which the watch was opened, it last brought input, and a machine with a majority last
     /// confirmed it, in microseconds.
     opened_at: Micros,
     last_input: Option<Micros>,
     last_majority: Micros,
     /// The last version that the watched machine reported.
     machine_seq: u64,
-    /// When the next machine is tried, in microseconds.
+    /// Time at which the next machine is tried, in microseconds.
     retry_at: Option<Micros>,
     failures: u32,
     report_call: Option<Call>,
@@ -327,7 +327,7 @@
         self.update_deadlines(ctx);
     }
 
-    /// When the watch counts as broken unless it brings input, in microseconds.
+    /// Time from which on the watch counts as broken unless it brings input, in microseconds.
     fn watch_deadline(&self) -> Micros {
         self.last_input.map_or(self.opened_at + RESPONSE_TIMEOUT, |last_input| last_input + WATCH_TIMEOUT)
     }
--- a/src/net/platform/discovery/mod.rs
+++ b/src/net/platform/discovery/mod.rs
@@ -1,6 +1,7 @@
 //! Client of discovery: fetches and watches the list of workers. The dispatcher decides when to query a
-//! discovery service that is shared by the fleet; an agent on the same machine is queried whenever the list's
-//! clock ([`calicolb_freshness`]) requests it. Received lists and lost calls are reported to the dispatcher.
+//! discovery service that is shared by the fleet; an agent on the same machine is queried whenever the lease
+//! on the list ([`calicolb_freshness`]) requests it. Received lists and lost calls are reported to the
+//! dispatcher.
 
 mod digest;
 mod entry;
@@ -37,9 +38,11 @@
 pub struct DiscoveryClient {
     /// Address of discovery, if there is one.
     discovery: Option<SocketAddr>,
-    /// Freshness of the list.
-    clock: ListLease,
+    /// Lease on the list: the state of the watch, and the time until which the list may be used.
+    lease: ListLease,
+    /// Version of the list.
     seq: u64,
+    /// Workers on the list.
     listed: HashMap<WorkerId, Entry>,
     fetch: Option<Call>,
     watch: Option<Call>,
@@ -68,8 +71,9 @@
     versions: u64,
     /// Versions that were ignored because they are older than the known one.
     outdated: u64,
-    /// Answers of other schedulers that confirmed the list, and answers that showed a newer one.
+    /// Answers of other schedulers that confirmed the list.
     confirmed_by_peer: u64,
+    /// Answers of other schedulers that showed a newer list.
     newer_at_peer: u64,
 }
 
@@ -77,14 +81,14 @@
     /// Creates a client without a list. `grace`: time after notification of a change during which a scheduler
     /// may still act on the old list, in microseconds.
     pub fn new(discovery: Option<SocketAddr>, on_request: bool, grace: Micros, now: Micros) -> Self {
-        let mode = match discovery {
+        let source = match discovery {
             None => ListSource::Fixed,
             Some(_) if on_request => ListSource::SharedService,
             Some(_) => ListSource::LocalAgent,
         };
         DiscoveryClient {
             discovery,
-            clock: ListLease::new(mode, grace, now),
+            lease: ListLease::new(source, grace, now),
             seq: 0,
             listed: HashMap::new(),
             fetch: None,
@@ -107,41 +111,42 @@
         initial: Option<ListUpdate>,
         since_confirmation: Option<Micros>,
     ) {
-        // With a local agent the lease starts with the process, whatever the predecessor was notified of.
-        if let Some(elapsed) = since_confirmation.filter(|_| self.clock.source() == ListSource::SharedService)
+        // With a local agent the lease starts with the process, because changes that the agent has received
+        // count as notified from that time on, whatever the predecessor was notified of.
+        if let Some(elapsed) = since_confirmation.filter(|_| self.lease.source() == ListSource::SharedService)
         {
-            self.clock.confirm(self.clock.started().saturating_sub(elapsed));
+            self.lease.confirm(self.lease.started().saturating_sub(elapsed));
         }
         let update = initial.unwrap_or(ListUpdate { seq: 0, whole: true, hosts: Vec::new() });
         self.apply(ctx, workers, update, ListKind::Saved);
-        ctx.deadlines.set(Deadline::Readiness, self.clock.started() + READY_TIMEOUT);
+        ctx.deadlines.set(Deadline::Readiness, self.lease.started() + READY_TIMEOUT);
         self.update_deadlines(ctx);
     }
 
     /// Sets the time after notification of a change during which a scheduler may still act on the old list,
     /// in microseconds.
     pub fn set_grace(&mut self, ctx: &mut Context<'_>, grace: Micros) {
-        if self.clock.set_grace(grace) {
+        if self.lease.set_grace(grace) {
             self.update_deadlines(ctx);
         }
     }
 
     /// Time since the list was last confirmed, in microseconds, for the handover to a successor.
     pub fn time_since_confirmation(&self, now: Micros) -> Option<Micros> {
-        self.clock.confirmed().map(|confirmed| now.saturating_sub(confirmed))
+        self.lease.confirmed().map(|confirmed| now.saturating_sub(confirmed))
     }
 
     /// Returns whether clients may be served: the list can be acted on, or it has been unconfirmed for
     /// `READY_TIMEOUT`, so that clients are refused instead of being kept waiting.
     pub fn is_ready(&self, now: Micros) -> bool {
-        !self.stale(now) || now >= self.clock.started() + READY_TIMEOUT
+        !self.stale(now) || now >= self.lease.started() + READY_TIMEOUT
     }
 
     /// Metrics of the list by name.
     pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 9] {
         [
             ("list.version", self.seq),
-            ("list.watch_open", u64::from(matches!(self.clock.state(), WatchState::Open(_)))),
+            ("list.watch_open", u64::from(matches!(self.lease.state(), WatchState::Open(_)))),
             ("list.stale", u64::from(self.stale(now))),
             ("list.calls", self.counters.calls),
             ("list.lost", self.counters.lost),
@@ -181,29 +186,30 @@
         }
         if enabled {
             let target = format!("/discovery/hosts?watch=1&from={}", self.seq);
-            self.clock.watch_requested(ctx.now);
+            self.lease.watch_requested(ctx.now);
             self.watch = self.open_call(ctx, idle_clients, &target);
             if self.watch.is_none() {
-                self.clock.watch_closed(ctx.now);
+                self.lease.watch_closed(ctx.now);
             }
         } else {
             self.close_previous_watch(ctx);
-            self.clock.watch_closed(ctx.now);
+            self.lease.watch_closed(ctx.now);
         }
         self.update_deadlines(ctx);
     }
 
-    /// Sets the deadlines that the clock asks for, and tells the dispatcher when the lease of the list ends.
+    /// Sets the deadlines that the lease and the queries to other schedulers ask for, and tells the
+    /// dispatcher when the lease ends.
     fn update_deadlines(&mut self, ctx: &mut Context<'_>) {
-        match self.clock.due() {
+        match self.lease.due() {
             Some(due) => ctx.deadlines.set(Deadline::DiscoveryWatch, due),
             None => ctx.deadlines.clear(Deadline::DiscoveryWatch),
         }
-        match self.inquiry.due(&self.clock) {
+        match self.inquiry.due(&self.lease) {
             Some(due) => ctx.deadlines.set(Deadline::PeerListCheck, due),
             None => ctx.deadlines.clear(Deadline::PeerListCheck),
         }
-        let lease_end = self.clock.lease_end();
+        let lease_end = self.lease.lease_end();
         if lease_end != self.lease_end {
             self.lease_end = lease_end;
             ctx.request_table.set_list_lease_end(lease_end);
@@ -222,7 +228,7 @@
     /// Returns whether the lease of the list has ended or never started, so that nothing new may be sent
     /// based on it.
     fn stale(&self, now: Micros) -> bool {
-        self.clock.lease_end().is_some_and(|lease_end| now >= lease_end)
+        self.lease.lease_end().is_some_and(|lease_end| now >= lease_end)
     }
 
     /// Handles the end of the lease of the list.
@@ -243,7 +249,7 @@
     pub fn set_address(&mut self, ctx: &mut Context<'_>, discovery: Option<SocketAddr>) {
         if self.discovery != discovery {
             self.discovery = discovery;
-            self.clock.discovery_moved(ctx.now);
+            self.lease.discovery_moved(ctx.now);
             ctx.request_table.list_source_changed();
             self.update_deadlines(ctx);
         }
@@ -332,7 +338,7 @@
         let Some(mut call) = self.watch.take() else { return };
         // Input that stayed unread while this process was stopped may be old, so it confirms nothing. The
         // watch times out later in this iteration.
-        let overdue = self.clock.due().is_some_and(|due| due <= ctx.now);
+        let overdue = self.lease.due().is_some_and(|due| due <= ctx.now);
         let mut updates = Vec::new();
         let WatchRead { input, end } = read_watch(&mut call, &mut updates);
         let applied = updates.into_iter().try_for_each(|update| self.apply_if_current(ctx, workers, update));
@@ -343,9 +349,9 @@
             _ if overdue => {
                 log_line!("discovery: input that stayed unread past its deadline does not confirm the list")
             }
-            WatchInput::Partial => self.clock.bytes_received(ctx.now),
+            WatchInput::Partial => self.lease.bytes_received(ctx.now),
             WatchInput::Complete => {
-                self.clock.message_received(ctx.now);
+                self.lease.message_received(ctx.now);
                 self.inquiry.reset();
             }
         }
@@ -372,7 +378,7 @@
             }
             return;
         }
-        match self.clock.poll(ctx.now) {
+        match self.lease.poll(ctx.now) {
             Some(WatchAction::Open) => return self.set_watch(ctx, idle_clients, true),
             Some(WatchAction::GiveUp) => {
                 if let Some(call) = self.watch.take() {
@@ -391,7 +397,7 @@
         if due == Deadline::DiscoveryFetch {
             ctx.deadlines.clear(due);
         } else {
-            self.clock.watch_failed(ctx.now);
+            self.lease.watch_failed(ctx.now);
             self.update_deadlines(ctx);
         }
         self.report_loss(ctx);
@@ -400,7 +406,7 @@
     /// Reports a lost call to the dispatcher, which decides when a shared discovery service is queried again.
     /// An agent is queried without the dispatcher.
     fn report_loss(&self, ctx: &mut Context<'_>) {
-        if self.clock.source() == ListSource::SharedService {
+        if self.lease.source() == ListSource::SharedService {
             ctx.request_table.update_workers(WorkerSource::Discovery, ListKind::Lost, Vec::new());
         }
     }
--- a/src/net/platform/discovery/peer_queries.rs
+++ b/src/net/platform/discovery/peer_queries.rs
@@ -10,7 +10,7 @@
 impl DiscoveryClient {
     /// Queries some other schedulers about their lists if a query is due.
     pub fn query_peers(&mut self, ctx: &mut Context<'_>) {
-        if self.inquiry.due(&self.clock).is_some_and(|due| due <= ctx.now) {
+        if self.inquiry.due(&self.lease).is_some_and(|due| due <= ctx.now) {
             let question = self.inquiry.ask(ctx.now);
             ctx.send_to_peers(PeerTarget::Random(PEERS_PER_QUESTION), question.encode());
         }
@@ -22,12 +22,12 @@
         let own = *self.digest.get_or_insert_with(|| list_digest(self.listed.values()));
         match message {
             Message::Question { number } => {
-                if let Some(answer) = Inquiry::answer(number, &self.clock, own, ctx.now) {
+                if let Some(answer) = Inquiry::answer(number, &self.lease, own, ctx.now) {
                     ctx.send_to_peers(PeerTarget::Rank(from), answer.encode());
                 }
             }
             Message::Answer { number, digest, age_ms } => {
-                let verdict = self.inquiry.handle_answer(&mut self.clock, own, (number, digest, age_ms));
+                let verdict = self.inquiry.handle_answer(&mut self.lease, own, (number, digest, age_ms));
                 match verdict {
                     Verdict::Nothing => return,
                     Verdict::Confirmed => self.counters.confirmed_by_peer += 1,
--- a/src/net/platform/discovery/versions.rs
+++ b/src/net/platform/discovery/versions.rs
@@ -23,7 +23,7 @@
         workers: &mut UpstreamConnections,
         update: ListUpdate,
     ) -> Result<(), &'static str> {
-        let confirmed = self.clock.confirmed().unwrap_or(self.clock.started());
+        let confirmed = self.lease.confirmed().unwrap_or(self.lease.started());
         if update.seq < self.seq && ctx.now < confirmed + MISSED_CHANGE_DELAY {
             self.counters.outdated += 1;
             return Err("the list is older than the one that is known");
--- a/src/net/platform/upgrade.rs
+++ b/src/net/platform/upgrade.rs
@@ -118,7 +118,7 @@
 /// The role of the process at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The process that ran before.
+    /// The process that was running before the upgrade.
     Predecessor,
     /// The process that replaces the other one.
     Successor,
@@ -152,8 +152,8 @@
             }
         }
         if received.flags.contains(ReturnFlags::CTRUNC) {
-            // A descriptor arrived for which this process had no free slot. Its message gets none, instead of
-            // the descriptor of the next message.
+            // A descriptor arrived, but this process had no free descriptor number for it. `None` takes its
+            // place, so that its message does not get the descriptor of the next message.
             self.1.push_back(None);
         }
         Ok(received.bytes)
@@ -167,11 +167,12 @@
     listener: Option<UnixListener>,
     predecessor: Option<Link>,
     successor: Option<Link>,
-    /// Passed connections in the order of their messages. They are kept apart from the link, whose last
-    /// messages may arrive together with its end.
+    /// Passed connections in the order of their messages; `None` if a connection could not be received. They
+    /// are kept apart from the link, because the last messages of a link may arrive together with its end.
     received_descriptors: VecDeque<Option<OwnedFd>>,
-    /// How far the predecessor's clock is ahead of this process's clock, in microseconds. This is the largest
-    /// value that its messages have shown, since each message spent some time in transit.
+    /// How far the predecessor's clock is ahead of this process's clock, in microseconds: the largest value
+    /// that a message of the predecessor has shown. Each message spent some time in transit and so shows too
+    /// small a value.
     clock_offset: Option<i64>,
 }
 
@@ -211,14 +212,13 @@
         }
     }
 
-    /// Stops listening for a successor, because this process has one: the next successor connects to that
-    /// one.
+    /// Stops listening, because this process has a successor: a later process connects to that successor.
     pub fn stop_listening(&mut self) {
         self.listener = None;
     }
 
-    /// Accepts connections of successors. A later one replaces an earlier one, since there is only one role
-    /// to hand over.
+    /// Accepts connections of successors. A later connection replaces an earlier one, since this process can
+    /// hand over to only one successor.
     pub fn accept(&mut self, ctx: &mut Context<'_>) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             self.successor = register_link(ctx, stream);
