--- a/crates/rig/src/calibrate/command.rs
+++ b/crates/rig/src/calibrate/command.rs
@@ -4,7 +4,7 @@
 use super::direct::{Direct, Measured, measure};
 use super::play::{Real, play};
 use super::process::program;
-use calicolb_hollow::{Account, Plan, Trouble};
+use calicolb_simulation::{Account, Plan, Trouble};
 use clap::Args;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -135,7 +135,7 @@
         let plan = Plan { seed, ..plan(how) };
         // What a start costs is the same for each.
         let real = play(&program, &plan, seed == how.seed)?;
-        plays.push(Played { seed, real, hollow: calicolb_hollow::play(&plan) });
+        plays.push(Played { seed, real, hollow: calicolb_simulation::play(&plan) });
     }
     let one = match how.seeds {
         0 => Measured::default(),
--- a/crates/rig/src/calibrate/compare.rs
+++ b/crates/rig/src/calibrate/compare.rs
@@ -3,7 +3,7 @@
 use super::counts::{FUNCTIONS, Flow, Traffic};
 use super::direct::Measured;
 use super::play::Real;
-use calicolb_hollow::{Account, Plan};
+use calicolb_simulation::{Account, Plan};
 use serde::Serialize;
 
 /// Counts of messages and bytes are alike within this part of the real figure, ...
@@ -51,7 +51,7 @@
 pub fn chance(plan: &Plan, plays: u64, real: &[&Real]) -> Vec<Chance> {
     // Seeds that no real play had.
     let accounts: Vec<Account> = (0..plays)
-        .map(|nr| calicolb_hollow::play(&Plan { seed: plan.seed + 1_000 + nr, ..plan.clone() }))
+        .map(|nr| calicolb_simulation::play(&Plan { seed: plan.seed + 1_000 + nr, ..plan.clone() }))
         .collect();
     let of = |function: &'static str| {
         let counts: Vec<f64> =
--- a/crates/rig/src/calibrate/direct.rs
+++ b/crates/rig/src/calibrate/direct.rs
@@ -8,7 +8,7 @@
 use super::scenario;
 use super::stage::{Change, Stage};
 use calicolb::wire::worker_id;
-use calicolb_hollow::Plan;
+use calicolb_simulation::Plan;
 use serde::Serialize;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -119,7 +119,7 @@
 
 fn scene(program: &Path, sizes: &Plan, settings: &serde_json::Value) -> Result<Scene, String> {
     let outline =
-        calicolb_hollow::outline(&Plan { seconds: 0, warm_up: 0, running: Some(0.0), ..sizes.clone() });
+        calicolb_simulation::outline(&Plan { seconds: 0, warm_up: 0, running: Some(0.0), ..sizes.clone() });
     let (kinds, hosts) = scenario::workers(&outline, settings);
     let mut stage =
         Stage::new(kinds, hosts, scenario::ways(settings), Capacity::default(), sizes.schedulers as usize)?;
--- a/crates/rig/src/calibrate/play.rs
+++ b/crates/rig/src/calibrate/play.rs
@@ -8,7 +8,7 @@
 use super::scenario;
 use super::stage::Stage;
 use super::submitters::{Outcome, Told};
-use calicolb_hollow::Plan;
+use calicolb_simulation::Plan;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -117,7 +117,7 @@
 ///
 /// The program does not start or serve, or a socket cannot be had.
 pub fn play(program: &Path, plan: &Plan, anew: bool) -> Result<Real, String> {
-    let outline = calicolb_hollow::outline(plan);
+    let outline = calicolb_simulation::outline(plan);
     let settings = scenario::settings(plan);
     let (kinds, hosts) = scenario::workers(&outline, &settings);
     let ranks = plan.schedulers as usize;
--- a/crates/rig/src/calibrate/scenario.rs
+++ b/crates/rig/src/calibrate/scenario.rs
@@ -3,7 +3,7 @@
 use super::crew::{Kind, Ways};
 use super::discovery::Host;
 use super::submitters::Submission;
-use calicolb_hollow::{Outline, Plan};
+use calicolb_simulation::{Outline, Plan};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -62,7 +62,7 @@
 
 /// The requests as clients submit them, and which of them count.
 pub fn submissions(outline: &Outline, settings: &Value) -> (Vec<Submission>, Vec<bool>) {
-    let one = |(nr, request): (usize, &calicolb_hollow::RequestOutline)| {
+    let one = |(nr, request): (usize, &calicolb_simulation::RequestOutline)| {
         let tenant = request.tenant.and_then(|tenant| settings["orgs"][tenant]["name"].as_str());
         let mut headers = vec![
             ("Request-Class", request.class_name.to_owned()),
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -1,6 +1,6 @@
 //! A hollow fleet at a stated size: what it does and what control costs, as a table or as one JSON object.
 
-use calicolb_hollow::{Account, Plan, Trouble};
+use calicolb_simulation::{Account, Plan, Trouble};
 use clap::{Args, ValueEnum};
 
 /// What goes wrong.
@@ -113,7 +113,7 @@
 
     /// Plays it, and prints what came of it.
     pub fn run(&self) -> Result<(), String> {
-        let account = calicolb_hollow::play(&self.plan()?);
+        let account = calicolb_simulation::play(&self.plan()?);
         if self.json {
             let text = serde_json::to_string(&account).map_err(|error| error.to_string())?;
             println!("{text}");
--- a/crates/rig/tests/calibrate.rs
+++ b/crates/rig/tests/calibrate.rs
@@ -1,9 +1,9 @@
 //! A small calibration: three processes of the program, six workers, a few seconds, and the hollow fleet beside them.
 
-use calicolb_hollow::Plan;
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
 use calicolb_rig::calibrate::play::play;
 use calicolb_rig::calibrate::process::program;
+use calicolb_simulation::Plan;
 
 /// Replays by `calicolb-rig calibrate` with these figures.
 fn plan() -> Plan {
@@ -29,7 +29,7 @@
     println!("seed {}", plan.seed);
     let program = program(None).expect("the program is there");
     let real = play(&program, &plan, true).expect("the processes start and serve");
-    let hollow = calicolb_hollow::play(&plan);
+    let hollow = calicolb_simulation::play(&plan);
 
     // The same requests came to both, and each was answered with the result of a worker that ran it once.
     assert_eq!(real.jobs, hollow.jobs);
--- a/crates/hollow/tests/changes.rs
+++ b/crates/simulation/tests/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of configuration in a small hollow fleet, with the control machine that leads killed on the way.
 
-use calicolb_hollow::{Plan, Trouble, play};
+use calicolb_simulation::{Plan, Trouble, play};
 
 fn plan(seed: u64) -> Plan {
     Plan {
--- a/crates/hollow/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Small hollow fleets: counts, not times. A failure is played again by the seed in its message.
 
-use calicolb_hollow::{Account, Links, Plan, Traffic, Trouble, encode, play};
+use calicolb_simulation::{Account, Links, Plan, Traffic, Trouble, encode, play};
 
 const SEED: u64 = 7;
 
--- a/crates/hollow/tests/outline.rs
+++ b/crates/simulation/tests/outline.rs
@@ -1,6 +1,6 @@
 //! The outline of a plan has the requests and workers that a play of it has.
 
-use calicolb_hollow::{Plan, outline, play};
+use calicolb_simulation::{Plan, outline, play};
 
 #[test]
 fn an_outline_has_the_requests_of_the_play() {
@@ -30,7 +30,7 @@
         assert!(drawn.requests.iter().all(|request| request.counts == (request.at >= drawn.counts.0)));
         assert!(drawn.requests.iter().all(|request| request.at < drawn.counts.1 && request.rank < 4));
         // Every scheduler, class and tenant has some.
-        let had = |of: fn(&calicolb_hollow::RequestOutline) -> usize| {
+        let had = |of: fn(&calicolb_simulation::RequestOutline) -> usize| {
             drawn.requests.iter().map(of).collect::<std::collections::BTreeSet<_>>().len()
         };
         assert_eq!(had(|request| request.rank as usize), 4);
