--- a/crates/rig/src/calibrate/command.rs
+++ b/crates/rig/src/calibrate/command.rs
@@ -4,7 +4,7 @@
 use super::direct::{Direct, Measured, measure};
 use super::play::{Real, play};
 use super::process::program;
-use calicolb_simulation::{Account, Plan, Trouble};
+use calicolb_simulation::{Incident, Plan, Summary};
 use clap::Args;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -74,7 +74,7 @@
 struct Played {
     seed: u64,
     real: Real,
-    hollow: Account,
+    hollow: Summary,
 }
 
 /// What came of it.
@@ -135,13 +135,13 @@
         let plan = Plan { seed, ..plan(how) };
         // What a start costs is the same for each.
         let real = play(&program, &plan, seed == how.seed)?;
-        plays.push(Played { seed, real, hollow: calicolb_simulation::play(&plan) });
+        plays.push(Played { seed, real, hollow: calicolb_simulation::simulate(&plan) });
     }
     let one = match how.seeds {
         0 => Measured::default(),
         _ => measure(&program, &Direct::of(&plan(how), 10 * second, 5 * second))?,
     };
-    let pairs: Vec<(&Real, &Account)> = plays.iter().map(|play| (&play.real, &play.hollow)).collect();
+    let pairs: Vec<(&Real, &Summary)> = plays.iter().map(|play| (&play.real, &play.hollow)).collect();
     let compared = compare(&pairs, &one);
     let real: Vec<&Real> = plays.iter().map(|play| &play.real).collect();
     let chance = chance(&plan(how), how.hollow_seeds, &real);
@@ -165,11 +165,11 @@
         tenants: how.tenants,
         zones: how.zones,
         regions: how.regions.min(how.zones),
-        starts_per_s: how.starts.max(0.1),
-        running: how.running,
-        seconds: how.seconds.max(1),
-        warm_up: how.warm_up,
-        event: Trouble::None,
+        requests_per_s: how.starts.max(0.1),
+        running_tasks: how.running,
+        measured_seconds: how.seconds.max(1),
+        warm_up_seconds: how.warm_up,
+        incident: Incident::None,
         seed: how.seed,
         ..Plan::default()
     }
--- a/crates/rig/src/calibrate/compare.rs
+++ b/crates/rig/src/calibrate/compare.rs
@@ -3,7 +3,7 @@
 use super::counts::{FUNCTIONS, Flow, Traffic};
 use super::direct::Measured;
 use super::play::Real;
-use calicolb_simulation::{Account, Plan};
+use calicolb_simulation::{Plan, Summary};
 use serde::Serialize;
 
 /// Counts of messages and bytes are alike within this part of the real figure, ...
@@ -50,8 +50,8 @@
 /// processes of the same size.
 pub fn chance(plan: &Plan, plays: u64, real: &[&Real]) -> Vec<Chance> {
     // Seeds that no real play had.
-    let accounts: Vec<Account> = (0..plays)
-        .map(|nr| calicolb_simulation::play(&Plan { seed: plan.seed + 1_000 + nr, ..plan.clone() }))
+    let accounts: Vec<Summary> = (0..plays)
+        .map(|nr| calicolb_simulation::simulate(&Plan { seed: plan.seed + 1_000 + nr, ..plan.clone() }))
         .collect();
     let of = |function: &'static str| {
         let counts: Vec<f64> =
@@ -110,8 +110,8 @@
 
 /// Holds plays of the same plans against each other, all together; `one`: what messages cost one process by itself, at the
 /// same size.
-pub fn compare(plays: &[(&Real, &Account)], one: &Measured) -> Compared {
-    let sum = |of: &dyn Fn(&(&Real, &Account)) -> f64| plays.iter().map(of).sum::<f64>();
+pub fn compare(plays: &[(&Real, &Summary)], one: &Measured) -> Compared {
+    let sum = |of: &dyn Fn(&(&Real, &Summary)) -> f64| plays.iter().map(of).sum::<f64>();
     let row = |function: &'static str| {
         let add = |sum: Traffic, messages: u64, bytes: u64| sum.plus(Traffic { messages, bytes });
         let (mut real, mut hollow) = (Traffic::default(), Traffic::default());
@@ -138,7 +138,7 @@
         heard.map(|(flow, cost)| sum(&|(real, _)| real.counts.of(flow).messages as f64) * cost.cpu_us);
     let real_heard = heard.iter().sum::<f64>() / 1e3 / seconds;
     let real_control = one.idle_cpu_ms_per_s + real_heard;
-    let mean = |of: &dyn Fn(&(&Real, &Account)) -> f64| sum(of) / plays.len().max(1) as f64;
+    let mean = |of: &dyn Fn(&(&Real, &Summary)) -> f64| sum(of) / plays.len().max(1) as f64;
     let hollow_control = mean(&|(_, hollow)| hollow.control_cpu_ms_per_s_mean);
     let cpu_ratio = ratio(hollow_control, real_control);
     Compared {
--- a/crates/rig/src/calibrate/direct.rs
+++ b/crates/rig/src/calibrate/direct.rs
@@ -118,8 +118,12 @@
 }
 
 fn scene(program: &Path, sizes: &Plan, settings: &serde_json::Value) -> Result<Scene, String> {
-    let outline =
-        calicolb_simulation::outline(&Plan { seconds: 0, warm_up: 0, running: Some(0.0), ..sizes.clone() });
+    let outline = calicolb_simulation::workload(&Plan {
+        measured_seconds: 0,
+        warm_up_seconds: 0,
+        running_tasks: Some(0.0),
+        ..sizes.clone()
+    });
     let (kinds, hosts) = scenario::workers(&outline, settings);
     let mut stage =
         Stage::new(kinds, hosts, scenario::ways(settings), Capacity::default(), sizes.schedulers as usize)?;
--- a/crates/rig/src/calibrate/play.rs
+++ b/crates/rig/src/calibrate/play.rs
@@ -117,7 +117,7 @@
 ///
 /// The program does not start or serve, or a socket cannot be had.
 pub fn play(program: &Path, plan: &Plan, anew: bool) -> Result<Real, String> {
-    let outline = calicolb_simulation::outline(plan);
+    let outline = calicolb_simulation::workload(plan);
     let settings = scenario::settings(plan);
     let (kinds, hosts) = scenario::workers(&outline, &settings);
     let ranks = plan.schedulers as usize;
@@ -129,9 +129,9 @@
     let begun = Instant::now();
     stage.submit(begun, jobs);
     let micros = Duration::from_micros;
-    stage.run_until(begun + micros(outline.counts.0))?;
+    stage.run_until(begun + micros(outline.measured_span.0))?;
     let (before, from) = (snapshot(&stage, &processes), Instant::now());
-    stage.run_until(begun + micros(outline.counts.1))?;
+    stage.run_until(begun + micros(outline.measured_span.1))?;
     let (after, spent) = (snapshot(&stage, &processes), from.elapsed().as_secs_f64());
     // Until the last answer: none is later than its client's patience and some slack.
     let left = (begun + last + Duration::from_secs(10)).saturating_duration_since(Instant::now());
--- a/crates/rig/src/calibrate/scenario.rs
+++ b/crates/rig/src/calibrate/scenario.rs
@@ -3,7 +3,7 @@
 use super::crew::{Kind, Ways};
 use super::discovery::Host;
 use super::submitters::Submission;
-use calicolb_simulation::{Outline, Plan};
+use calicolb_simulation::{Plan, Workload};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 }
 
 /// The workers, and their lines on the list; where each listens is filled in by the stage.
-pub fn workers(outline: &Outline, settings: &Value) -> (Vec<Kind>, Vec<Host>) {
+pub fn workers(outline: &Workload, settings: &Value) -> (Vec<Kind>, Vec<Host>) {
     let class = |kind: usize| settings["kinds"][kind].as_str().unwrap_or_default().to_owned();
     let kinds = outline.workers.iter().map(|worker| Kind {
         name: worker.name.clone(),
@@ -61,27 +61,27 @@
 }
 
 /// The requests as clients submit them, and which of them count.
-pub fn submissions(outline: &Outline, settings: &Value) -> (Vec<Submission>, Vec<bool>) {
-    let one = |(nr, request): (usize, &calicolb_simulation::RequestOutline)| {
+pub fn submissions(outline: &Workload, settings: &Value) -> (Vec<Submission>, Vec<bool>) {
+    let one = |(nr, request): (usize, &calicolb_simulation::WorkloadRequest)| {
         let tenant = request.tenant.and_then(|tenant| settings["orgs"][tenant]["name"].as_str());
         let mut headers = vec![
             ("Request-Class", request.class_name.to_owned()),
-            ("Request-Timeout", format!("{:.3}", request.patience as f64 / 1e6)),
+            ("Request-Timeout", format!("{:.3}", request.client_timeout as f64 / 1e6)),
             ("Work-Hint", format!("{:.0}", request.hint)),
             ("Request-Info", format!("needs={}", request.slots)),
         ];
         headers.extend(tenant.map(|name| ("Tenant", name.to_owned())));
         Submission {
-            at: Duration::from_micros(request.at),
+            at: Duration::from_micros(request.sent_at),
             rank: request.rank as usize,
             id: format!("r{nr:08x}"),
             target: format!("/{}", request.class_name),
             headers,
             body: format!("work={:.0} slots={}", request.work, request.slots),
             aim: Duration::from_micros(request.aim),
-            patience: Duration::from_micros(request.patience),
+            patience: Duration::from_micros(request.client_timeout),
         }
     };
     let jobs = outline.requests.iter().enumerate().map(one).collect();
-    (jobs, outline.requests.iter().map(|request| request.counts).collect())
+    (jobs, outline.requests.iter().map(|request| request.measured).collect())
 }
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -1,6 +1,6 @@
 //! A hollow fleet at a stated size: what it does and what control costs, as a table or as one JSON object.
 
-use calicolb_simulation::{Account, Plan, Trouble};
+use calicolb_simulation::{Incident, Plan, Summary};
 use clap::{Args, ValueEnum};
 
 /// What goes wrong.
@@ -92,20 +92,20 @@
             tenants: self.tenants,
             zones: self.zones,
             regions: self.regions.min(self.zones),
-            starts_per_s: self.starts,
-            running: self.running,
-            seconds: self.seconds,
-            event: match self.event {
-                Event::None => Trouble::None,
-                Event::Worker => Trouble::Worker,
-                Event::Restarts => Trouble::Restarts,
-                Event::Rack => Trouble::Rack,
-                Event::Zone => Trouble::Zone,
-                Event::Regions => Trouble::Regions,
-                Event::AllRestart => Trouble::AllRestart,
-                Event::Config => Trouble::Config,
+            requests_per_s: self.starts,
+            running_tasks: self.running,
+            measured_seconds: self.seconds,
+            incident: match self.event {
+                Event::None => Incident::None,
+                Event::Worker => Incident::Worker,
+                Event::Restarts => Incident::Restarts,
+                Event::Rack => Incident::Rack,
+                Event::Zone => Incident::Zone,
+                Event::Regions => Incident::Regions,
+                Event::AllRestart => Incident::AllRestart,
+                Event::Config => Incident::Config,
             },
-            changes: self.changes,
+            config_changes: self.changes,
             seed: self.seed,
             ..Plan::default()
         })
@@ -113,7 +113,7 @@
 
     /// Plays it, and prints what came of it.
     pub fn run(&self) -> Result<(), String> {
-        let account = calicolb_simulation::play(&self.plan()?);
+        let account = calicolb_simulation::simulate(&self.plan()?);
         if self.json {
             let text = serde_json::to_string(&account).map_err(|error| error.to_string())?;
             println!("{text}");
@@ -125,7 +125,7 @@
 }
 
 /// The account as a table.
-fn table(account: &Account) -> String {
+fn table(account: &Summary) -> String {
     let mut rows: Vec<(&str, String)> = vec![
         (
             "schedulers, workers, tenants",
@@ -134,10 +134,10 @@
         ("requests", account.jobs.to_string()),
         ("tasks started; most at a time", format!("{}; {}", account.started, account.running_peak)),
         ("served; of these late", format!("{}; {}", account.served, account.late)),
-        ("refused; failed", format!("{}; {}", account.refused, account.aside.failed)),
+        ("refused; failed", format!("{}; {}", account.refused, account.extra.failed)),
         (
             "lost; of these with their scheduler",
-            format!("{}; {}", account.lost, account.aside.lost_with_scheduler),
+            format!("{}; {}", account.lost, account.extra.lost_with_scheduler),
         ),
         ("second attempts against the rules", account.doubled.to_string()),
         ("urgent start, 999 of 1,000 within", format!("{:.1} ms", account.urgent_start_p999_ms)),
@@ -163,7 +163,7 @@
         ("starts are back after", account.recovered_ms.map_or("-".to_owned(), |ms| format!("{ms} ms"))),
         ("played in", format!("{:.1} s, {:.0} MB", account.wall_s, account.peak_rss_mb)),
     ];
-    if let Some(agreed) = &account.agreed {
+    if let Some(agreed) = &account.config {
         rows.push((
             "changes in force, 99 of 100 within; longest",
             format!("{:.1}; {:.1} ms", agreed.in_force_p99_ms, agreed.in_force_max_ms),
--- a/crates/rig/tests/calibrate.rs
+++ b/crates/rig/tests/calibrate.rs
@@ -14,10 +14,10 @@
         tenants: 12,
         zones: 3,
         regions: 1,
-        starts_per_s: 20.0,
-        running: Some(12.0),
-        seconds: 4,
-        warm_up: 9,
+        requests_per_s: 20.0,
+        running_tasks: Some(12.0),
+        measured_seconds: 4,
+        warm_up_seconds: 9,
         seed: 7,
         ..Plan::default()
     }
@@ -29,7 +29,7 @@
     println!("seed {}", plan.seed);
     let program = program(None).expect("the program is there");
     let real = play(&program, &plan, true).expect("the processes start and serve");
-    let hollow = calicolb_simulation::play(&plan);
+    let hollow = calicolb_simulation::simulate(&plan);
 
     // The same requests came to both, and each was answered with the result of a worker that ran it once.
     assert_eq!(real.jobs, hollow.jobs);
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -29,7 +29,7 @@
     /// The scheduler that its client's front names first.
     pub(crate) rank: u32,
     /// It came in among the seconds that count.
-    pub(crate) counts: bool,
+    pub(crate) measured: bool,
     pub(crate) arrived: Micros,
     pub(crate) expires: Micros,
     pub(crate) answered: bool,
@@ -94,7 +94,7 @@
         let shares = lognormal(SHARE_SPREAD);
         let schedulers = (0..plan.schedulers).map(|_| shares.sample(&mut rng)).collect();
         let tenants: Vec<f64> = plan.quotas().iter().map(|(quota, asks)| quota * asks).collect();
-        let gaps = Exp::new(plan.starts_per_s / SECOND as f64);
+        let gaps = Exp::new(plan.requests_per_s / SECOND as f64);
         Clients {
             rng,
             gaps: gaps.unwrap_or_else(|error| unreachable!("a rate is above zero: {error}")),
@@ -113,7 +113,7 @@
     }
 
     /// The next request. One that is `under way` is left of a job that began before.
-    pub(crate) fn draw(&mut self, now: Micros, counts: bool, under_way: bool) -> Job {
+    pub(crate) fn draw(&mut self, now: Micros, measured: bool, under_way: bool) -> Job {
         let class = self.classes.sample(&mut self.rng);
         let plan = &CLASSES[class];
         let slots = if plan.accelerated {
@@ -134,9 +134,9 @@
             hint: work * lognormal(HINT_SPREAD).sample(&mut self.rng),
             slots,
             rank: self.schedulers.sample(&mut self.rng) as u32,
-            counts,
+            measured,
             arrived: now,
-            expires: now + plan.patience,
+            expires: now + plan.client_timeout,
             answered: false,
             started: false,
             runs: Vec::new(),
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/incidents.rs
@@ -1,7 +1,7 @@
 //! Troubles: what goes wrong, and when.
 
 use crate::Micros;
-use crate::plan::{MILLI, SECOND, Trouble};
+use crate::plan::{Incident, MILLI, SECOND};
 use crate::schedulers::{AttemptId, Moved};
 use crate::workers::Life;
 use crate::world::{Happening, News, World};
@@ -55,19 +55,19 @@
 
 impl World {
     /// Lays the steps of the plan's trouble.
-    pub(crate) fn lay_troubles(&mut self) {
+    pub(crate) fn schedule_incident(&mut self) {
         let (begin, end) = self.plan.span();
-        let at = self.plan.trouble_at();
+        let at = self.plan.incident_at();
         let mut steps: Vec<(Micros, Step)> = Vec::new();
-        match self.plan.event {
+        match self.plan.incident {
             // Changes of configuration are laid with the control machines.
-            Trouble::None | Trouble::Config => {}
-            Trouble::Worker => {
+            Incident::None | Incident::Config => {}
+            Incident::Worker => {
                 let worker = self.rng.random_range(0..self.plan.workers);
                 steps.push((at, Step::WorkerVanishes(worker)));
                 steps.push((at + REPLACED, Step::WorkerReplaced(worker)));
             }
-            Trouble::Restarts => {
+            Incident::Restarts => {
                 // Evenly over the play; schedulers and workers in turn, each at most once.
                 let step = (end - begin) / u64::from(RESTARTS);
                 let (mut ranks, mut numbers) = (0..self.plan.schedulers, 0..self.plan.workers);
@@ -81,7 +81,7 @@
                     steps.extend(next.map(|next| (when, next)));
                 }
             }
-            Trouble::Rack => {
+            Incident::Rack => {
                 let zone = 1 % self.plan.zones as usize;
                 let rack = zone as u32 * 1_000;
                 for nr in (0..self.plan.workers).filter(|&nr| self.workers[nr as usize].cell == rack) {
@@ -89,7 +89,7 @@
                     steps.push((at + GONE, Step::WorkerReturns(nr)));
                 }
             }
-            Trouble::Zone => {
+            Incident::Zone => {
                 let zone = self.plan.zones as usize - 1;
                 for nr in (0..self.plan.workers).filter(|&nr| self.plan.zone_of(nr) == zone) {
                     steps.push((at, Step::WorkerVanishes(nr)));
@@ -100,11 +100,11 @@
                     steps.push((at + GONE, Step::SchedulerReturns(rank)));
                 }
             }
-            Trouble::Regions => {
+            Incident::Regions => {
                 steps.push((at, Step::Regions(true)));
                 steps.push((end - (at - begin).min(end - at), Step::Regions(false)));
             }
-            Trouble::AllRestart => {
+            Incident::AllRestart => {
                 for nr in 0..self.plan.workers {
                     steps.push((at, Step::WorkerVanishes(nr)));
                     let back = self.rng.random_range(2 * SECOND..6 * SECOND);
@@ -118,7 +118,7 @@
             }
         }
         for (at, step) in steps {
-            self.lay(at, Happening::Trouble(step));
+            self.lay(at, Happening::Incident(step));
         }
     }
 
@@ -127,7 +127,7 @@
             Step::WorkerVanishes(nr) => {
                 self.end_worker(nr, Life::Vanished);
                 let seen = self.now + NOTICE + self.rng.random_range(0..NOTICE_MORE);
-                self.lay(seen, Happening::Trouble(Step::Noticed(nr)));
+                self.lay(seen, Happening::Incident(Step::Noticed(nr)));
             }
             Step::Noticed(nr) => {
                 if self.workers[nr as usize].life != Life::Up {
@@ -148,8 +148,8 @@
                 self.workers[nr as usize].draining = true;
                 self.discovery.health(nr, "terminating");
                 self.tell_list();
-                self.lay(self.now + JOINS, Happening::Trouble(Step::WorkerReplaced(nr)));
-                self.lay(self.now + DRAINS, Happening::Trouble(Step::WorkerEnds(nr)));
+                self.lay(self.now + JOINS, Happening::Incident(Step::WorkerReplaced(nr)));
+                self.lay(self.now + DRAINS, Happening::Incident(Step::WorkerEnds(nr)));
             }
             Step::WorkerEnds(nr) => {
                 self.end_worker(nr, Life::Ended);
@@ -178,7 +178,7 @@
     fn end_worker(&mut self, nr: u32, life: Life) {
         for (number, task) in self.workers[nr as usize].end(life) {
             self.over(&task, number);
-            self.ledger.account.aside.tasks_lost += 1;
+            self.ledger.account.extra.tasks_lost += 1;
             if life == Life::Ended {
                 let ending = if task.runs.is_some() { Ending::Broken } else { Ending::Full };
                 self.tell(nr, task.origin, News::Over(ending, None), 1);
@@ -191,8 +191,8 @@
         let told = &mut self.processes[process as usize];
         told.alive = false;
         for job in told.open() {
-            let counts = self.jobs[job as usize].counts && !self.jobs[job as usize].answered;
-            self.ledger.account.aside.lost_with_scheduler += u64::from(counts);
+            let counts = self.jobs[job as usize].measured && !self.jobs[job as usize].answered;
+            self.ledger.account.extra.lost_with_scheduler += u64::from(counts);
             self.answered(job, None);
         }
         self.discovery.watches.remove(&process);
@@ -216,9 +216,9 @@
         self.processes[predecessor as usize].stop(term + grace.final_answer_at());
         for look in 0..kill / LOOK {
             let settles = Step::Settles { process: predecessor, term };
-            self.lay(term + look * LOOK, Happening::Trouble(settles));
+            self.lay(term + look * LOOK, Happening::Incident(settles));
         }
-        self.lay(term + kill, Happening::Trouble(Step::Killed(predecessor)));
+        self.lay(term + kill, Happening::Incident(Step::Killed(predecessor)));
     }
 
     /// From SIGTERM to SIGKILL, which comes as early as it may.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,7 +3,7 @@
 //! Every scheduler is the program's own decision module ([`calicolb::rules::Dispatcher`]), unchanged, and speaks its own
 //! messages. All round it is hollow: no sockets, no clock but a queue of happenings in microseconds, and draws from one
 //! seed. The same plan gives the same counts, to the byte; what is measured of this machine (processor time, memory, wall
-//! time) is kept apart in the account ([`Account::counts`]).
+//! time) is kept apart in the account ([`Summary::counts`]).
 //!
 //! | part | what it is |
 //! | --- | --- |
@@ -31,25 +31,25 @@
 mod clients;
 mod discovery;
 pub mod encode;
+mod incidents;
 mod learners;
-mod ledger;
 mod links;
-mod outline;
 mod plan;
+mod recorder;
 mod schedulers;
-mod troubles;
 mod workers;
+mod workload;
 mod world;
 
-pub use ledger::{Account, Agreed, Aside, Traffic};
 pub use links::Links;
-pub use outline::{Outline, RequestOutline, WorkerOutline, outline};
-pub use plan::{Plan, Trouble};
+pub use plan::{Incident, Plan};
+pub use recorder::{ConfigOutcome, ExtraCounts, Summary, Traffic};
+pub use workload::{Workload, WorkloadRequest, WorkloadWorker, workload};
 
 /// A time or a span in simulated microseconds.
 pub type Micros = u64;
 
 /// Plays a plan from its start until the last request has its answer, and tells what came of it.
-pub fn play(plan: &Plan) -> Account {
-    world::World::new(plan).play()
+pub fn simulate(plan: &Plan) -> Summary {
+    world::World::new(plan).run()
 }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -31,7 +31,7 @@
 /// What goes wrong in a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum Incident {
     /// Nothing.
     #[default]
     None,
@@ -67,17 +67,17 @@
     /// How many regions the zones are in.
     pub regions: u32,
     /// Requests a second.
-    pub starts_per_s: f64,
+    pub requests_per_s: f64,
     /// Tasks that run at the same time; `None`: as many a worker as at the letter's size.
-    pub running: Option<f64>,
+    pub running_tasks: Option<f64>,
     /// How many seconds count.
-    pub seconds: u64,
+    pub measured_seconds: u64,
     /// Seconds before these, in which the fleet fills and learns.
-    pub warm_up: u64,
+    pub warm_up_seconds: u64,
     /// What goes wrong.
-    pub event: Trouble,
+    pub incident: Incident,
     /// Changes of configuration, evenly over the time that counts, where they are what is played.
-    pub changes: u32,
+    pub config_changes: u32,
     /// The seed of every draw.
     pub seed: u64,
 }
@@ -91,12 +91,12 @@
             tenants: 240,
             zones: 6,
             regions: 2,
-            starts_per_s: 140.0,
-            running: None,
-            seconds: 60,
-            warm_up: 40,
-            event: Trouble::None,
-            changes: 60,
+            requests_per_s: 140.0,
+            running_tasks: None,
+            measured_seconds: 60,
+            warm_up_seconds: 40,
+            incident: Incident::None,
+            config_changes: 60,
             seed: 7,
         }
     }
@@ -113,7 +113,7 @@
     aim: Micros,
     stretch: f64,
     /// How long its clients wait.
-    pub(crate) patience: Micros,
+    pub(crate) client_timeout: Micros,
     late_worth: f64,
     worth: f64,
     priority: i64,
@@ -134,7 +134,7 @@
 pub(crate) const URGENT_START: Micros = 7_100 * MILLI;
 
 const fn class(name: &'static str, effect: &'static str, part: f64, work: f64) -> ClassPlan {
-    let (aim, patience) = (30 * SECOND, 300 * SECOND);
+    let (aim, client_timeout) = (30 * SECOND, 300 * SECOND);
     let (worth, late_worth, priority, accelerated) = (1.0, 0.5, 0, false);
     ClassPlan {
         name,
@@ -143,7 +143,7 @@
         work,
         aim,
         stretch: 1.5,
-        patience,
+        client_timeout,
         late_worth,
         worth,
         priority,
@@ -178,8 +178,8 @@
 
     /// The mean work of a task, in microseconds at speed 1: by Little's law.
     pub(crate) fn mean_work(&self) -> f64 {
-        let running = self.running.unwrap_or(RUNNING_BY_WORKER * f64::from(self.workers));
-        running / self.starts_per_s * SECOND as f64
+        let running = self.running_tasks.unwrap_or(RUNNING_BY_WORKER * f64::from(self.workers));
+        running / self.requests_per_s * SECOND as f64
     }
 
     /// The mean work of a task of a class.
@@ -195,13 +195,13 @@
 
     /// When what is counted begins and ends.
     pub(crate) fn span(&self) -> (Micros, Micros) {
-        let begin = EPOCH + self.warm_up * SECOND;
-        (begin, begin + self.seconds * SECOND)
+        let begin = EPOCH + self.warm_up_seconds * SECOND;
+        (begin, begin + self.measured_seconds * SECOND)
     }
 
     /// When it goes wrong, and for how long at most.
-    pub(crate) fn trouble_at(&self) -> Micros {
-        self.span().0 + (self.seconds * SECOND / 3).min(20 * SECOND)
+    pub(crate) fn incident_at(&self) -> Micros {
+        self.span().0 + (self.measured_seconds * SECOND / 3).min(20 * SECOND)
     }
 
     /// Quotas (requests a second) and what each tenant asks for, as a multiple of its quota.
@@ -209,7 +209,7 @@
         let weight = |nr: usize| 1.0 / (nr as f64 + 5.0);
         let count = self.tenants as usize;
         let all: f64 = (0..count).map(|nr| weight(nr) * self.asks(nr)).sum();
-        (0..count).map(|nr| (self.starts_per_s * weight(nr) / all, self.asks(nr))).collect()
+        (0..count).map(|nr| (self.requests_per_s * weight(nr) / all, self.asks(nr))).collect()
     }
 
     /// What a tenant asks for, as a multiple of its quota.
@@ -223,7 +223,7 @@
             .iter()
             .map(|class| {
                 json!({"name": class.name, "effect": class.effect, "group": "zone", "aim_us": class.aim,
-                    "aim_stretch": class.stretch, "deadline_us": class.patience, "late_worth": class.late_worth,
+                    "aim_stretch": class.stretch, "deadline_us": class.client_timeout, "late_worth": class.late_worth,
                     "memory_span_us": 600 * SECOND, "worth": class.worth})
             })
             .collect();
--- a/crates/simulation/src/ledger.rs
+++ b/crates/simulation/src/recorder.rs
@@ -56,7 +56,7 @@
 
 /// What is counted beside the account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Aside {
+pub struct ExtraCounts {
     /// Requests that ended with their scheduler: it was killed, or its machine went.
     pub lost_with_scheduler: u64,
     /// Requests that were answered as failed.
@@ -75,7 +75,7 @@
 
 /// What became of changes of configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Agreed {
+pub struct ConfigOutcome {
     /// Changes that were agreed.
     #[serde(skip)]
     pub changes_accepted: u64,
@@ -96,7 +96,7 @@
 ///
 /// All counts are of the seconds that count, `Plan::seconds` after the warm-up; a request counts where it came in.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Account {
+pub struct Summary {
     /// How many schedulers.
     pub schedulers: u32,
     /// How many workers.
@@ -149,16 +149,16 @@
     pub traffic: BTreeMap<&'static str, Traffic>,
     /// What became of changes of configuration, where they were played.
     #[serde(flatten)]
-    pub agreed: Option<Agreed>,
+    pub config: Option<ConfigOutcome>,
     /// Counts beside these.
     #[serde(skip)]
-    pub aside: Aside,
+    pub extra: ExtraCounts,
 }
 
-impl Account {
+impl Summary {
     /// The same without what is measured of this machine: alike for the same plan, to the byte.
-    pub fn counts(&self) -> Account {
-        Account {
+    pub fn deterministic_counts(&self) -> Summary {
+        Summary {
             control_cpu_ms_per_s_mean: 0.0,
             control_cpu_ms_per_s_worst: 0.0,
             peak_rss_mb: 0.0,
@@ -177,7 +177,7 @@
 }
 
 /// See the head of this file.
-pub(crate) struct Ledger {
+pub(crate) struct Recorder {
     begin: Micros,
     end: Micros,
     seconds: usize,
@@ -191,7 +191,7 @@
     begun: Instant,
     /// What a look at the thread's clock itself takes.
     look: u64,
-    pub(crate) account: Account,
+    pub(crate) account: Summary,
 }
 
 /// This thread's own processor time, in steps of a nanosecond.
@@ -204,17 +204,17 @@
     thread_nanos().saturating_sub(begun)
 }
 
-impl Ledger {
+impl Recorder {
     pub(crate) fn new(plan: &Plan) -> Self {
         let (begin, end) = plan.span();
-        let seconds = plan.seconds.max(1) as usize;
-        let account = Account {
+        let seconds = plan.measured_seconds.max(1) as usize;
+        let account = Summary {
             schedulers: plan.schedulers,
             workers: plan.workers,
             tenants: plan.tenants,
-            ..Account::default()
+            ..Summary::default()
         };
-        Ledger {
+        Recorder {
             begin,
             end,
             seconds,
@@ -307,8 +307,8 @@
         wrong: Option<Micros>,
         within: Shares,
         state_bytes: u64,
-        agreed: Option<Agreed>,
-    ) -> Account {
+        agreed: Option<ConfigOutcome>,
+    ) -> Summary {
         let seconds = self.seconds as f64;
         let schedulers = f64::from(self.account.schedulers);
         let (bytes, nanos): (u64, u64) = self
@@ -333,7 +333,7 @@
         account.peak_rss_mb = peak_rss_mb();
         account.wall_s = self.begun.elapsed().as_secs_f64();
         account.traffic = traffic.collect();
-        account.agreed = agreed;
+        account.config = agreed;
         self.account
     }
 }
--- a/crates/simulation/src/schedulers.rs
+++ b/crates/simulation/src/schedulers.rs
@@ -4,7 +4,7 @@
 use crate::Micros;
 use crate::discovery::Update;
 use crate::learners::Study;
-use crate::ledger::Ledger;
+use crate::recorder::Recorder;
 use calicolb::api::*;
 use calicolb::rules::Dispatcher;
 use calicolb_freshness::{ListLease, ListSource, MISSED_CHANGE_DELAY, WatchAction};
@@ -347,7 +347,7 @@
     }
 
     /// Hands all that was gathered to the module, and gives what is to be done.
-    pub(crate) fn settle(&mut self, now: Micros, ledger: &mut Ledger) -> Vec<Work> {
+    pub(crate) fn settle(&mut self, now: Micros, ledger: &mut Recorder) -> Vec<Work> {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let (rank, dispatcher) = (self.rank, &mut self.dispatcher);
--- a/crates/simulation/src/outline.rs
+++ b/crates/simulation/src/workload.rs
@@ -6,7 +6,7 @@
 
 /// A worker of a play.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkerOutline {
+pub struct WorkloadWorker {
     /// Its name in the list.
     pub name: String,
     /// Its zone, as the settings name it.
@@ -23,9 +23,9 @@
 
 /// A request of a play.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RequestOutline {
+pub struct WorkloadRequest {
     /// When its client sends it, in microseconds from the beginning of the play.
-    pub at: Micros,
+    pub sent_at: Micros,
     /// The scheduler that its client turns to.
     pub rank: u32,
     /// Its class, by its place in the settings, and by its name.
@@ -41,28 +41,28 @@
     /// Slots that it takes.
     pub slots: u32,
     /// How long its client waits, in microseconds.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Within this time it is served in time, in microseconds.
     pub aim: Micros,
     /// It comes in among the seconds that count.
-    pub counts: bool,
+    pub measured: bool,
 }
 
 /// See the head of this file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outline {
+pub struct Workload {
     /// By number.
-    pub workers: Vec<WorkerOutline>,
+    pub workers: Vec<WorkloadWorker>,
     /// By time.
-    pub requests: Vec<RequestOutline>,
+    pub requests: Vec<WorkloadRequest>,
     /// What counts begins so long after the beginning, in microseconds, and ends so long after it.
-    pub counts: (Micros, Micros),
+    pub measured_span: (Micros, Micros),
 }
 
 /// The outline of a plan in which nothing goes wrong: the same draws as [`crate::play`] makes.
-pub fn outline(plan: &Plan) -> Outline {
+pub fn workload(plan: &Plan) -> Workload {
     let world = World::new(plan);
-    let workers = world.workers.iter().map(|worker| WorkerOutline {
+    let workers = world.workers.iter().map(|worker| WorkloadWorker {
         name: worker.name.clone(),
         zone: zone_name(worker.zone as u32),
         kind: worker.kind,
@@ -73,8 +73,8 @@
     let workers = workers.collect();
     let requests = world.requests().into_iter().map(|job| {
         let class = &CLASSES[job.class];
-        RequestOutline {
-            at: job.arrived - EPOCH,
+        WorkloadRequest {
+            sent_at: job.arrived - EPOCH,
             rank: job.rank,
             class: job.class,
             class_name: class.name,
@@ -82,11 +82,11 @@
             work: job.work,
             hint: job.hint,
             slots: job.slots,
-            patience: class.patience,
+            client_timeout: class.client_timeout,
             aim: class.aim_for(job.work),
-            counts: job.counts,
+            measured: job.measured,
         }
     });
     let (begin, end) = plan.span();
-    Outline { workers, requests: requests.collect(), counts: (begin - EPOCH, end - EPOCH) }
+    Workload { workers, requests: requests.collect(), measured_span: (begin - EPOCH, end - EPOCH) }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -12,11 +12,11 @@
 use crate::clients::{Clients, Job, Run};
 use crate::discovery::{BEAT, Discovery, GATHER, Update};
 use crate::encode::{self, Line};
-use crate::ledger::{Account, Function, Ledger, Shares};
+use crate::incidents::Step;
 use crate::links::Links;
-use crate::plan::{CLASSES, EPOCH, MILLI, PROGRESS, Plan, SECOND, SLOTS, Trouble, UNITS, zone_name};
+use crate::plan::{CLASSES, EPOCH, Incident, MILLI, PROGRESS, Plan, SECOND, SLOTS, UNITS, zone_name};
+use crate::recorder::{Function, Recorder, Shares, Summary};
 use crate::schedulers::{ARRIVES, Answer, AttemptId, Due, Process, REST, Work};
-use crate::troubles::Step;
 use crate::workers::{Life, Origin, Task, Worker};
 use agreement::{Agreement, Word};
 use calicolb::api::*;
@@ -70,7 +70,7 @@
     pub(crate) jobs: Vec<Job>,
     /// Requests without an answer.
     open: usize,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: Recorder,
     tasks: u64,
     calls: u64,
     pub(crate) rng: StdRng,
@@ -100,7 +100,7 @@
             clients: Clients::new(plan, seed(2)),
             jobs: Vec::new(),
             open: 0,
-            ledger: Ledger::new(plan),
+            ledger: Recorder::new(plan),
             tasks: 0,
             calls: 0,
             rng: StdRng::seed_from_u64(seed(3)),
@@ -118,14 +118,14 @@
             let at = EPOCH + world.rng.random_range(0..START);
             world.lay(at, Happening::Start { rank });
         }
-        let under_way = (plan.mean_work() / SECOND as f64 * plan.starts_per_s) as u32;
+        let under_way = (plan.mean_work() / SECOND as f64 * plan.requests_per_s) as u32;
         for _ in 0..under_way {
             let at = EPOCH + START + world.rng.random_range(0..FILL);
             world.lay(at, Happening::Fill);
         }
         world.lay(EPOCH + START + FILL / 2, Happening::Arrive);
-        world.lay_troubles();
-        if plan.event == Trouble::Config {
+        world.schedule_incident();
+        if plan.incident == Incident::Config {
             world.set_up_agreement(seed(4));
         }
         world
@@ -183,9 +183,9 @@
         self.queue.push(Reverse(Next { at, order: self.order, what }));
     }
 
-    pub(crate) fn play(mut self) -> Account {
+    pub(crate) fn run(mut self) -> Summary {
         let (_, end) = self.plan.span();
-        let patience = CLASSES.iter().map(|class| class.patience).max().unwrap_or(0);
+        let patience = CLASSES.iter().map(|class| class.client_timeout).max().unwrap_or(0);
         while let Some(Reverse(next)) = self.queue.pop() {
             if next.at >= end && (self.open == 0 || next.at > end + patience + SECOND) {
                 break;
@@ -193,7 +193,7 @@
             self.now = next.at;
             self.happen(next.what);
         }
-        let wrong = (self.plan.event != Trouble::None).then(|| self.plan.trouble_at());
+        let wrong = (self.plan.incident != Incident::None).then(|| self.plan.incident_at());
         let known: Vec<u64> = self.serving.iter().flatten().map(|&process| self.known(process)).collect();
         let state = known.iter().sum::<u64>() / (known.len() as u64).max(1);
         let quotas = self.plan.quotas();
@@ -201,7 +201,7 @@
         let ratio = |part: u64, all: f64| if all > 0.0 { part as f64 / all } else { 0.0 };
         let shares = Shares {
             in_share: ratio(self.shares.1, self.shares.0 as f64),
-            over: ratio(self.shares.2, over * self.plan.seconds as f64),
+            over: ratio(self.shares.2, over * self.plan.measured_seconds as f64),
         };
         let agreed = self.agreed();
         self.ledger.close(wrong, shares, state, agreed)
@@ -258,7 +258,7 @@
             }
             _ => return,
         };
-        self.ledger.account.aside.through_cuts += u64::from(self.links.through(self.now, way.0, way.1));
+        self.ledger.account.extra.through_cuts += u64::from(self.links.through(self.now, way.0, way.1));
     }
 
     fn happen(&mut self, what: Happening) {
@@ -278,7 +278,7 @@
             Happening::Due { process, due } => self.with(process, |process, now| process.due(now, due)),
             Happening::Datagram { to, from, body } => {
                 let Some(process) = self.alive(to) else { return };
-                self.ledger.account.aside.datagrams.1 += 1;
+                self.ledger.account.extra.datagrams.1 += 1;
                 if from != to {
                     self.ledger.message(self.now, to, attempts::function(&body), body.len());
                 }
@@ -340,7 +340,7 @@
                     self.bring(process, call, Some(Rc::clone(&update)), update.bytes);
                 }
             }
-            Happening::Trouble(step) => self.trouble(step),
+            Happening::Incident(step) => self.trouble(step),
             Happening::Agreement(word) => self.word(word),
         }
     }
@@ -373,7 +373,7 @@
 
     fn count_share(&mut self, job: u32, within: bool) {
         let job = &self.jobs[job as usize];
-        let Some(tenant) = job.tenant.filter(|_| job.counts) else { return };
+        let Some(tenant) = job.tenant.filter(|_| job.measured) else { return };
         // As in the plan: who asks for more than its quota.
         if self.plan.asks(tenant) > 1.0 {
             self.shares.2 += u64::from(within);
--- a/crates/simulation/src/world/agreement.rs
+++ b/crates/simulation/src/world/agreement.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::agreed::{self, HEARTBEAT, Lines, MACHINES, Machine, Settled, TICK};
 use crate::learners::{Ask, Study};
-use crate::ledger::Agreed;
+use crate::recorder::ConfigOutcome;
 use calicolb::wire;
 use calicolb_agreed::{Change, Digest, Document, Version, VoterId};
 use serde_json::json;
@@ -104,11 +104,11 @@
             self.lay_word(EPOCH + phase, Word::Heartbeat { machine });
         }
         let (begin, end) = self.plan.span();
-        let step = (end - begin).saturating_sub(LAST).max(1) / u64::from(self.plan.changes.max(1));
-        for nr in 0..self.plan.changes {
+        let step = (end - begin).saturating_sub(LAST).max(1) / u64::from(self.plan.config_changes.max(1));
+        for nr in 0..self.plan.config_changes {
             self.lay_word(begin + step * u64::from(nr), Word::Change { nr });
         }
-        self.lay_word(self.plan.trouble_at(), Word::Kill { back: 10 * SECOND });
+        self.lay_word(self.plan.incident_at(), Word::Kill { back: 10 * SECOND });
     }
 
     fn lay_word(&mut self, at: Micros, word: Word) {
@@ -369,7 +369,7 @@
     }
 
     /// What became of the changes.
-    pub(super) fn agreed(&self) -> Option<Agreed> {
+    pub(super) fn agreed(&self) -> Option<ConfigOutcome> {
         let agreement = self.agreement.as_ref()?;
         let voters = agreement.machines.iter().filter_map(|machine| machine.voter.as_ref());
         let last = voters.map(|voter| voter.agreed().seq).max().unwrap_or(0);
@@ -398,7 +398,7 @@
         spans.sort_unstable();
         let at = |part: f64| spans.get((spans.len() as f64 * part) as usize).or(spans.last());
         let millis = |span: Option<&Micros>| span.map_or(0.0, |span| *span as f64 / 1e3);
-        Some(Agreed {
+        Some(ConfigOutcome {
             changes_accepted: agreement.done.len() as u64,
             in_force_p99_ms: millis(at(0.99)),
             in_force_max_ms: millis(spans.last()),
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -39,7 +39,7 @@
         let all = 0..self.plan.schedulers;
         let to = to.map_or(all, |to| to..to + 1);
         for to in to.filter(|&to| to != rank) {
-            self.ledger.account.aside.datagrams.0 += 1;
+            self.ledger.account.extra.datagrams.0 += 1;
             if let Some(delay) = self.links.datagram(zone, self.plan.zone_of(to)) {
                 self.lay(self.now + delay, Happening::Datagram { to, from: rank, body: Rc::clone(&body) });
             }
@@ -73,7 +73,7 @@
     /// The last byte of an attempt is written.
     pub(super) fn write(&mut self, process: u32, id: AttemptId, worker: u32) {
         self.processes[process as usize].written(self.now, id);
-        self.ledger.account.aside.attempts += u64::from(self.ledger.counts(self.now));
+        self.ledger.account.extra.attempts += u64::from(self.ledger.counts(self.now));
         let (here, there) = (self.processes[process as usize].zone, self.workers[worker as usize].zone);
         if let Some(job) = self.processes[process as usize].job(id).filter(|_| self.links.both(here, there)) {
             let at = self.now + self.links.delay(here, there);
--- a/crates/simulation/src/world/happenings.rs
+++ b/crates/simulation/src/world/happenings.rs
@@ -36,7 +36,7 @@
     Watched { process: u32, call: u64, update: Option<Rc<Update>>, bytes: usize },
     Beat { process: u32, call: u64 },
     Flush,
-    Trouble(Step),
+    Incident(Step),
     Agreement(Word),
 }
 
--- a/crates/simulation/src/world/lists.rs
+++ b/crates/simulation/src/world/lists.rs
@@ -25,7 +25,7 @@
             Some(at) => self.lay(at, Happening::Called { process, call, from }),
             None => {
                 let bytes = encode::response(503, "Service Unavailable", &[], b"").len();
-                self.ledger.account.aside.calls_refused += 1;
+                self.ledger.account.extra.calls_refused += 1;
                 self.ledger.discovery(self.now, bytes);
                 let (rank, zone) =
                     (self.processes[process as usize].rank, self.processes[process as usize].zone);
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -56,7 +56,7 @@
             return;
         }
         self.open -= 1;
-        if !job.counts {
+        if !job.measured {
             return;
         }
         let account = &mut self.ledger.account;
@@ -67,7 +67,7 @@
                 account.late += u64::from(self.now > job.arrived + aim);
             }
             Some(Answer::Refused) => account.refused += 1,
-            Some(Answer::Failed) => account.aside.failed += 1,
+            Some(Answer::Failed) => account.extra.failed += 1,
             None => account.lost += 1,
         }
     }
--- a/crates/simulation/src/world/tasks.rs
+++ b/crates/simulation/src/world/tasks.rs
@@ -48,7 +48,7 @@
             }
         };
         let broken = job.runs.iter().any(|run| !run.over || !harmless(run));
-        self.ledger.account.doubled += u64::from(broken && job.counts);
+        self.ledger.account.doubled += u64::from(broken && job.measured);
     }
 
     pub(super) fn start_tasks(&mut self, nr: u32) {
@@ -119,7 +119,7 @@
         } else if times < TOLD && worker.life != Life::Vanished {
             self.lay(self.now + AGAIN, Happening::Tell { worker: nr, origin, news, times: times + 1 });
         } else if let News::Over(..) = news {
-            self.ledger.account.aside.tasks_lost += 1;
+            self.ledger.account.extra.tasks_lost += 1;
         }
     }
 
--- a/crates/simulation/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -1,41 +1,41 @@
 //! Small hollow fleets: counts, not times. A failure is played again by the seed in its message.
 
-use calicolb_simulation::{Account, Links, Plan, Traffic, Trouble, encode, play};
+use calicolb_simulation::{Incident, Links, Plan, Summary, Traffic, encode, simulate};
 
 const SEED: u64 = 7;
 
-fn small(event: Trouble, seed: u64) -> Plan {
+fn small(incident: Incident, seed: u64) -> Plan {
     Plan {
         schedulers: 30,
         workers: 60,
         accelerators: 64,
         tenants: 24,
-        starts_per_s: 12.0,
-        seconds: 20,
-        warm_up: 20,
-        event,
+        requests_per_s: 12.0,
+        measured_seconds: 20,
+        warm_up_seconds: 20,
+        incident,
         seed,
         ..Plan::default()
     }
 }
 
-fn of(account: &Account, function: &str) -> Traffic {
+fn of(account: &Summary, function: &str) -> Traffic {
     account.traffic[function]
 }
 
-fn answered(account: &Account) -> u64 {
-    account.served + account.refused + account.aside.failed + account.lost
+fn answered(account: &Summary) -> u64 {
+    account.served + account.refused + account.extra.failed + account.lost
 }
 
 #[test]
 fn the_same_plan_gives_the_same_account_to_the_byte() {
-    for event in [Trouble::None, Trouble::Zone, Trouble::Restarts] {
+    for event in [Incident::None, Incident::Zone, Incident::Restarts] {
         let text = |seed| {
-            let account = play(&small(event, seed));
+            let account = simulate(&small(event, seed));
             format!(
                 "{:?} {}",
-                account.aside,
-                serde_json::to_string(&account.counts()).expect("it is written")
+                account.extra,
+                serde_json::to_string(&account.deterministic_counts()).expect("it is written")
             )
         };
         assert_eq!(text(SEED), text(SEED), "{event:?}, seed {SEED}");
@@ -46,7 +46,7 @@
 #[test]
 fn a_calm_fleet_serves_all_and_control_keeps_to_its_counts() {
     for seed in [SEED, 1, 2] {
-        let account = play(&small(Trouble::None, seed));
+        let account = simulate(&small(Incident::None, seed));
         assert!((190..300).contains(&account.jobs), "seed {seed}: {} requests", account.jobs);
         assert_eq!(account.served, account.jobs, "seed {seed}");
         assert_eq!((account.refused, account.lost, account.doubled), (0, 0, 0), "seed {seed}");
@@ -68,8 +68,8 @@
 }
 
 /// The exponent of messages of the whole fleet by schedulers, by least squares on logarithms.
-fn exponent(accounts: &[Account], function: &str) -> f64 {
-    let point = |account: &Account| {
+fn exponent(accounts: &[Summary], function: &str) -> f64 {
+    let point = |account: &Summary| {
         (f64::from(account.schedulers).ln(), (of(account, function).messages as f64).max(1.0).ln())
     };
     let points: Vec<(f64, f64)> = accounts.iter().map(point).collect();
@@ -85,16 +85,21 @@
     // hangs on the workers for each scheduler; each scheduler has one watch; one that starts greets all, and all answer;
     // whoever sees trouble tells all; who sends less knows less, and probes more.
     let bounds = [
-        (Trouble::None, vec![("talk", 0.2), ("probes", 1.05), ("watch", 1.05)]),
-        (Trouble::Restarts, vec![("greetings", 1.3), ("list", 0.3)]),
-        (Trouble::AllRestart, vec![("greetings", 2.1), ("list", 1.3), ("troubles", 1.5)]),
+        (Incident::None, vec![("talk", 0.2), ("probes", 1.05), ("watch", 1.05)]),
+        (Incident::Restarts, vec![("greetings", 1.3), ("list", 0.3)]),
+        (Incident::AllRestart, vec![("greetings", 2.1), ("list", 1.3), ("troubles", 1.5)]),
     ];
     // Whole cohorts of four in each zone.
     let sizes = [24, 48, 96];
     for (event, functions) in bounds {
         let accounts = sizes.map(|schedulers| {
-            let load = Plan { seconds: 12, warm_up: 12, running: Some(120.0), ..small(event, SEED) };
-            play(&Plan { schedulers, workers: 2 * schedulers, ..load })
+            let load = Plan {
+                measured_seconds: 12,
+                warm_up_seconds: 12,
+                running_tasks: Some(120.0),
+                ..small(event, SEED)
+            };
+            simulate(&Plan { schedulers, workers: 2 * schedulers, ..load })
         });
         for (function, bound) in functions {
             let found = exponent(&accounts, function);
@@ -106,18 +111,18 @@
 
 #[test]
 fn whatever_goes_wrong_nothing_is_lost_but_with_its_scheduler_and_nothing_is_doubled() {
-    let kills = [Trouble::Zone, Trouble::AllRestart];
-    let others = [Trouble::Worker, Trouble::Restarts, Trouble::Rack, Trouble::Regions];
+    let kills = [Incident::Zone, Incident::AllRestart];
+    let others = [Incident::Worker, Incident::Restarts, Incident::Rack, Incident::Regions];
     for event in kills.into_iter().chain(others) {
         for seed in [SEED, 1] {
-            let account = play(&small(event, seed));
+            let account = simulate(&small(event, seed));
             let told = format!("{event:?}, seed {seed}");
             assert_eq!(answered(&account), account.jobs, "{told}: each request has one end");
-            assert_eq!(account.lost, account.aside.lost_with_scheduler, "{told}");
+            assert_eq!(account.lost, account.extra.lost_with_scheduler, "{told}");
             assert_eq!(account.lost > 0, kills.contains(&event), "{told}: {} lost", account.lost);
             assert_eq!(account.doubled, 0, "{told}");
-            assert_eq!(account.aside.through_cuts, 0, "{told}");
-            if event == Trouble::Restarts {
+            assert_eq!(account.extra.through_cuts, 0, "{told}");
+            if event == Incident::Restarts {
                 // What is out when a process ends goes on at the next.
                 assert!(
                     account.served * 100 >= account.jobs * 99,
@@ -134,20 +139,24 @@
 #[test]
 fn a_task_that_ends_with_its_worker_is_not_repeated_where_that_does_harm() {
     // Tasks that are longer than a worker drains: they end with it.
-    let account = play(&Plan { running: Some(300.0), starts_per_s: 3.0, ..small(Trouble::Restarts, SEED) });
-    assert!(account.aside.tasks_lost > 10, "seed {SEED}: {}", account.aside.tasks_lost);
-    assert!(account.aside.failed > 0, "seed {SEED}: what must not run twice has failed");
+    let account = simulate(&Plan {
+        running_tasks: Some(300.0),
+        requests_per_s: 3.0,
+        ..small(Incident::Restarts, SEED)
+    });
+    assert!(account.extra.tasks_lost > 10, "seed {SEED}: {}", account.extra.tasks_lost);
+    assert!(account.extra.failed > 0, "seed {SEED}: what must not run twice has failed");
     assert_eq!((account.doubled, account.lost), (0, 0), "seed {SEED}");
 }
 
 #[test]
 fn bytes_are_those_of_what_is_encoded() {
-    let account = play(&small(Trouble::AllRestart, SEED));
+    let account = simulate(&small(Incident::AllRestart, SEED));
     let (greetings, troubles) = (of(&account, "greetings"), of(&account, "troubles"));
     assert!(greetings.messages > 0 && troubles.messages > 0);
     assert_eq!(greetings.bytes, 3 * greetings.messages);
     assert_eq!(troubles.bytes, 6 * troubles.messages);
-    let calm = play(&small(Trouble::None, SEED));
+    let calm = simulate(&small(Incident::None, SEED));
     let watch = of(&calm, "watch");
     assert_eq!(watch.bytes, watch.messages * encode::chunk("").len() as u64);
     // A load has 8 bytes, and one more where a job has just ended; two more where a worker is cold.
@@ -210,20 +219,21 @@
     links.cut_way(0, 1, 2, true);
     assert!(!links.open(1, 2) && links.open(2, 1) && !links.both(1, 2));
     // In a fleet: the region without discovery hears nothing of the list while it is cut off.
-    let (calm, cut) = (play(&small(Trouble::None, SEED)), play(&small(Trouble::Regions, SEED)));
-    assert_eq!(cut.aside.through_cuts, 0);
+    let (calm, cut) = (simulate(&small(Incident::None, SEED)), simulate(&small(Incident::Regions, SEED)));
+    assert_eq!(cut.extra.through_cuts, 0);
     assert!(of(&cut, "watch").messages < of(&calm, "watch").messages * 9 / 10);
     assert!(of(&cut, "list").messages > 0);
 }
 
 #[test]
 fn one_scheduler_alone_keeps_a_tenant_to_its_quota_and_thirty_do_not() {
-    let alone = play(&Plan { schedulers: 1, workers: 20, accelerators: 0, ..small(Trouble::None, SEED) });
+    let alone =
+        simulate(&Plan { schedulers: 1, workers: 20, accelerators: 0, ..small(Incident::None, SEED) });
     // A bucket of a few tokens is sometimes empty also at 0.8 of the quota.
     assert!((0.9..1.0).contains(&alone.quota_in_share_ratio), "{}", alone.quota_in_share_ratio);
     assert!((0.9..1.1).contains(&alone.quota_over_ratio), "{}", alone.quota_over_ratio);
     // Thirty each have a part of the quota, and a bucket of their own.
-    let thirty = play(&small(Trouble::None, SEED));
+    let thirty = simulate(&small(Incident::None, SEED));
     assert!(thirty.quota_over_ratio > alone.quota_over_ratio, "{}", thirty.quota_over_ratio);
 }
 
@@ -235,14 +245,14 @@
         discovery_bytes_per_s_worst quota_in_share_ratio quota_over_ratio recovered_ms peak_rss_mb wall_s traffic";
     let mut wanted: Vec<&str> = fields.split_whitespace().collect();
     wanted.sort_unstable();
-    let account = play(&small(Trouble::None, SEED));
+    let account = simulate(&small(Incident::None, SEED));
     let value = serde_json::to_value(&account).expect("it is written");
     let mut told: Vec<&str> = value.as_object().expect("an object").keys().map(String::as_str).collect();
     told.sort_unstable();
     assert_eq!(told, wanted);
     // What is measured of this machine is there, and is not among the counts.
     assert!(account.wall_s > 0.0 && account.peak_rss_mb > 1.0 && account.control_cpu_ms_per_s_worst > 0.0);
-    let counts = account.counts();
+    let counts = account.deterministic_counts();
     assert_eq!((counts.wall_s, counts.peak_rss_mb, counts.control_cpu_ms_per_s_mean), (0.0, 0.0, 0.0));
     assert!(account.state_bytes_per_scheduler > 1_000 && account.control_bytes_per_s_worst > 0);
 }
--- a/crates/simulation/tests/outline.rs
+++ b/crates/simulation/tests/workload.rs
@@ -1,6 +1,6 @@
 //! The outline of a plan has the requests and workers that a play of it has.
 
-use calicolb_simulation::{Plan, outline, play};
+use calicolb_simulation::{Plan, simulate, workload};
 
 #[test]
 fn an_outline_has_the_requests_of_the_play() {
@@ -12,25 +12,32 @@
             tenants: 5,
             zones: 3,
             regions: 1,
-            starts_per_s: 10.0,
-            running: Some(15.0),
-            seconds: 6,
-            warm_up: 10,
+            requests_per_s: 10.0,
+            running_tasks: Some(15.0),
+            measured_seconds: 6,
+            warm_up_seconds: 10,
             seed,
             ..Plan::default()
         };
         println!("seed {seed}");
-        let drawn = outline(&plan);
-        let counting = drawn.requests.iter().filter(|request| request.counts).count() as u64;
-        assert_eq!(counting, play(&plan).jobs);
+        let drawn = workload(&plan);
+        let counting = drawn.requests.iter().filter(|request| request.measured).count() as u64;
+        assert_eq!(counting, simulate(&plan).jobs);
         assert!(counting > 20, "hardly anything is drawn: {counting}");
         // What is under way at the beginning, then what comes in, up to the last second that counts.
         assert!(drawn.requests.len() as u64 > counting + 15);
-        assert!(drawn.requests.is_sorted_by_key(|request| request.at));
-        assert!(drawn.requests.iter().all(|request| request.counts == (request.at >= drawn.counts.0)));
-        assert!(drawn.requests.iter().all(|request| request.at < drawn.counts.1 && request.rank < 4));
+        assert!(drawn.requests.is_sorted_by_key(|request| request.sent_at));
+        assert!(
+            drawn
+                .requests
+                .iter()
+                .all(|request| request.measured == (request.sent_at >= drawn.measured_span.0))
+        );
+        assert!(
+            drawn.requests.iter().all(|request| request.sent_at < drawn.measured_span.1 && request.rank < 4)
+        );
         // Every scheduler, class and tenant has some.
-        let had = |of: fn(&calicolb_simulation::RequestOutline) -> usize| {
+        let had = |of: fn(&calicolb_simulation::WorkloadRequest) -> usize| {
             drawn.requests.iter().map(of).collect::<std::collections::BTreeSet<_>>().len()
         };
         assert_eq!(had(|request| request.rank as usize), 4);
@@ -38,6 +45,6 @@
         assert_eq!(had(|request| request.tenant.unwrap_or(99)), 5);
         // Eight accelerators are one machine of the nine.
         assert_eq!(drawn.workers.iter().map(|worker| worker.slots).sum::<u32>(), 8 * 12 + 8);
-        assert_eq!(drawn, outline(&plan));
+        assert_eq!(drawn, workload(&plan));
     }
 }
