--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -16,7 +16,7 @@
 /// Slots of a job, and how many of a hundred have so many.
 const JOB_SLOTS: [(u32, f64); 4] = [(1, 70.0), (2, 15.0), (4, 10.0), (8, 5.0)];
 /// The same of jobs on accelerators.
-const JOB_UNITS: [(u32, f64); 3] = [(1, 80.0), (2, 15.0), (4, 5.0)];
+const JOB_ACCELERATORS: [(u32, f64); 3] = [(1, 80.0), (2, 15.0), (4, 5.0)];
 
 /// A request as its client has it.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     /// Its first task has started.
     pub(crate) started: bool,
     /// Attempts that came to a worker whole: which, and whether it has ended there or been given up.
-    pub(crate) runs: Vec<Run>,
+    pub(crate) task_records: Vec<TaskRecord>,
 }
 
 impl Job {
@@ -55,24 +55,24 @@
 
 /// An attempt that came to a worker.
 #[derive(Clone, Debug)]
-pub(crate) struct Run {
-    pub(crate) number: u64,
+pub(crate) struct TaskRecord {
+    pub(crate) task: u64,
     pub(crate) worker: u32,
-    pub(crate) at: Micros,
+    pub(crate) accepted_at: Micros,
     /// It has run, at least in part.
-    pub(crate) ran: bool,
-    pub(crate) over: bool,
+    pub(crate) has_started: bool,
+    pub(crate) has_ended: bool,
 }
 
 /// See the head of this file.
 pub(crate) struct Clients {
     rng: StdRng,
-    gaps: Exp<f64>,
+    request_gaps: Exp<f64>,
     classes: WeightedAliasIndex<f64>,
     tenants: Option<WeightedAliasIndex<f64>>,
     schedulers: WeightedAliasIndex<f64>,
     slots: WeightedAliasIndex<f64>,
-    units: WeightedAliasIndex<f64>,
+    accelerators: WeightedAliasIndex<f64>,
     work: Vec<f64>,
 }
 
@@ -93,31 +93,31 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let shares = lognormal(SHARE_SPREAD);
         let schedulers = (0..plan.schedulers).map(|_| shares.sample(&mut rng)).collect();
-        let tenants: Vec<f64> = plan.quotas().iter().map(|(quota, asks)| quota * asks).collect();
+        let tenants: Vec<f64> = plan.quotas_and_demand().iter().map(|(quota, asks)| quota * asks).collect();
         let gaps = Exp::new(plan.requests_per_s / SECOND as f64);
         Clients {
             rng,
-            gaps: gaps.unwrap_or_else(|error| unreachable!("a rate is above zero: {error}")),
-            classes: weighted(CLASSES.iter().map(|class| class.part).collect()),
+            request_gaps: gaps.unwrap_or_else(|error| unreachable!("a rate is above zero: {error}")),
+            classes: weighted(CLASSES.iter().map(|class| class.request_share).collect()),
             tenants: (!tenants.is_empty()).then(|| weighted(tenants)),
             schedulers: weighted(schedulers),
             slots: weighted(JOB_SLOTS.iter().map(|slots| slots.1).collect()),
-            units: weighted(JOB_UNITS.iter().map(|slots| slots.1).collect()),
+            accelerators: weighted(JOB_ACCELERATORS.iter().map(|slots| slots.1).collect()),
             work: (0..CLASSES.len()).map(|class| plan.class_work(class)).collect(),
         }
     }
 
     /// The time to the next request.
-    pub(crate) fn gap(&mut self) -> Micros {
-        self.gaps.sample(&mut self.rng) as Micros + 1
+    pub(crate) fn next_gap(&mut self) -> Micros {
+        self.request_gaps.sample(&mut self.rng) as Micros + 1
     }
 
     /// The next request. One that is `under way` is left of a job that began before.
-    pub(crate) fn draw(&mut self, now: Micros, measured: bool, under_way: bool) -> Job {
+    pub(crate) fn draw_request(&mut self, now: Micros, measured: bool, under_way: bool) -> Job {
         let class = self.classes.sample(&mut self.rng);
         let plan = &CLASSES[class];
         let slots = if plan.accelerated {
-            JOB_UNITS[self.units.sample(&mut self.rng)].0
+            JOB_ACCELERATORS[self.accelerators.sample(&mut self.rng)].0
         } else {
             JOB_SLOTS[self.slots.sample(&mut self.rng)].0
         };
@@ -139,12 +139,12 @@
             expires: now + plan.client_timeout,
             answered: false,
             started: false,
-            runs: Vec::new(),
+            task_records: Vec::new(),
         }
     }
 
     /// An even draw below this.
-    pub(crate) fn below(&mut self, count: u32) -> u32 {
+    pub(crate) fn random_below(&mut self, count: u32) -> u32 {
         self.rng.random_range(0..count.max(1))
     }
 }
--- /dev/null
+++ b/crates/simulation/src/config_learner.rs
@@ -0,0 +1,273 @@
+//! How a scheduler learns the agreed configuration: one watch at one of the control machines, and a call that tells which
+//! version is in force. By the rules of the program's own learner; what counts of what is heard is
+//! [`calicolb_agreed::Learner`]'s to say.
+
+use crate::Micros;
+use crate::control_machines::{self, Lines, SharedSettingsCheck};
+use crate::encode::ControlLine;
+use crate::plan::{MILLI, SECOND};
+use calicolb::api::Settings;
+use calicolb::settings_update;
+use calicolb::wire::Names;
+use calicolb_agreed::{Change, Delta, Digest, InForce, Learner, Message, Taken, Version};
+use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
+use rand::{RngExt, SeedableRng};
+use std::sync::Arc;
+
+/// A watch on which nothing came for longer than this is broken.
+const WATCH_SILENCE_TIMEOUT: Micros = 5 * SECOND;
+/// A connection and the first line on it, or an answer, are owed by then.
+const RESPONSE_TIMEOUT: Micros = SECOND;
+/// The next machine is asked after this time at first, and after this at most.
+const MIN_RETRY_WAIT: Micros = 50 * MILLI;
+const MAX_RETRY_WAIT: Micros = SECOND;
+/// Without a word of a majority for so long a learner knows that it is behind.
+const MAJORITY_TIMEOUT: Micros = 5 * SECOND;
+
+/// What a learner wants done.
+pub(crate) enum LearnerCommand {
+    /// A watch at this machine, from this version on, by the call of this number.
+    OpenWatch { machine: u32, call: u64, from: (u64, Digest) },
+    /// Its watch there is ended.
+    CloseWatch { machine: u32, call: u64 },
+    /// This machine is told that this version is in force.
+    ReportInForce { machine: u32, seq: u64 },
+    /// It is looked at again at this time.
+    SetTimer(Micros),
+    /// These settings come into force.
+    ApplySettings(Box<Settings>, Arc<InForce>),
+}
+
+/// See the head of this file.
+pub(crate) struct ConfigLearner {
+    machines: Vec<u32>,
+    machine_index: usize,
+    learner: Learner,
+    settings: Settings,
+    names: Names,
+    calls: u64,
+    watch_call: Option<u64>,
+    opened_at: Micros,
+    last_received_at: Option<Micros>,
+    last_majority_at: Micros,
+    seq: u64,
+    retry_at: Option<Micros>,
+    failures: u32,
+    report_deadline: Option<Micros>,
+    reported_seq: Option<u64>,
+    rng: StdRng,
+    in_force: Arc<InForce>,
+    timer_at: Option<Micros>,
+    /// When what was written on its watch last arrives.
+    last_arrival: Micros,
+    commands: Vec<LearnerCommand>,
+}
+
+impl ConfigLearner {
+    /// A learner whose own settings are these, with their names, until a version is in force.
+    pub(crate) fn new(settings: Settings, names: Names, first: Version, seed: u64) -> Self {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let mut machines: Vec<u32> = (0..control_machines::MACHINE_COUNT).collect();
+        machines.shuffle(&mut rng);
+        let learner = Learner::with(MAJORITY_TIMEOUT, Box::new(SharedSettingsCheck), first);
+        ConfigLearner {
+            machines,
+            machine_index: 0,
+            in_force: learner.in_force(0),
+            learner,
+            settings,
+            names,
+            calls: 0,
+            watch_call: None,
+            opened_at: 0,
+            last_received_at: None,
+            last_majority_at: 0,
+            seq: 0,
+            retry_at: None,
+            failures: 0,
+            report_deadline: None,
+            reported_seq: None,
+            rng,
+            timer_at: None,
+            last_arrival: 0,
+            commands: Vec::new(),
+        }
+    }
+
+    /// What is to be done.
+    pub(crate) fn take_commands(&mut self) -> Vec<LearnerCommand> {
+        std::mem::take(&mut self.commands)
+    }
+
+    /// The machine that it is at.
+    pub(crate) fn current_machine(&self) -> u32 {
+        self.machines[self.machine_index]
+    }
+
+    /// Something later than what is in force here may be in force elsewhere.
+    pub(crate) fn is_behind(&self, now: Micros) -> bool {
+        self.learner.behind(now)
+    }
+
+    /// When something arrives that would alone do so at this time: after all that was written before.
+    pub(crate) fn arrival_in_order(&mut self, at: Micros) -> Micros {
+        self.last_arrival = self.last_arrival.max(at);
+        self.last_arrival
+    }
+
+    /// Begins to learn.
+    pub(crate) fn start(&mut self, now: Micros) {
+        self.last_majority_at = now;
+        self.open_watch(now);
+        self.update_timer(now);
+    }
+
+    fn open_watch(&mut self, now: Micros) {
+        let held = self.learner.holds();
+        self.calls += 1;
+        (self.opened_at, self.last_received_at, self.reported_seq, self.retry_at) = (now, None, None, None);
+        self.watch_call = Some(self.calls);
+        let from = (held.seq, held.digest);
+        self.commands.push(LearnerCommand::OpenWatch {
+            machine: self.current_machine(),
+            call: self.calls,
+            from,
+        });
+    }
+
+    fn close_and_retry(&mut self, now: Micros) {
+        if let Some(call) = self.watch_call.take() {
+            self.commands.push(LearnerCommand::CloseWatch { machine: self.current_machine(), call });
+        }
+        self.report_deadline = None;
+        self.machine_index = (self.machine_index + 1) % self.machines.len();
+        let wait = (MIN_RETRY_WAIT << self.failures.min(8)).min(MAX_RETRY_WAIT);
+        self.failures += 1;
+        self.retry_at = Some(now + wait / 2 + self.rng.random_range(0..=wait));
+    }
+
+    /// The watch of this call has broken, or was not to be had.
+    pub(crate) fn watch_failed(&mut self, now: Micros, call: u64) {
+        if self.watch_call == Some(call) {
+            self.close_and_retry(now);
+            self.update_timer(now);
+        }
+    }
+
+    /// The machine has heard which version is in force.
+    pub(crate) fn report_acknowledged(&mut self, now: Micros) {
+        self.report_deadline = None;
+        self.update_timer(now);
+    }
+
+    /// Something has come on the watch.
+    pub(crate) fn receive_lines(&mut self, now: Micros, call: u64, lines: &Lines) {
+        if self.watch_call != Some(call) {
+            return;
+        }
+        self.last_received_at = Some(now);
+        let sound = if lines.lines.is_empty() {
+            // That there is nothing new is said only with a majority.
+            self.receive_line(now, &ControlLine { seq: self.seq, majority: true, ..ControlLine::default() })
+        } else {
+            lines.lines.iter().all(|line| self.receive_line(now, line))
+        };
+        let in_force = self.learner.in_force(now);
+        if !Arc::ptr_eq(&in_force, &self.in_force) {
+            self.in_force = Arc::clone(&in_force);
+            self.apply_settings(in_force);
+        }
+        if sound {
+            self.report_in_force(now)
+        } else {
+            self.close_and_retry(now)
+        }
+        self.update_timer(now);
+    }
+
+    fn receive_line(&mut self, now: Micros, line: &ControlLine) -> bool {
+        self.failures = 0;
+        self.seq = line.seq;
+        let (seq, majority) = (line.seq, line.majority);
+        if majority {
+            self.last_majority_at = now;
+        }
+        let digest = |text: &str| text.parse::<Digest>().ok();
+        let message = if line.whole {
+            let Some(digest) = digest(&line.digest) else { return false };
+            let version = Version { seq, digest, document: Arc::new(line.settings.clone()) };
+            Message::Whole { version, majority }
+        } else if line.from.is_empty() {
+            Message::Here { seq, majority }
+        } else {
+            let Some((from_digest, digest)) = digest(&line.from).zip(digest(&line.digest)) else {
+                return false;
+            };
+            let change = Change { set: line.set.clone(), unset: line.unset.clone() };
+            Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
+        };
+        self.learner.hear(now, message) != Taken::Gap
+    }
+
+    /// What is in force is read, and goes to the module; names keep their places.
+    fn apply_settings(&mut self, in_force: Arc<InForce>) {
+        let Ok((new, names)) = control_machines::settings(&in_force.document) else { return };
+        let (rank, instances, zone) = (self.settings.rank, self.settings.instances, self.settings.zone);
+        let new = Settings { rank, instances, zone, ..new };
+        if let Ok((settings, names)) = settings_update::merge((&self.settings, &self.names), (&new, &names)) {
+            (self.settings, self.names) = (settings.clone(), names);
+            self.commands.push(LearnerCommand::ApplySettings(Box::new(settings), in_force));
+        }
+    }
+
+    /// Tells the machine which version is in force, unless it knows.
+    fn report_in_force(&mut self, now: Micros) {
+        let seq = self.in_force.seq;
+        if self.watch_call.is_some()
+            && self.report_deadline.is_none()
+            && seq > 0
+            && self.reported_seq != Some(seq)
+        {
+            self.commands.push(LearnerCommand::ReportInForce { machine: self.current_machine(), seq });
+            self.report_deadline = Some(now + RESPONSE_TIMEOUT);
+            self.reported_seq = Some(seq);
+        }
+    }
+
+    /// A time that was set has come.
+    pub(crate) fn timer_fired(&mut self, now: Micros) {
+        if self.timer_at.is_some_and(|at| at > now) {
+            return;
+        }
+        self.timer_at = None;
+        if self.report_deadline.take_if(|by| *by <= now).is_some() {
+            self.reported_seq = None;
+        }
+        let silent = self.last_majority_at.max(self.opened_at) + MAJORITY_TIMEOUT <= now;
+        if self.watch_call.is_some() && (self.watch_deadline() <= now || silent) {
+            self.close_and_retry(now);
+        }
+        if self.retry_at.is_some_and(|again| again <= now) {
+            self.open_watch(now);
+        }
+        self.update_timer(now);
+    }
+
+    fn watch_deadline(&self) -> Micros {
+        self.last_received_at.map_or(self.opened_at + RESPONSE_TIMEOUT, |heard| heard + WATCH_SILENCE_TIMEOUT)
+    }
+
+    fn update_timer(&mut self, now: Micros) {
+        let watch = self
+            .watch_call
+            .map(|_| self.watch_deadline().min(self.last_majority_at.max(self.opened_at) + MAJORITY_TIMEOUT));
+        let next = [self.retry_at, self.report_deadline, watch].into_iter().flatten().min();
+        if let Some(at) = next.map(|at| at.max(now + 1))
+            && self.timer_at.is_none_or(|set| at < set)
+        {
+            self.timer_at = Some(at);
+            self.commands.push(LearnerCommand::SetTimer(at));
+        }
+    }
+}
--- a/crates/simulation/src/agreed.rs
+++ b/crates/simulation/src/control_machines.rs
@@ -15,20 +15,20 @@
 use std::rc::Rc;
 
 /// How many control machines there are.
-pub(crate) const MACHINES: u32 = 5;
+pub(crate) const MACHINE_COUNT: u32 = 5;
 /// A voter counts time in these.
-pub(crate) const TICK: Micros = 100 * MILLI;
+pub(crate) const VOTER_TICK: Micros = 100 * MILLI;
 /// A watch is told this often that there is nothing new.
-pub(crate) const HEARTBEAT: Micros = 2 * SECOND;
+pub(crate) const HEARTBEAT_INTERVAL: Micros = 2 * SECOND;
 /// A change that is not agreed by then is asked for again.
-const AGREE: Micros = 4 * SECOND;
+const AGREEMENT_TIMEOUT: Micros = 4 * SECOND;
 
 /// Lists of things that have a name.
-const NAMED: [&str; 2] = ["request_classes", "orgs"];
+const NAMED_LISTS: [&str; 2] = ["request_classes", "orgs"];
 /// Lists that have a value for each class.
-const BY_CLASS: [&str; 2] = ["class_kind", "class_priority"];
+const PER_CLASS_LISTS: [&str; 2] = ["class_kind", "class_priority"];
 /// Keys that are each scheduler's own.
-const OWN: [&str; 3] = ["n_instances", "rank", "zone"];
+const LOCAL_KEYS: [&str; 3] = ["n_instances", "rank", "zone"];
 
 /// The settings of a plan as a flat document.
 pub(crate) fn document(plan: &Plan) -> Document {
@@ -38,10 +38,10 @@
     let name = |thing: &Value| thing["name"].as_str().unwrap_or_default().to_owned();
     let items = |value: &Value| value.as_array().cloned().unwrap_or_default();
     for (key, value) in fields(&settings) {
-        if OWN.contains(&key.as_str()) {
+        if LOCAL_KEYS.contains(&key.as_str()) {
             continue;
         }
-        if NAMED.contains(&key.as_str()) {
+        if NAMED_LISTS.contains(&key.as_str()) {
             for thing in items(&value) {
                 let told = fields(&thing).into_iter().filter(|(field, _)| field != "name");
                 document
@@ -49,7 +49,7 @@
             }
         } else if value.is_object() {
             for (field, value) in fields(&value) {
-                if BY_CLASS.contains(&field.as_str()) {
+                if PER_CLASS_LISTS.contains(&field.as_str()) {
                     let classes = items(&settings["request_classes"]);
                     let each = classes.iter().zip(items(&value));
                     document
@@ -73,11 +73,11 @@
     for (key, value) in document {
         let (group, rest) = key.split_once('.').unwrap_or((key, ""));
         match rest.rsplit_once('.') {
-            Some((name, field)) if NAMED.contains(&group) => {
+            Some((name, field)) if NAMED_LISTS.contains(&group) => {
                 let thing = named.entry(group).or_default().entry(name).or_default();
                 thing.insert(field.to_owned(), value.clone());
             }
-            Some((list, name)) if BY_CLASS.contains(&list) => {
+            Some((list, name)) if PER_CLASS_LISTS.contains(&list) => {
                 by_class.entry(list).or_default().insert(name, value);
             }
             _ if rest.is_empty() => drop(root.insert(key.clone(), value.clone())),
@@ -88,7 +88,7 @@
         }
     }
     for (list, values) in by_class {
-        let classes = named.get(NAMED[0]).into_iter().flatten();
+        let classes = named.get(NAMED_LISTS[0]).into_iter().flatten();
         let each: Vec<Value> =
             classes.map(|(name, _)| values.get(name).map_or(json!(0), |value| (*value).clone())).collect();
         root.entry("extra").or_insert_with(|| json!({}))[list] = Value::from(each);
@@ -105,15 +105,15 @@
 }
 
 /// What a version is checked by, and which way its keys tighten.
-pub(crate) struct Shared;
+pub(crate) struct SharedSettingsCheck;
 
-impl Check for Shared {
+impl Check for SharedSettingsCheck {
     fn check(&self, document: &Document) -> Result<(), Fault> {
         settings(document).map(drop)
     }
 }
 
-impl Rules for Shared {
+impl Rules for SharedSettingsCheck {
     fn tighter(&self, key: &str) -> Tighter {
         if key.ends_with(".quota_rps") { Tighter::Less } else { Tighter::Unknown }
     }
@@ -133,51 +133,51 @@
 }
 
 /// A change on its way.
-struct Waiting {
+struct PendingChange {
     ticket: Ticket,
     /// Which change it is; `None`: the first settings.
     change: Option<u32>,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// What became of a change.
-pub(crate) enum Settled {
-    Agreed {
+pub(crate) enum ChangeOutcome {
+    Accepted {
         change: Option<u32>,
         seq: u64,
         digest: Digest,
     },
     /// It was not agreed in time, or is not usable any more.
-    Not(Option<u32>),
+    Failed(Option<u32>),
 }
 
 /// One control machine.
-pub(crate) struct Machine {
+pub(crate) struct ControlMachine {
     id: VoterId,
     pub(crate) zone: usize,
-    platter: Platter,
+    disk: Platter,
     seed: u64,
     pub(crate) voter: Option<Voter<MemoryStore>>,
     watches: BTreeMap<u32, Watch>,
-    told: (u64, bool),
-    waiting: Vec<Waiting>,
+    last_announced: (u64, bool),
+    pending: Vec<PendingChange>,
     /// The version that it was seen to know last.
-    seen: (u64, Digest),
+    last_seen: (u64, Digest),
 }
 
-impl Machine {
-    pub(crate) fn new(nr: u32, zone: usize, seed: u64) -> Self {
-        let id = u64::from(nr) + 1;
-        let mut machine = Machine {
+impl ControlMachine {
+    pub(crate) fn new(index: u32, zone: usize, seed: u64) -> Self {
+        let id = u64::from(index) + 1;
+        let mut machine = ControlMachine {
             id,
             zone,
-            platter: Platter::default(),
+            disk: Platter::default(),
             seed,
             voter: None,
             watches: BTreeMap::new(),
-            told: (0, false),
-            waiting: Vec::new(),
-            seen: (0, Digest::of(&Document::new())),
+            last_announced: (0, false),
+            pending: Vec::new(),
+            last_seen: (0, Digest::of(&Document::new())),
         };
         machine.start();
         machine
@@ -185,35 +185,35 @@
 
     /// A process of it starts, with what its store holds.
     pub(crate) fn start(&mut self) {
-        let ids: Vec<VoterId> = (1..=u64::from(MACHINES)).collect();
-        let store = self.platter.open().ok();
+        let ids: Vec<VoterId> = (1..=u64::from(MACHINE_COUNT)).collect();
+        let store = self.disk.open().ok();
         self.voter = store.and_then(|store| Voter::new(self.id, &ids, store, self.seed).ok());
     }
 
     /// Its process is killed; gives the watches that end, each with its call.
     pub(crate) fn kill(&mut self) -> Vec<(u32, u64)> {
         self.voter = None;
-        self.waiting.clear();
-        self.told = (0, false);
+        self.pending.clear();
+        self.last_announced = (0, false);
         std::mem::take(&mut self.watches).into_iter().map(|(process, watch)| (process, watch.call)).collect()
     }
 
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(|voter| voter.leader() == Some(self.id) && voter.has_majority())
     }
 
     /// Proposes a change; whether it is on its way.
-    pub(crate) fn propose(&mut self, now: Micros, nr: Option<u32>, change: Change) -> Result<(), Refused> {
+    pub(crate) fn propose(&mut self, now: Micros, index: Option<u32>, change: Change) -> Result<(), Refused> {
         let Some(voter) = &mut self.voter else { return Err(Refused::Stopped) };
-        let ticket = voter.propose(change, &Shared)?;
-        self.waiting.push(Waiting { ticket, change: nr, until: now + AGREE });
+        let ticket = voter.propose(change, &SharedSettingsCheck)?;
+        self.pending.push(PendingChange { ticket, change: index, deadline: now + AGREEMENT_TIMEOUT });
         Ok(())
     }
 
     /// The first settings are proposed by the machine that leads, while there are none.
-    pub(crate) fn begin(&mut self, now: Micros, first: &Document) {
+    pub(crate) fn propose_initial(&mut self, now: Micros, first: &Document) {
         let none = self.voter.as_ref().is_some_and(|voter| voter.agreed().seq == 0);
-        if none && self.leads() && self.waiting.is_empty() {
+        if none && self.is_leader() && self.pending.is_empty() {
             let change = Change { set: first.clone(), ..Change::default() };
             // One that is refused is proposed again at the next tick.
             let _ = self.propose(now, None, change);
@@ -221,35 +221,35 @@
     }
 
     /// Ends a turn: messages to other voters, and what became of changes.
-    pub(crate) fn settle(&mut self, now: Micros) -> (Vec<(VoterId, Vec<u8>)>, Vec<Settled>) {
+    pub(crate) fn process_outcomes(&mut self, now: Micros) -> (Vec<(VoterId, Vec<u8>)>, Vec<ChangeOutcome>) {
         let Some(voter) = &mut self.voter else { return Default::default() };
         let mut settled = Vec::new();
-        for (ticket, outcome) in voter.settled(&Shared) {
-            let Some(at) = self.waiting.iter().position(|waiting| waiting.ticket == ticket) else { continue };
-            let change = self.waiting.swap_remove(at).change;
+        for (ticket, outcome) in voter.settled(&SharedSettingsCheck) {
+            let Some(at) = self.pending.iter().position(|waiting| waiting.ticket == ticket) else { continue };
+            let change = self.pending.swap_remove(at).change;
             settled.push(match outcome {
-                Outcome::Agreed { seq, digest } => Settled::Agreed { change, seq, digest },
-                Outcome::Void(_) | Outcome::Unknown { .. } => Settled::Not(change),
+                Outcome::Agreed { seq, digest } => ChangeOutcome::Accepted { change, seq, digest },
+                Outcome::Void(_) | Outcome::Unknown { .. } => ChangeOutcome::Failed(change),
             });
         }
-        let late = self.waiting.extract_if(.., |waiting| waiting.until <= now);
-        settled.extend(late.map(|waiting| Settled::Not(waiting.change)));
+        let late = self.pending.extract_if(.., |waiting| waiting.deadline <= now);
+        settled.extend(late.map(|waiting| ChangeOutcome::Failed(waiting.change)));
         (voter.outgoing(), settled)
     }
 
     /// The versions that it has come to know since it was asked last.
-    pub(crate) fn learned(&mut self) -> Vec<(u64, Digest)> {
+    pub(crate) fn learned_versions(&mut self) -> Vec<(u64, Digest)> {
         let Some(voter) = &self.voter else { return Vec::new() };
-        let learned = match voter.since(self.seen.0, self.seen.1) {
+        let learned = match voter.since(self.last_seen.0, self.last_seen.1) {
             Answer::Level | Answer::Ahead => Vec::new(),
             Answer::Whole(version) => vec![(version.seq, version.digest)],
             Answer::Deltas(deltas) => deltas.into_iter().map(|delta| (delta.seq, delta.digest)).collect(),
         };
-        self.seen = learned.last().copied().unwrap_or(self.seen);
+        self.last_seen = learned.last().copied().unwrap_or(self.last_seen);
         learned
     }
 
-    fn level(&self) -> Lines {
+    fn status_lines(&self) -> Lines {
         let Some(voter) = &self.voter else { return written(Vec::new()) };
         let (agreed, majority) = (voter.agreed(), voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
@@ -257,11 +257,11 @@
     }
 
     /// All that a learner with this version lacks.
-    fn since(&self, seq: u64, digest: Digest) -> Lines {
+    fn lines_since(&self, seq: u64, digest: Digest) -> Lines {
         let Some(voter) = &self.voter else { return written(Vec::new()) };
         let majority = voter.has_majority();
         match voter.since(seq, digest) {
-            Answer::Level | Answer::Ahead => self.level(),
+            Answer::Level | Answer::Ahead => self.status_lines(),
             Answer::Whole(version) => written(vec![ControlLine {
                 seq: version.seq,
                 whole: true,
@@ -286,41 +286,47 @@
     }
 
     /// A learner calls for a watch; gives what it begins with.
-    pub(crate) fn watch(&mut self, process: u32, call: u64, (seq, digest): (u64, Digest)) -> Option<Lines> {
+    pub(crate) fn open_watch(
+        &mut self,
+        process: u32,
+        call: u64,
+        (seq, digest): (u64, Digest),
+    ) -> Option<Lines> {
         let agreed = self.voter.as_ref()?.agreed();
         let known = if seq > agreed.seq { (seq, digest) } else { (agreed.seq, agreed.digest) };
-        let lines = self.since(seq, digest);
+        let lines = self.lines_since(seq, digest);
         self.watches.insert(process, Watch { call, seq: known.0, digest: known.1 });
         Some(lines)
     }
 
     /// A learner's watch has ended.
-    pub(crate) fn end(&mut self, process: u32, call: u64) {
+    pub(crate) fn close_watch(&mut self, process: u32, call: u64) {
         if self.watches.get(&process).is_some_and(|watch| watch.call == call) {
             self.watches.remove(&process);
         }
     }
 
     /// What the watches are told, if there is anything new.
-    pub(crate) fn news(&mut self) -> Vec<(u32, u64, Rc<Lines>)> {
+    pub(crate) fn watch_updates(&mut self) -> Vec<(u32, u64, Rc<Lines>)> {
         let Some(voter) = &self.voter else { return Vec::new() };
         let agreed = (voter.agreed().seq, voter.agreed().digest);
         let present = (agreed.0, voter.has_majority());
-        if present == self.told {
+        if present == self.last_announced {
             return Vec::new();
         }
-        let moved = present.1 != self.told.1;
-        self.told = present;
+        let moved = present.1 != self.last_announced.1;
+        self.last_announced = present;
         let mut written: BTreeMap<(u64, String), Rc<Lines>> = BTreeMap::new();
         let mut told = Vec::new();
         let known: Vec<_> =
-            self.watches.iter().map(|(&nr, watch)| (nr, watch.call, watch.seq, watch.digest)).collect();
+            self.watches.iter().map(|(&index, watch)| (index, watch.call, watch.seq, watch.digest)).collect();
         for (process, call, seq, digest) in known {
             if (seq, digest) == agreed && !moved {
                 continue;
             }
             let key = (seq, digest.to_string());
-            let lines = Rc::clone(written.entry(key).or_insert_with(|| Rc::new(self.since(seq, digest))));
+            let lines =
+                Rc::clone(written.entry(key).or_insert_with(|| Rc::new(self.lines_since(seq, digest))));
             if let Some(watch) = self.watches.get_mut(&process).filter(|watch| watch.seq <= agreed.0) {
                 (watch.seq, watch.digest) = agreed;
             }
@@ -330,10 +336,10 @@
     }
 
     /// What all watches are told while there is nothing new: an empty line, or that there is no majority.
-    pub(crate) fn heartbeat(&self) -> Vec<(u32, u64, Rc<Lines>)> {
+    pub(crate) fn heartbeats(&self) -> Vec<(u32, u64, Rc<Lines>)> {
         let majority = self.voter.as_ref().is_some_and(Voter::has_majority);
         let empty = || Lines { lines: Vec::new(), bytes: encode::chunk("").len() };
-        let lines = Rc::new(if majority { empty() } else { self.level() });
+        let lines = Rc::new(if majority { empty() } else { self.status_lines() });
         self.watches.iter().map(|(&process, watch)| (process, watch.call, Rc::clone(&lines))).collect()
     }
 }
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -2,7 +2,7 @@
 //! calls in turn.
 
 use crate::Micros;
-use crate::encode::{self, Line, Listing};
+use crate::encode::{self, ListMessage, WorkerLine};
 use crate::plan::{MILLI, SECOND};
 use calicolb::api::{KindIx, ListKind, Member, WorkerStatus, ZoneIx};
 use calicolb::wire::worker_id;
@@ -10,16 +10,16 @@
 use std::rc::Rc;
 
 /// Changes are told together at this interval.
-pub(crate) const GATHER: Micros = 200 * MILLI;
+pub(crate) const PUBLISH_INTERVAL: Micros = 200 * MILLI;
 /// A watch brings an empty line after so long without any other.
-pub(crate) const BEAT: Micros = calicolb_freshness::KEEPALIVE_INTERVAL;
+pub(crate) const WATCH_KEEPALIVE: Micros = calicolb_freshness::KEEPALIVE_INTERVAL;
 /// What a call takes, and what each line of its answer takes.
-const CALL: Micros = MILLI;
-const LINE: Micros = 6;
+const CALL_TIME: Micros = MILLI;
+const TIME_PER_LINE: Micros = 6;
 /// A call that would wait longer is refused.
-const PATIENCE: Micros = 2 * SECOND;
+const MAX_CALL_WAIT: Micros = 2 * SECOND;
 /// Versions whose changes are remembered: who held an older one gets the whole list.
-const REMEMBERED: usize = 64;
+const MAX_LOGGED_VERSIONS: usize = 64;
 
 /// What discovery tells one scheduler.
 pub(crate) struct Update {
@@ -35,25 +35,25 @@
     /// The call that opened it.
     pub(crate) call: u64,
     /// When something was last written on it, and when that arrives.
-    wrote: Micros,
-    arrives: Micros,
+    last_written: Micros,
+    last_arrival: Micros,
 }
 
 /// See the head of this file.
 pub(crate) struct Discovery {
     pub(crate) zone: usize,
     seq: u64,
-    lines: BTreeMap<u32, Line>,
+    lines: BTreeMap<u32, WorkerLine>,
     /// The zone and kind of each, as numbers.
-    places: BTreeMap<u32, (usize, usize)>,
+    locations: BTreeMap<u32, (usize, usize)>,
     /// Lines that have changed since the last version was told.
     changed: BTreeSet<u32>,
     /// The versions of late, and the lines that each changed.
-    log: Vec<(u64, Vec<u32>)>,
-    busy: Micros,
+    change_log: Vec<(u64, Vec<u32>)>,
+    busy_until: Micros,
     /// Open watches, by process.
     pub(crate) watches: BTreeMap<u32, Watch>,
-    whole: Option<Rc<Update>>,
+    full_list: Option<Rc<Update>>,
 }
 
 impl Discovery {
@@ -62,24 +62,24 @@
             zone,
             seq: 1,
             lines: BTreeMap::new(),
-            places: BTreeMap::new(),
+            locations: BTreeMap::new(),
             changed: BTreeSet::new(),
-            log: Vec::new(),
-            busy: 0,
+            change_log: Vec::new(),
+            busy_until: 0,
             watches: BTreeMap::new(),
-            whole: None,
+            full_list: None,
         }
     }
 
     /// The line of a worker is this from now on.
-    pub(crate) fn set(&mut self, worker: u32, line: Line, place: (usize, usize)) {
+    pub(crate) fn set_worker(&mut self, worker: u32, line: WorkerLine, place: (usize, usize)) {
         self.lines.insert(worker, line);
-        self.places.insert(worker, place);
+        self.locations.insert(worker, place);
         self.changed.insert(worker);
     }
 
     /// A worker's state changes in the list.
-    pub(crate) fn health(&mut self, worker: u32, health: &'static str) {
+    pub(crate) fn set_health(&mut self, worker: u32, health: &'static str) {
         if let Some(line) = self.lines.get_mut(&worker).filter(|line| line.health != health) {
             line.health = health;
             self.changed.insert(worker);
@@ -87,20 +87,20 @@
     }
 
     /// Changes wait to be told.
-    pub(crate) fn stale(&self) -> bool {
+    pub(crate) fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
     /// Makes a version of what has changed; gives what all watches bring.
-    pub(crate) fn flush(&mut self) -> Rc<Update> {
+    pub(crate) fn publish(&mut self) -> Rc<Update> {
         self.seq += 1;
         let changed: Vec<u32> = std::mem::take(&mut self.changed).into_iter().collect();
-        self.whole = None;
-        self.log.push((self.seq, changed.clone()));
-        if self.log.len() > REMEMBERED {
-            self.log.remove(0);
+        self.full_list = None;
+        self.change_log.push((self.seq, changed.clone()));
+        if self.change_log.len() > MAX_LOGGED_VERSIONS {
+            self.change_log.remove(0);
         }
-        let update = Rc::new(self.write(&changed, ListKind::Changes));
+        let update = Rc::new(self.build_update(&changed, ListKind::Changes));
         for worker in changed {
             // It is told once that a worker has gone.
             if self.lines.get(&worker).is_some_and(|line| line.health == "terminated") {
@@ -110,13 +110,14 @@
         update
     }
 
-    fn write(&self, workers: &[u32], kind: ListKind) -> Update {
-        let lines: Vec<Line> = workers.iter().filter_map(|worker| self.lines.get(worker).cloned()).collect();
+    fn build_update(&self, workers: &[u32], kind: ListKind) -> Update {
+        let lines: Vec<WorkerLine> =
+            workers.iter().filter_map(|worker| self.lines.get(worker).cloned()).collect();
         let members = workers.iter().filter_map(|worker| {
-            let (zone, kind) = self.places.get(worker)?;
+            let (zone, kind) = self.locations.get(worker)?;
             Some(member(self.lines.get(worker)?, *zone, *kind))
         });
-        let listing = Listing { seq: self.seq, whole: kind == ListKind::Full, hosts: &lines };
+        let listing = ListMessage { seq: self.seq, whole: kind == ListKind::Full, hosts: &lines };
         Update {
             seq: self.seq,
             kind,
@@ -126,20 +127,20 @@
     }
 
     /// The whole list.
-    pub(crate) fn list(&mut self) -> Rc<Update> {
-        if let Some(whole) = &self.whole {
+    pub(crate) fn whole_list(&mut self) -> Rc<Update> {
+        if let Some(whole) = &self.full_list {
             return Rc::clone(whole);
         }
         let all: Vec<u32> = self.lines.keys().copied().collect();
-        let whole = Rc::new(self.write(&all, ListKind::Full));
-        self.whole = Some(Rc::clone(&whole));
+        let whole = Rc::new(self.build_update(&all, ListKind::Full));
+        self.full_list = Some(Rc::clone(&whole));
         whole
     }
 
     /// Lines that were changed after this version; `None` where that is not known any more, or some of them have gone.
-    fn since(&self, from: u64) -> Option<Vec<u32>> {
-        let remembered = from == self.seq || self.log.first().is_some_and(|first| first.0 <= from + 1);
-        let later = self.log.iter().filter(|(seq, _)| *seq > from).flat_map(|(_, changed)| changed);
+    fn changed_since(&self, from: u64) -> Option<Vec<u32>> {
+        let remembered = from == self.seq || self.change_log.first().is_some_and(|first| first.0 <= from + 1);
+        let later = self.change_log.iter().filter(|(seq, _)| *seq > from).flat_map(|(_, changed)| changed);
         let changed: BTreeSet<u32> = later.copied().collect();
         let sound =
             remembered && from <= self.seq && changed.iter().all(|worker| self.lines.contains_key(worker));
@@ -147,37 +148,37 @@
     }
 
     /// A call for a watch has come: when it is answered; `None`: too many wait.
-    pub(crate) fn call(&mut self, now: Micros, from: u64) -> Option<Micros> {
-        let begin = self.busy.max(now);
-        if begin > now + PATIENCE {
+    pub(crate) fn schedule_call(&mut self, now: Micros, from: u64) -> Option<Micros> {
+        let begin = self.busy_until.max(now);
+        if begin > now + MAX_CALL_WAIT {
             return None;
         }
-        let lines = self.since(from).map_or(self.lines.len(), |changed| changed.len());
-        self.busy = begin + CALL + LINE * lines as Micros;
-        Some(self.busy)
+        let lines = self.changed_since(from).map_or(self.lines.len(), |changed| changed.len());
+        self.busy_until = begin + CALL_TIME + TIME_PER_LINE * lines as Micros;
+        Some(self.busy_until)
     }
 
     /// What a watch from this version on begins with: the changes since, or else the whole list.
-    pub(crate) fn answer(&mut self, from: u64) -> Rc<Update> {
-        match self.since(from) {
-            Some(changed) => Rc::new(self.write(&changed, ListKind::Changes)),
-            None => self.list(),
+    pub(crate) fn initial_update(&mut self, from: u64) -> Rc<Update> {
+        match self.changed_since(from) {
+            Some(changed) => Rc::new(self.build_update(&changed, ListKind::Changes)),
+            None => self.whole_list(),
         }
     }
 
     /// A watch is open from now on.
-    pub(crate) fn open(&mut self, process: u32, call: u64, now: Micros) {
-        self.watches.insert(process, Watch { call, wrote: now, arrives: 0 });
+    pub(crate) fn open_watch(&mut self, process: u32, call: u64, now: Micros) {
+        self.watches.insert(process, Watch { call, last_written: now, last_arrival: 0 });
     }
 
     /// When something was last written on the watch of this call; `None`: it has ended.
-    pub(crate) fn wrote(&self, process: u32, call: u64) -> Option<Micros> {
-        self.watches.get(&process).filter(|watch| watch.call == call).map(|watch| watch.wrote)
+    pub(crate) fn last_written(&self, process: u32, call: u64) -> Option<Micros> {
+        self.watches.get(&process).filter(|watch| watch.call == call).map(|watch| watch.last_written)
     }
 
     /// Something is written on a watch, and is so long on its way: when it arrives, after all that was written before. With
     /// nobody there the watch ends.
-    pub(crate) fn write_on(
+    pub(crate) fn write_to_watch(
         &mut self,
         process: u32,
         now: Micros,
@@ -189,13 +190,13 @@
             return None;
         }
         let watch = self.watches.get_mut(&process)?;
-        watch.wrote = now;
-        watch.arrives = watch.arrives.max(now + delay);
-        Some(watch.arrives)
+        watch.last_written = now;
+        watch.last_arrival = watch.last_arrival.max(now + delay);
+        Some(watch.last_arrival)
     }
 }
 
-fn member(line: &Line, zone: usize, kind: usize) -> Member {
+fn member(line: &WorkerLine, zone: usize, kind: usize) -> Member {
     Member {
         worker: worker_id(&line.host),
         zone: ZoneIx(zone),
--- a/crates/simulation/src/encode.rs
+++ b/crates/simulation/src/encode.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write as _;
 
 /// A request: request line, headers, the length where there is a body, an empty line, the body.
-pub fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn http_request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!("{method} {target} HTTP/1.1\r\n");
     for (name, value) in headers {
         let _ = write!(head, "{name}: {value}\r\n");
@@ -15,19 +15,19 @@
     if !body.is_empty() || method == "POST" {
         let _ = write!(head, "Content-Length: {}\r\n", body.len());
     }
-    finish(head, body)
+    append_body(head, body)
 }
 
 /// An answer with a body of stated length.
-pub fn response(status: u16, reason: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn http_response(status: u16, reason: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
         let _ = write!(head, "{name}: {value}\r\n");
     }
-    finish(head, body)
+    append_body(head, body)
 }
 
-fn finish(mut head: String, body: &[u8]) -> Vec<u8> {
+fn append_body(mut head: String, body: &[u8]) -> Vec<u8> {
     head.push_str("\r\n");
     let mut bytes = head.into_bytes();
     bytes.extend_from_slice(body);
@@ -48,7 +48,7 @@
 
 /// One worker in the list, in the order of the page.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct WorkerLine {
     /// The worker's name.
     pub host: String,
     /// Where it listens.
@@ -69,16 +69,16 @@
 
 /// A version of the list, or changes, as one line of JSON.
 #[derive(Serialize)]
-pub struct Listing<'a> {
+pub struct ListMessage<'a> {
     /// The version.
     pub seq: u64,
     /// All lines are there.
     pub whole: bool,
     /// The lines.
-    pub hosts: &'a [Line],
+    pub hosts: &'a [WorkerLine],
 }
 
-impl Listing<'_> {
+impl ListMessage<'_> {
     /// The line, without its end.
     pub fn text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
@@ -86,24 +86,24 @@
 }
 
 /// A call for a watch from this version on.
-pub fn watch_call(from: u64) -> Vec<u8> {
-    request("GET", &format!("/discovery/hosts?watch=1&from={from}"), &[("Host", "discovery")], b"")
+pub fn watch_request(from: u64) -> Vec<u8> {
+    http_request("GET", &format!("/discovery/hosts?watch=1&from={from}"), &[("Host", "discovery")], b"")
 }
 
 /// A call for the whole list.
-pub fn list_call() -> Vec<u8> {
-    request("GET", "/discovery/hosts", &[("Host", "discovery")], b"")
+pub fn list_request() -> Vec<u8> {
+    http_request("GET", "/discovery/hosts", &[("Host", "discovery")], b"")
 }
 
 /// A probe.
-pub fn probe_call() -> Vec<u8> {
-    request("GET", "/metrics/load", &[("Host", "origin.svc")], b"")
+pub fn probe_request() -> Vec<u8> {
+    http_request("GET", "/metrics/load", &[("Host", "origin.svc")], b"")
 }
 
 /// Its answer: requests in hand, of which waiting, and free slots.
-pub fn probe_answer(inflight: usize, queue: usize, free: usize) -> Vec<u8> {
+pub fn probe_response(inflight: usize, queue: usize, free: usize) -> Vec<u8> {
     let body = format!("{{\"inflight\":{inflight},\"queue\":{queue},\"x0\":{free}}}");
-    response(200, "OK", &[("Content-Type", "application/json")], body.as_bytes())
+    http_response(200, "OK", &[("Content-Type", "application/json")], body.as_bytes())
 }
 
 /// A line of a control machine's watch, in the program's form.
@@ -141,13 +141,18 @@
 }
 
 /// A learner's call for a watch at a control machine.
-pub fn control_call(seq: u64, digest: &str, name: &str) -> Vec<u8> {
+pub fn control_watch_request(seq: u64, digest: &str, name: &str) -> Vec<u8> {
     let target = format!("/control/versions?watch=1&from={seq}&digest={digest}&name={name}");
-    request("GET", &target, &[("Host", "control")], b"")
+    http_request("GET", &target, &[("Host", "control")], b"")
 }
 
 /// A learner tells which version it has in force.
-pub fn in_force_call(name: &str, seq: u64) -> Vec<u8> {
+pub fn in_force_report(name: &str, seq: u64) -> Vec<u8> {
     let body = format!("{{\"name\":\"{name}\",\"seq\":{seq}}}");
-    request("POST", "/control/in-force", &[("Host", "control"), ("Connection", "close")], body.as_bytes())
+    http_request(
+        "POST",
+        "/control/in-force",
+        &[("Host", "control"), ("Connection", "close")],
+        body.as_bytes(),
+    )
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -27,19 +27,19 @@
 //! in the program starts a job on several workers together. An accelerator is a slot of a worker of a kind of its own, eight
 //! to a machine, and its worker reports those that are free.
 
-mod agreed;
 mod clients;
+mod config_learner;
+mod control_machines;
 mod discovery;
 pub mod encode;
 mod incidents;
-mod learners;
 mod links;
 mod plan;
 mod recorder;
 mod schedulers;
+mod simulation;
 mod workers;
 mod workload;
-mod world;
 
 pub use links::Links;
 pub use plan::{Incident, Plan};
@@ -51,5 +51,5 @@
 
 /// Plays a plan from its start until the last request has its answer, and tells what came of it.
 pub fn simulate(plan: &Plan) -> Summary {
-    world::World::new(plan).run()
+    simulation::Simulation::new(plan).run()
 }
--- a/crates/simulation/src/links.rs
+++ b/crates/simulation/src/links.rs
@@ -5,22 +5,22 @@
 use rand::{RngExt, SeedableRng};
 
 /// One way within a zone, between zones of a region, and between regions.
-const SAME: f64 = 250.0;
-const ZONES: f64 = 1_000.0;
-const REGIONS: f64 = 20_000.0;
+const SAME_ZONE_DELAY: f64 = 250.0;
+const SAME_REGION_DELAY: f64 = 1_000.0;
+const CROSS_REGION_DELAY: f64 = 20_000.0;
 /// How much longer it may take, as a part.
-const JITTER: f64 = 0.25;
+const MAX_JITTER: f64 = 0.25;
 /// What is sent is on its way for no longer than this, with the handshake of its connection.
-const LONGEST: Micros = 100_000;
+const MAX_TRANSIT_TIME: Micros = 100_000;
 /// Datagrams that are lost.
-const LOSS: f64 = 0.001;
+const DATAGRAM_LOSS: f64 = 0.001;
 
 /// See the head of this file.
 pub struct Links {
     regions: usize,
     zones: usize,
     /// Ways from zone to zone on which nothing arrives, and since when.
-    cut: Vec<Option<Micros>>,
+    cut_since: Vec<Option<Micros>>,
     rng: StdRng,
 }
 
@@ -28,7 +28,7 @@
     /// `zones` zones, evenly in `regions` regions, nothing cut.
     pub fn new(zones: usize, regions: usize, seed: u64) -> Self {
         let (zones, regions) = (zones.max(1), regions.clamp(1, zones.max(1)));
-        Links { regions, zones, cut: vec![None; zones * zones], rng: StdRng::seed_from_u64(seed) }
+        Links { regions, zones, cut_since: vec![None; zones * zones], rng: StdRng::seed_from_u64(seed) }
     }
 
     /// The region of a zone.
@@ -41,45 +41,45 @@
         let zones = self.zones;
         for (a, b) in (0..zones).flat_map(|a| (0..zones).map(move |b| (a, b))) {
             if self.region(a) != self.region(b) {
-                self.cut_way(now, a, b, cut);
+                self.cut_path(now, a, b, cut);
             }
         }
     }
 
     /// Cuts the way from one zone to another from now on, or mends it.
-    pub fn cut_way(&mut self, now: Micros, from: usize, to: usize, cut: bool) {
-        let way = &mut self.cut[from * self.zones + to];
+    pub fn cut_path(&mut self, now: Micros, from: usize, to: usize, cut: bool) {
+        let way = &mut self.cut_since[from * self.zones + to];
         *way = cut.then(|| way.unwrap_or(now));
     }
 
     /// What is sent now arrives.
-    pub fn open(&self, from: usize, to: usize) -> bool {
-        self.cut[from * self.zones + to].is_none()
+    pub fn is_open(&self, from: usize, to: usize) -> bool {
+        self.cut_since[from * self.zones + to].is_none()
     }
 
     /// What arrives now was sent while the way was cut: there should be no such thing.
-    pub fn through(&self, now: Micros, from: usize, to: usize) -> bool {
-        self.cut[from * self.zones + to].is_some_and(|since| now > since + LONGEST)
+    pub fn crossed_cut(&self, now: Micros, from: usize, to: usize) -> bool {
+        self.cut_since[from * self.zones + to].is_some_and(|since| now > since + MAX_TRANSIT_TIME)
     }
 
     /// What is sent now and asks for an answer gets one.
-    pub fn both(&self, a: usize, b: usize) -> bool {
-        self.open(a, b) && self.open(b, a)
+    pub fn is_open_both_ways(&self, a: usize, b: usize) -> bool {
+        self.is_open(a, b) && self.is_open(b, a)
     }
 
     /// How long what is sent now is on its way, in microseconds.
     pub fn delay(&mut self, from: usize, to: usize) -> Micros {
         let base = match (from == to, self.region(from) == self.region(to)) {
-            (true, _) => SAME,
-            (false, true) => ZONES,
-            (false, false) => REGIONS,
+            (true, _) => SAME_ZONE_DELAY,
+            (false, true) => SAME_REGION_DELAY,
+            (false, false) => CROSS_REGION_DELAY,
         };
-        (base * (1.0 + JITTER * self.rng.random::<f64>())) as Micros
+        (base * (1.0 + MAX_JITTER * self.rng.random::<f64>())) as Micros
     }
 
     /// The same for a datagram; `None`: it is lost.
-    pub fn datagram(&mut self, from: usize, to: usize) -> Option<Micros> {
-        let lost = self.rng.random::<f64>() < LOSS;
-        (self.open(from, to) && !lost).then(|| self.delay(from, to))
+    pub fn datagram_delay(&mut self, from: usize, to: usize) -> Option<Micros> {
+        let lost = self.rng.random::<f64>() < DATAGRAM_LOSS;
+        (self.is_open(from, to) && !lost).then(|| self.delay(from, to))
     }
 }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -7,26 +7,26 @@
 use serde_json::json;
 
 /// The first moment of a play, as Unix time: workers' starts are told in that.
-pub(crate) const EPOCH: Micros = 1_700_000_000_000_000;
+pub(crate) const SIMULATION_START: Micros = 1_700_000_000_000_000;
 pub(crate) const MILLI: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 /// Slots of a plain worker.
-pub(crate) const SLOTS: u32 = 12;
+pub(crate) const WORKER_SLOTS: u32 = 12;
 /// Accelerators of a worker that has some, each a slot.
-pub(crate) const UNITS: u32 = 8;
+pub(crate) const ACCELERATORS_PER_WORKER: u32 = 8;
 /// Running tasks by worker, at the size of the letter.
-const RUNNING_BY_WORKER: f64 = 3_400.0 / 690.0;
+const RUNNING_TASKS_PER_WORKER: f64 = 3_400.0 / 690.0;
 /// Tenants ask for this part of their quota, ...
-const WITHIN: f64 = 0.8;
+const MODERATE_DEMAND: f64 = 0.8;
 /// ... but one in so many for this multiple.
-const OVER: f64 = 2.0;
-const OVER_EVERY: usize = 12;
+const EXCESSIVE_DEMAND: f64 = 2.0;
+const EXCESSIVE_DEMAND_INTERVAL: usize = 12;
 /// A worker that starts is warm after this time.
-pub(crate) const COLD: Micros = 30 * SECOND;
+pub(crate) const WARM_UP_TIME: Micros = 30 * SECOND;
 /// What a worker can do at its start, as a part of all.
 pub(crate) const START_CAPACITY: f64 = 0.3;
 /// Notes of progress come at this interval.
-pub(crate) const PROGRESS: Micros = 5 * SECOND;
+pub(crate) const PROGRESS_INTERVAL: Micros = 5 * SECOND;
 
 /// What goes wrong in a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -107,9 +107,9 @@
     pub(crate) name: &'static str,
     effect: &'static str,
     /// Its part of the requests.
-    pub(crate) part: f64,
+    pub(crate) request_share: f64,
     /// Its work, as a multiple of the mean of all.
-    work: f64,
+    relative_work: f64,
     aim: Micros,
     stretch: f64,
     /// How long its clients wait.
@@ -129,9 +129,9 @@
 }
 
 /// The urgent class: what it waits for its start is looked at.
-pub(crate) const URGENT: usize = 0;
+pub(crate) const URGENT_CLASS: usize = 0;
 /// What an urgent job may wait for its start.
-pub(crate) const URGENT_START: Micros = 7_100 * MILLI;
+pub(crate) const URGENT_MAX_START_DELAY: Micros = 7_100 * MILLI;
 
 const fn class(name: &'static str, effect: &'static str, part: f64, work: f64) -> ClassPlan {
     let (aim, client_timeout) = (30 * SECOND, 300 * SECOND);
@@ -139,8 +139,8 @@
     ClassPlan {
         name,
         effect,
-        part,
-        work,
+        request_share: part,
+        relative_work: work,
         aim,
         stretch: 1.5,
         client_timeout,
@@ -154,7 +154,7 @@
 /// The classes: all three effects, and one on accelerators.
 pub(crate) const CLASSES: [ClassPlan; 5] = [
     ClassPlan {
-        aim: URGENT_START,
+        aim: URGENT_MAX_START_DELAY,
         stretch: 1.0,
         worth: 4.0,
         priority: 10,
@@ -168,24 +168,24 @@
 
 impl Plan {
     /// How many of the workers have accelerators: the last ones.
-    pub(crate) fn accelerated(&self) -> u32 {
+    pub(crate) fn accelerated_workers(&self) -> u32 {
         if self.accelerators == 0 {
             0
         } else {
-            self.accelerators.div_ceil(UNITS).min(self.workers * 3 / 10).max(1)
+            self.accelerators.div_ceil(ACCELERATORS_PER_WORKER).min(self.workers * 3 / 10).max(1)
         }
     }
 
     /// The mean work of a task, in microseconds at speed 1: by Little's law.
     pub(crate) fn mean_work(&self) -> f64 {
-        let running = self.running_tasks.unwrap_or(RUNNING_BY_WORKER * f64::from(self.workers));
+        let running = self.running_tasks.unwrap_or(RUNNING_TASKS_PER_WORKER * f64::from(self.workers));
         running / self.requests_per_s * SECOND as f64
     }
 
     /// The mean work of a task of a class.
     pub(crate) fn class_work(&self, class: usize) -> f64 {
-        let all: f64 = CLASSES.iter().map(|class| class.part * class.work).sum();
-        self.mean_work() * CLASSES[class].work / all
+        let all: f64 = CLASSES.iter().map(|class| class.request_share * class.relative_work).sum();
+        self.mean_work() * CLASSES[class].relative_work / all
     }
 
     /// The zone of the scheduler or worker of this number.
@@ -194,27 +194,31 @@
     }
 
     /// When what is counted begins and ends.
-    pub(crate) fn span(&self) -> (Micros, Micros) {
-        let begin = EPOCH + self.warm_up_seconds * SECOND;
+    pub(crate) fn measured_span(&self) -> (Micros, Micros) {
+        let begin = SIMULATION_START + self.warm_up_seconds * SECOND;
         (begin, begin + self.measured_seconds * SECOND)
     }
 
     /// When it goes wrong, and for how long at most.
     pub(crate) fn incident_at(&self) -> Micros {
-        self.span().0 + (self.measured_seconds * SECOND / 3).min(20 * SECOND)
+        self.measured_span().0 + (self.measured_seconds * SECOND / 3).min(20 * SECOND)
     }
 
     /// Quotas (requests a second) and what each tenant asks for, as a multiple of its quota.
-    pub(crate) fn quotas(&self) -> Vec<(f64, f64)> {
-        let weight = |nr: usize| 1.0 / (nr as f64 + 5.0);
+    pub(crate) fn quotas_and_demand(&self) -> Vec<(f64, f64)> {
+        let weight = |index: usize| 1.0 / (index as f64 + 5.0);
         let count = self.tenants as usize;
-        let all: f64 = (0..count).map(|nr| weight(nr) * self.asks(nr)).sum();
-        (0..count).map(|nr| (self.requests_per_s * weight(nr) / all, self.asks(nr))).collect()
+        let all: f64 = (0..count).map(|index| weight(index) * self.demand(index)).sum();
+        (0..count).map(|index| (self.requests_per_s * weight(index) / all, self.demand(index))).collect()
     }
 
     /// What a tenant asks for, as a multiple of its quota.
-    pub(crate) fn asks(&self, tenant: usize) -> f64 {
-        if tenant % OVER_EVERY == OVER_EVERY / 2 { OVER } else { WITHIN }
+    pub(crate) fn demand(&self, tenant: usize) -> f64 {
+        if tenant % EXCESSIVE_DEMAND_INTERVAL == EXCESSIVE_DEMAND_INTERVAL / 2 {
+            EXCESSIVE_DEMAND
+        } else {
+            MODERATE_DEMAND
+        }
     }
 
     /// The settings of the scheduler of rank 0, in the program's own form.
@@ -227,11 +231,11 @@
                     "memory_span_us": 600 * SECOND, "worth": class.worth})
             })
             .collect();
-        let quotas = self.quotas();
+        let quotas = self.quotas_and_demand();
         let orgs: Vec<_> = quotas
             .iter()
             .enumerate()
-            .map(|(nr, quota)| json!({"name": format!("tenant-{nr}"), "quota_rps": quota.0, "share": 1.0}))
+            .map(|(index, quota)| json!({"name": format!("tenant-{index}"), "quota_rps": quota.0, "share": 1.0}))
             .collect();
         let kinds: Vec<i64> = CLASSES.iter().map(|class| i64::from(class.accelerated)).collect();
         let priorities: Vec<i64> = CLASSES.iter().map(|class| class.priority).collect();
@@ -241,11 +245,11 @@
             "kinds": ["plain", "accelerated"], "request_classes": classes, "orgs": orgs,
             "over_share_worth": 0.1, "counted_by": "work", "registry_mode": "subscribe", "weight_source": "none",
             "report": {"how": "answers", "fields": ["inflight", "queue", "x0"]},
-            "extra": {"class_kind": kinds, "class_priority": priorities, "progress_us": PROGRESS,
+            "extra": {"class_kind": kinds, "class_priority": priorities, "progress_us": PROGRESS_INTERVAL,
                 "queue_order": "fifo", "report_x0": "free slots", "tells_start": true},
             "ceilings": {"cancelling": true, "connect_timeout_us": 200 * MILLI, "max_retry_after_us": 2 * SECOND,
                 "may_duplicate": false, "most_tries": 3, "peers": true, "probes": true, "retry_after": true},
-            "rules": {"answer_slack_us": 500 * MILLI, "ask_every_us": 8 * SECOND, "cold_us": COLD,
+            "rules": {"answer_slack_us": 500 * MILLI, "ask_every_us": 8 * SECOND, "cold_us": WARM_UP_TIME,
                 "drain_grace_us": 2_500 * MILLI, "fall_multiple": 3.0, "fall_us": 30 * SECOND,
                 "start_capacity": START_CAPACITY},
             "costs": {"cross_zone": 0.03, "peer": 0.0, "probe": 0.002, "waste": 0.03}
@@ -262,6 +266,6 @@
 }
 
 /// The name of a zone.
-pub(crate) fn zone_name(nr: u32) -> String {
-    format!("zone-{nr}")
+pub(crate) fn zone_name(index: u32) -> String {
+    format!("zone-{index}")
 }
--- a/crates/simulation/src/recorder.rs
+++ b/crates/simulation/src/recorder.rs
@@ -1,7 +1,7 @@
 //! The ledger: what was sent, started and answered, by scheduler and second, and the account that comes of it.
 
 use crate::Micros;
-use crate::plan::{Plan, SECOND, URGENT};
+use crate::plan::{Plan, SECOND, URGENT_CLASS};
 use hdrhistogram::Histogram;
 use rustix::time::{ClockId, clock_gettime};
 use serde::Serialize;
@@ -9,15 +9,15 @@
 use std::time::Instant;
 
 /// Starts are counted in steps of this.
-const STEP: Micros = 100_000;
+const START_BIN: Micros = 100_000;
 /// Starts are compared over windows of so many steps.
-const WINDOW: usize = 30;
+const WINDOW_BINS: usize = 30;
 /// Starts before something goes wrong are those of so many steps.
-const BEFORE: usize = 100;
+const BASELINE_BINS: usize = 100;
 /// Under this part of what was before, starts have broken down, ...
-const DOWN: f64 = 0.85;
+const OUTAGE_THRESHOLD: f64 = 0.85;
 /// ... and from this part on they are back.
-const BACK: f64 = 0.95;
+const RECOVERY_THRESHOLD: f64 = 0.95;
 
 /// What a control message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,9 +27,9 @@
     /// Watches: changes and empty lines.
     Watch,
     /// Loads told within a cohort.
-    Talk,
-    Greetings,
-    Troubles,
+    PeerLoads,
+    Hellos,
+    FaultReports,
     Probes,
     /// Watches at control machines, and what is in force told to them.
     Config,
@@ -38,9 +38,9 @@
 const FUNCTIONS: [(&str, Function); 7] = [
     ("list", Function::List),
     ("watch", Function::Watch),
-    ("talk", Function::Talk),
-    ("greetings", Function::Greetings),
-    ("troubles", Function::Troubles),
+    ("talk", Function::PeerLoads),
+    ("greetings", Function::Hellos),
+    ("troubles", Function::FaultReports),
     ("probes", Function::Probes),
     ("config", Function::Config),
 ];
@@ -68,9 +68,9 @@
     /// Datagrams sent, and those that arrived.
     pub datagrams: (u64, u64),
     /// Messages that came through a link while it was cut.
-    pub through_cuts: u64,
+    pub messages_through_cuts: u64,
     /// Calls that discovery refused because too many waited.
-    pub calls_refused: u64,
+    pub refused_watch_calls: u64,
 }
 
 /// What became of changes of configuration.
@@ -170,7 +170,7 @@
 
 /// What one scheduler spent on control in one second.
 #[derive(Clone, Copy, Default)]
-struct Bin {
+struct SecondUsage {
     bytes: u32,
     datagrams: u32,
     nanos: u32,
@@ -182,16 +182,16 @@
     end: Micros,
     seconds: usize,
     /// By scheduler, then by second.
-    bins: Vec<Bin>,
-    discovery: Vec<u64>,
+    usage: Vec<SecondUsage>,
+    discovery_bytes: Vec<u64>,
     traffic: [Traffic; FUNCTIONS.len()],
-    starts: Vec<u32>,
+    starts_by_bin: Vec<u32>,
     running: u64,
-    urgent: Histogram<u64>,
-    begun: Instant,
+    urgent_start_delays: Histogram<u64>,
+    started_at: Instant,
     /// What a look at the thread's clock itself takes.
-    look: u64,
-    pub(crate) account: Summary,
+    clock_overhead: u64,
+    pub(crate) summary: Summary,
 }
 
 /// This thread's own processor time, in steps of a nanosecond.
@@ -206,7 +206,7 @@
 
 impl Recorder {
     pub(crate) fn new(plan: &Plan) -> Self {
-        let (begin, end) = plan.span();
+        let (begin, end) = plan.measured_span();
         let seconds = plan.measured_seconds.max(1) as usize;
         let account = Summary {
             schedulers: plan.schedulers,
@@ -218,33 +218,34 @@
             begin,
             end,
             seconds,
-            bins: vec![Bin::default(); seconds * plan.schedulers as usize],
-            discovery: vec![0; seconds],
+            usage: vec![SecondUsage::default(); seconds * plan.schedulers as usize],
+            discovery_bytes: vec![0; seconds],
             traffic: Default::default(),
-            starts: vec![0; seconds * (SECOND / STEP) as usize],
+            starts_by_bin: vec![0; seconds * (SECOND / START_BIN) as usize],
             running: 0,
             // Three digits up to an hour, in microseconds: the bounds are sound.
-            urgent: Histogram::new_with_bounds(1, 3_600 * SECOND, 3).unwrap_or_else(|_| unreachable!()),
-            begun: Instant::now(),
-            look: (0..1_000).map(|_| since(thread_nanos())).min().unwrap_or(0),
-            account,
+            urgent_start_delays: Histogram::new_with_bounds(1, 3_600 * SECOND, 3)
+                .unwrap_or_else(|_| unreachable!()),
+            started_at: Instant::now(),
+            clock_overhead: (0..1_000).map(|_| since(thread_nanos())).min().unwrap_or(0),
+            summary: account,
         }
     }
 
     /// This moment is among those that count.
-    pub(crate) fn counts(&self, now: Micros) -> bool {
+    pub(crate) fn is_measured(&self, now: Micros) -> bool {
         (self.begin..self.end).contains(&now)
     }
 
-    fn second(&self, now: Micros) -> Option<usize> {
-        self.counts(now).then(|| ((now - self.begin) / SECOND) as usize)
+    fn measured_second(&self, now: Micros) -> Option<usize> {
+        self.is_measured(now).then(|| ((now - self.begin) / SECOND) as usize)
     }
 
     /// A control message was sent by a scheduler, or came to it.
-    pub(crate) fn message(&mut self, now: Micros, rank: u32, function: Function, bytes: usize) {
-        let Some(second) = self.second(now) else { return };
-        let datagram = matches!(function, Function::Talk | Function::Greetings | Function::Troubles);
-        let bin = &mut self.bins[rank as usize * self.seconds + second];
+    pub(crate) fn record_message(&mut self, now: Micros, rank: u32, function: Function, bytes: usize) {
+        let Some(second) = self.measured_second(now) else { return };
+        let datagram = matches!(function, Function::PeerLoads | Function::Hellos | Function::FaultReports);
+        let bin = &mut self.usage[rank as usize * self.seconds + second];
         bin.bytes += bytes as u32;
         bin.datagrams += u32::from(datagram);
         let sum = &mut self.traffic[function as usize];
@@ -253,96 +254,98 @@
     }
 
     /// Discovery sent or got so much.
-    pub(crate) fn discovery(&mut self, now: Micros, bytes: usize) {
-        if let Some(second) = self.second(now) {
-            self.discovery[second] += bytes as u64;
+    pub(crate) fn record_discovery_bytes(&mut self, now: Micros, bytes: usize) {
+        if let Some(second) = self.measured_second(now) {
+            self.discovery_bytes[second] += bytes as u64;
         }
     }
 
     /// Runs a control event of a scheduler and notes how long it took.
-    pub(crate) fn timed<T>(&mut self, now: Micros, rank: u32, run: impl FnOnce() -> T) -> T {
-        let Some(second) = self.second(now) else { return run() };
+    pub(crate) fn time_control_event<T>(&mut self, now: Micros, rank: u32, run: impl FnOnce() -> T) -> T {
+        let Some(second) = self.measured_second(now) else { return run() };
         let begun = thread_nanos();
         let done = run();
-        let nanos = since(begun).saturating_sub(self.look);
-        let bin = &mut self.bins[rank as usize * self.seconds + second];
+        let nanos = since(begun).saturating_sub(self.clock_overhead);
+        let bin = &mut self.usage[rank as usize * self.seconds + second];
         bin.nanos = bin.nanos.saturating_add(u32::try_from(nanos).unwrap_or(u32::MAX));
         done
     }
 
     /// A task has started at a worker; `waited` since its request came in, unless one of it had started before.
-    pub(crate) fn started(&mut self, now: Micros, class: usize, waited: Option<Micros>) {
+    pub(crate) fn record_start(&mut self, now: Micros, class: usize, waited: Option<Micros>) {
         self.running += 1;
-        if self.counts(now) {
-            self.account.started += 1;
-            self.account.running_peak = self.account.running_peak.max(self.running);
-            self.starts[((now - self.begin) / STEP) as usize] += 1;
-            if let Some(waited) = waited.filter(|_| class == URGENT) {
-                self.urgent.saturating_record(waited);
+        if self.is_measured(now) {
+            self.summary.started += 1;
+            self.summary.running_peak = self.summary.running_peak.max(self.running);
+            self.starts_by_bin[((now - self.begin) / START_BIN) as usize] += 1;
+            if let Some(waited) = waited.filter(|_| class == URGENT_CLASS) {
+                self.urgent_start_delays.saturating_record(waited);
             }
         }
     }
 
     /// A task that had started is over.
-    pub(crate) fn stopped(&mut self) {
+    pub(crate) fn record_stop(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// From what went wrong until starts are back: the end of the last window in which they were broken down, up to the
     /// first one after it in which they are as before.
-    fn recovered(&self, wrong: Micros) -> Option<u64> {
-        let at = ((wrong - self.begin) / STEP) as usize;
-        let before: u32 = self.starts[at.saturating_sub(BEFORE)..at].iter().sum();
-        let usual = f64::from(before) / at.min(BEFORE) as f64 * WINDOW as f64;
-        let sums: Vec<f64> =
-            self.starts[at..].windows(WINDOW).map(|window| f64::from(window.iter().sum::<u32>())).collect();
-        let Some(down) = sums.iter().rposition(|&sum| sum < DOWN * usual) else { return Some(0) };
-        let back = sums[down..].iter().position(|&sum| sum >= BACK * usual)?;
-        Some((down + back) as u64 * STEP / 1_000)
+    fn recovery_time_ms(&self, wrong: Micros) -> Option<u64> {
+        let at = ((wrong - self.begin) / START_BIN) as usize;
+        let before: u32 = self.starts_by_bin[at.saturating_sub(BASELINE_BINS)..at].iter().sum();
+        let usual = f64::from(before) / at.min(BASELINE_BINS) as f64 * WINDOW_BINS as f64;
+        let sums: Vec<f64> = self.starts_by_bin[at..]
+            .windows(WINDOW_BINS)
+            .map(|window| f64::from(window.iter().sum::<u32>()))
+            .collect();
+        let Some(down) = sums.iter().rposition(|&sum| sum < OUTAGE_THRESHOLD * usual) else { return Some(0) };
+        let back = sums[down..].iter().position(|&sum| sum >= RECOVERY_THRESHOLD * usual)?;
+        Some((down + back) as u64 * START_BIN / 1_000)
     }
 
     /// The account, once all is over.
-    pub(crate) fn close(
+    pub(crate) fn finish(
         mut self,
         wrong: Option<Micros>,
-        within: Shares,
+        within: QuotaRatios,
         state_bytes: u64,
         agreed: Option<ConfigOutcome>,
     ) -> Summary {
         let seconds = self.seconds as f64;
-        let schedulers = f64::from(self.account.schedulers);
+        let schedulers = f64::from(self.summary.schedulers);
         let (bytes, nanos): (u64, u64) = self
-            .bins
+            .usage
             .iter()
             .fold((0, 0), |sum, bin| (sum.0 + u64::from(bin.bytes), sum.1 + u64::from(bin.nanos)));
-        let worst = |of: fn(&Bin) -> u32| u64::from(self.bins.iter().map(of).max().unwrap_or(0));
-        let recovered = wrong.and_then(|at| self.recovered(at));
+        let worst = |of: fn(&SecondUsage) -> u32| u64::from(self.usage.iter().map(of).max().unwrap_or(0));
+        let recovered = wrong.and_then(|at| self.recovery_time_ms(at));
         let traffic = FUNCTIONS.iter().map(|&(name, function)| (name, self.traffic[function as usize]));
-        let account = &mut self.account;
-        account.urgent_start_p999_ms = self.urgent.value_at_quantile(0.999) as f64 / 1e3;
+        let account = &mut self.summary;
+        account.urgent_start_p999_ms = self.urgent_start_delays.value_at_quantile(0.999) as f64 / 1e3;
         account.control_cpu_ms_per_s_mean = nanos as f64 / 1e6 / seconds / schedulers;
         account.control_cpu_ms_per_s_worst = worst(|bin| bin.nanos) as f64 / 1e6;
         account.control_bytes_per_s_mean = bytes as f64 / seconds / schedulers;
         account.control_bytes_per_s_worst = worst(|bin| bin.bytes);
         account.control_datagrams_per_s_worst = worst(|bin| bin.datagrams);
         account.state_bytes_per_scheduler = state_bytes;
-        account.discovery_bytes_per_s_worst = self.discovery.iter().copied().max().unwrap_or(0);
-        account.quota_in_share_ratio = within.in_share;
-        account.quota_over_ratio = within.over;
+        account.discovery_bytes_per_s_worst = self.discovery_bytes.iter().copied().max().unwrap_or(0);
+        account.quota_in_share_ratio = within.within_quota;
+        account.quota_over_ratio = within.over_quota;
         account.recovered_ms = recovered;
         account.peak_rss_mb = peak_rss_mb();
-        account.wall_s = self.begun.elapsed().as_secs_f64();
+        account.wall_s = self.started_at.elapsed().as_secs_f64();
         account.traffic = traffic.collect();
         account.config = agreed;
-        self.account
+        self.summary
     }
 }
 
 /// What counted as within the tenants' shares.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Shares {
-    pub(crate) in_share: f64,
-    pub(crate) over: f64,
+pub(crate) struct QuotaRatios {
+    pub(crate) within_quota: f64,
+    pub(crate) over_quota: f64,
 }
 
 fn peak_rss_mb() -> f64 {
--- a/crates/simulation/src/schedulers/list.rs
+++ b/crates/simulation/src/schedulers/list.rs
@@ -4,57 +4,57 @@
 
 impl Process {
     /// Begins with this copy of the list. `confirmed`: when discovery confirmed it last, if that is known.
-    pub(crate) fn warm(&mut self, list: &Update, confirmed: Option<Micros>) {
+    pub(crate) fn load_initial_list(&mut self, list: &Update, confirmed: Option<Micros>) {
         if let Some(at) = confirmed {
-            self.clock.confirm(at);
+            self.list_lease.confirm(at);
         }
-        self.seq = list.seq;
+        self.list_version = list.seq;
         self.events.push_back(Event::Members(ListKind::Saved, list.members.clone()));
-        self.keep_time();
+        self.update_list_timer();
     }
 
     /// A call for a watch goes out, or the watch is ended.
-    pub(crate) fn watches(&mut self, now: Micros, call: Option<u64>) {
-        self.watch = call;
+    pub(crate) fn set_watch(&mut self, now: Micros, call: Option<u64>) {
+        self.watch_call = call;
         if call.is_some() {
-            self.clock.watch_requested(now)
+            self.list_lease.watch_requested(now)
         } else {
-            self.clock.watch_closed(now)
+            self.list_lease.watch_closed(now)
         }
-        self.keep_time();
+        self.update_list_timer();
     }
 
     /// The watch has brought something, an empty line perhaps.
-    pub(crate) fn heard(&mut self, now: Micros, update: Option<&Update>) {
-        self.clock.message_received(now);
-        if let Some(update) =
-            update.filter(|update| update.seq >= self.seq || now >= self.seq_at + MISSED_CHANGE_DELAY)
-        {
-            (self.seq, self.seq_at) = (update.seq, now);
+    pub(crate) fn watch_message(&mut self, now: Micros, update: Option<&Update>) {
+        self.list_lease.message_received(now);
+        if let Some(update) = update.filter(|update| {
+            update.seq >= self.list_version || now >= self.list_version_at + MISSED_CHANGE_DELAY
+        }) {
+            (self.list_version, self.list_version_at) = (update.seq, now);
             self.events.push_back(Event::Members(update.kind, update.members.clone()));
         }
-        self.keep_time();
+        self.update_list_timer();
     }
 
     /// The watch, or the call for it, was refused or ended.
-    pub(crate) fn unwatched(&mut self, now: Micros) {
-        self.watch = None;
-        self.clock.watch_failed(now);
-        self.keep_time();
+    pub(crate) fn watch_failed(&mut self, now: Micros) {
+        self.watch_call = None;
+        self.list_lease.watch_failed(now);
+        self.update_list_timer();
         self.events.push_back(Event::Members(ListKind::Lost, Vec::new()));
     }
 
-    pub(super) fn keep_time(&mut self) {
+    pub(super) fn update_list_timer(&mut self) {
         // One that is set for earlier looks again when it comes.
-        if let Some(at) = self.clock.due()
-            && self.armed.is_none_or(|set| at < set)
+        if let Some(at) = self.list_lease.due()
+            && self.list_timer_at.is_none_or(|set| at < set)
         {
-            self.armed = Some(at);
-            self.work.push(Work::Due(at, Due::Watch));
+            self.list_timer_at = Some(at);
+            self.commands.push(Command::SetDeadline(at, Deadline::DiscoveryWatch));
         }
-        let until = self.clock.lease_end();
-        if until != self.until {
-            self.until = until;
+        let until = self.list_lease.lease_end();
+        if until != self.lease_end {
+            self.lease_end = until;
             self.events.push_back(Event::ListLease(until));
         }
     }
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,8 +1,8 @@
 //! The outline of a play: its workers and its requests, for those who play the same among real processes.
 
 use crate::Micros;
-use crate::plan::{CLASSES, EPOCH, Plan, zone_name};
-use crate::world::World;
+use crate::plan::{CLASSES, Plan, SIMULATION_START, zone_name};
+use crate::simulation::Simulation;
 
 /// A worker of a play.
 #[derive(Clone, Debug, PartialEq)]
@@ -61,7 +61,7 @@
 
 /// The outline of a plan in which nothing goes wrong: the same draws as [`crate::play`] makes.
 pub fn workload(plan: &Plan) -> Workload {
-    let world = World::new(plan);
+    let world = Simulation::new(plan);
     let workers = world.workers.iter().map(|worker| WorkloadWorker {
         name: worker.name.clone(),
         zone: zone_name(worker.zone as u32),
@@ -71,10 +71,10 @@
         speed: worker.speed,
     });
     let workers = workers.collect();
-    let requests = world.requests().into_iter().map(|job| {
+    let requests = world.into_requests().into_iter().map(|job| {
         let class = &CLASSES[job.class];
         WorkloadRequest {
-            sent_at: job.arrived - EPOCH,
+            sent_at: job.arrived - SIMULATION_START,
             rank: job.rank,
             class: job.class,
             class_name: class.name,
@@ -87,6 +87,10 @@
             measured: job.measured,
         }
     });
-    let (begin, end) = plan.span();
-    Workload { workers, requests: requests.collect(), measured_span: (begin - EPOCH, end - EPOCH) }
+    let (begin, end) = plan.measured_span();
+    Workload {
+        workers,
+        requests: requests.collect(),
+        measured_span: (begin - SIMULATION_START, end - SIMULATION_START),
+    }
 }
--- a/crates/simulation/tests/changes.rs
+++ b/crates/simulation/tests/changes.rs
@@ -33,7 +33,7 @@
         assert!(agreed.in_force_p99_ms <= agreed.in_force_max_ms, "seed {seed}: {agreed:?}");
         assert!((0.2..5_000.0).contains(&agreed.in_force_max_ms), "seed {seed}: {agreed:?}");
         assert_eq!((account.served, account.lost, account.doubled), (account.jobs, 0, 0), "seed {seed}");
-        assert_eq!(account.extra.through_cuts, 0, "seed {seed}");
+        assert_eq!(account.extra.messages_through_cuts, 0, "seed {seed}");
         // Each change comes to each scheduler as one line, and is answered for once; and there are empty lines.
         let config = account.traffic["config"];
         let changes = 24 * 12;
--- a/crates/simulation/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -121,7 +121,7 @@
             assert_eq!(account.lost, account.extra.lost_with_scheduler, "{told}");
             assert_eq!(account.lost > 0, kills.contains(&event), "{told}: {} lost", account.lost);
             assert_eq!(account.doubled, 0, "{told}");
-            assert_eq!(account.extra.through_cuts, 0, "{told}");
+            assert_eq!(account.extra.messages_through_cuts, 0, "{told}");
             if event == Incident::Restarts {
                 // What is out when a process ends goes on at the next.
                 assert!(
@@ -164,9 +164,9 @@
     assert!((8 * talk.messages..9 * talk.messages).contains(&talk.bytes), "{talk:?}");
     let probes = of(&calm, "probes");
     let (call, least, most) = (
-        encode::probe_call().len(),
-        encode::probe_answer(0, 0, 0).len(),
-        encode::probe_answer(99, 99, 99).len(),
+        encode::probe_request().len(),
+        encode::probe_response(0, 0, 0).len(),
+        encode::probe_response(99, 99, 99).len(),
     );
     let pairs = probes.messages / 2;
     let bounds = pairs * (call + least) as u64..=(pairs + 1) * (call + most) as u64;
@@ -176,14 +176,17 @@
 #[test]
 fn messages_are_written_as_the_pages_have_them() {
     assert_eq!(
-        encode::watch_call(41),
+        encode::watch_request(41),
         b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1\r\nHost: discovery\r\n\r\n"
     );
-    assert_eq!(encode::list_call(), b"GET /discovery/hosts HTTP/1.1\r\nHost: discovery\r\n\r\n");
-    assert_eq!(encode::probe_call(), b"GET /metrics/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
+    assert_eq!(encode::list_request(), b"GET /discovery/hosts HTTP/1.1\r\nHost: discovery\r\n\r\n");
+    assert_eq!(encode::probe_request(), b"GET /metrics/load HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
     assert_eq!(encode::chunk(""), b"1\r\n\n\r\n");
-    assert_eq!(encode::request("POST", "/x", &[], b""), b"POST /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    let line = encode::Line {
+    assert_eq!(
+        encode::http_request("POST", "/x", &[], b""),
+        b"POST /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
+    );
+    let line = encode::WorkerLine {
         host: "s-5be2a07c".to_owned(),
         dial: "10.1.0.18:8443".to_owned(),
         site: "a".to_owned(),
@@ -193,7 +196,7 @@
         share: 1.0,
         born_ms: 0,
     };
-    let text = encode::Listing { seq: 41, whole: true, hosts: &[line] }.text();
+    let text = encode::ListMessage { seq: 41, whole: true, hosts: &[line] }.text();
     assert_eq!(
         text,
         "{\"seq\":41,\"whole\":true,\"hosts\":[{\"host\":\"s-5be2a07c\",\"dial\":\"10.1.0.18:8443\",\
@@ -210,17 +213,19 @@
     let mut links = Links::new(6, 2, SEED);
     assert_eq!((links.region(2), links.region(3)), (0, 1));
     links.cut_regions(0, true);
-    assert!((0..1_000).all(|_| links.datagram(0, 5).is_none() && links.datagram(5, 0).is_none()));
-    assert!(!links.open(0, 3) && !links.both(3, 0) && links.open(0, 2) && links.open(4, 5));
-    assert!(links.through(1_000_000, 0, 3) && !links.through(1_000_000, 0, 2));
+    assert!((0..1_000).all(|_| links.datagram_delay(0, 5).is_none() && links.datagram_delay(5, 0).is_none()));
+    assert!(
+        !links.is_open(0, 3) && !links.is_open_both_ways(3, 0) && links.is_open(0, 2) && links.is_open(4, 5)
+    );
+    assert!(links.crossed_cut(1_000_000, 0, 3) && !links.crossed_cut(1_000_000, 0, 2));
     links.cut_regions(2_000_000, false);
-    assert!(links.both(0, 5) && !links.through(3_000_000, 0, 5));
+    assert!(links.is_open_both_ways(0, 5) && !links.crossed_cut(3_000_000, 0, 5));
     // One way only.
-    links.cut_way(0, 1, 2, true);
-    assert!(!links.open(1, 2) && links.open(2, 1) && !links.both(1, 2));
+    links.cut_path(0, 1, 2, true);
+    assert!(!links.is_open(1, 2) && links.is_open(2, 1) && !links.is_open_both_ways(1, 2));
     // In a fleet: the region without discovery hears nothing of the list while it is cut off.
     let (calm, cut) = (simulate(&small(Incident::None, SEED)), simulate(&small(Incident::Regions, SEED)));
-    assert_eq!(cut.extra.through_cuts, 0);
+    assert_eq!(cut.extra.messages_through_cuts, 0);
     assert!(of(&cut, "watch").messages < of(&calm, "watch").messages * 9 / 10);
     assert!(of(&cut, "list").messages > 0);
 }
