--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: requests in classes, of tenants with skew, that arrive at schedulers with uneven shares.
+//! Clients: random requests by class and by tenants of unequal demand, sent to schedulers in unequal shares.
 
 use crate::Micros;
 use crate::plan::{CLASSES, Plan, SECOND};
@@ -8,17 +8,18 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// Spread of the work about its class's mean, of hints about the work, and of the schedulers' shares, each as the standard
-/// deviation of the natural logarithm.
+/// Spread of the work around the mean of its class, as the standard deviation of the natural logarithm.
 const WORK_SPREAD: f64 = 0.6;
+/// Spread of a work hint around the work, as the standard deviation of the natural logarithm.
 const HINT_SPREAD: f64 = 0.25;
+/// Spread of the schedulers' shares of the requests, as the standard deviation of the natural logarithm.
 const SHARE_SPREAD: f64 = 0.6;
-/// Slots of a job, and how many of a hundred have so many.
+/// Slots of a job, and the percentage of jobs with that number.
 const JOB_SLOTS: [(u32, f64); 4] = [(1, 70.0), (2, 15.0), (4, 10.0), (8, 5.0)];
-/// The same of jobs on accelerators.
+/// Accelerators of a job that needs them, and the percentage of such jobs with that number.
 const JOB_ACCELERATORS: [(u32, f64); 3] = [(1, 80.0), (2, 15.0), (4, 5.0)];
 
-/// A request as its client has it.
+/// A request as its client sent it, and its state in the simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) class: usize,
@@ -26,21 +27,21 @@
     pub(crate) work: f64,
     pub(crate) hint: f64,
     pub(crate) slots: u32,
-    /// The scheduler that its client's front names first.
+    /// Rank of the scheduler that the client sends the request to.
     pub(crate) rank: u32,
-    /// It came in among the seconds that count.
+    /// True if the request came in during the measured time.
     pub(crate) measured: bool,
     pub(crate) arrived: Micros,
     pub(crate) expires: Micros,
     pub(crate) answered: bool,
-    /// Its first task has started.
+    /// True once its first task has started.
     pub(crate) started: bool,
-    /// Attempts that came to a worker whole: which, and whether it has ended there or been given up.
+    /// The tasks that workers accepted for this request.
     pub(crate) task_records: Vec<TaskRecord>,
 }
 
 impl Job {
-    /// What a scheduler is told of it.
+    /// The arrival event of this request for a scheduler.
     pub(crate) fn arrival(&self) -> Arrival {
         Arrival {
             class: ClassIx(self.class),
@@ -53,18 +54,20 @@
     }
 }
 
-/// An attempt that came to a worker.
+/// A task that a worker accepted for an attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskRecord {
+    /// Number of the task in the simulation.
     pub(crate) task: u64,
     pub(crate) worker: u32,
     pub(crate) accepted_at: Micros,
-    /// It has run, at least in part.
+    /// True once the task has started.
     pub(crate) has_started: bool,
+    /// True once the task has ended or was cancelled at its worker.
     pub(crate) has_ended: bool,
 }
 
-/// See the head of this file.
+/// Random source of requests, with the distributions that the plan sets.
 pub(crate) struct Clients {
     rng: StdRng,
     request_gaps: Exp<f64>,
@@ -77,27 +80,29 @@
 }
 
 fn weighted(weights: Vec<f64>) -> WeightedAliasIndex<f64> {
-    // All weights of a plan are above zero and far from what a sum can hold.
+    // All weights of a plan are positive, and their sum does not overflow.
     WeightedAliasIndex::new(weights)
-        .unwrap_or_else(|error| unreachable!("the plan's weights are sound: {error}"))
+        .unwrap_or_else(|error| unreachable!("the weights of the plan are invalid: {error}"))
 }
 
 fn lognormal(spread: f64) -> LogNormal<f64> {
-    // Its mean is 1.
+    // With this location the mean is 1.
     LogNormal::new(-spread * spread / 2.0, spread)
-        .unwrap_or_else(|error| unreachable!("a spread is finite: {error}"))
+        .unwrap_or_else(|error| unreachable!("the spread {spread} is invalid: {error}"))
 }
 
 impl Clients {
     pub(crate) fn new(plan: &Plan, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let shares = lognormal(SHARE_SPREAD);
-        let schedulers = (0..plan.schedulers).map(|_| shares.sample(&mut rng)).collect();
-        let tenants: Vec<f64> = plan.quotas_and_demand().iter().map(|(quota, asks)| quota * asks).collect();
+        let share = lognormal(SHARE_SPREAD);
+        let schedulers = (0..plan.schedulers).map(|_| share.sample(&mut rng)).collect();
+        let tenants: Vec<f64> =
+            plan.quotas_and_demand().iter().map(|(quota, demand)| quota * demand).collect();
         let gaps = Exp::new(plan.requests_per_s / SECOND as f64);
         Clients {
             rng,
-            request_gaps: gaps.unwrap_or_else(|error| unreachable!("a rate is above zero: {error}")),
+            request_gaps: gaps
+                .unwrap_or_else(|error| unreachable!("the request rate of the plan is invalid: {error}")),
             classes: weighted(CLASSES.iter().map(|class| class.request_share).collect()),
             tenants: (!tenants.is_empty()).then(|| weighted(tenants)),
             schedulers: weighted(schedulers),
@@ -107,12 +112,12 @@
         }
     }
 
-    /// The time to the next request.
+    /// Draws the time to the next request, in microseconds.
     pub(crate) fn next_gap(&mut self) -> Micros {
         self.request_gaps.sample(&mut self.rng) as Micros + 1
     }
 
-    /// The next request. One that is `under way` is left of a job that began before.
+    /// Draws a request. With `under_way` the request is the rest of a job that began before the simulation.
     pub(crate) fn draw_request(&mut self, now: Micros, measured: bool, under_way: bool) -> Job {
         let class = self.classes.sample(&mut self.rng);
         let plan = &CLASSES[class];
@@ -123,7 +128,7 @@
         };
         let mut work = self.work[class] * lognormal(WORK_SPREAD).sample(&mut self.rng);
         if under_way {
-            // A job that is met at some moment is longer than most, and some of it is done.
+            // A job that is running at a random moment is longer than the mean, and part of it is done.
             work *= (WORK_SPREAD * WORK_SPREAD).exp() * self.rng.random::<f64>();
         }
         let work = work.max(1_000.0);
@@ -143,7 +148,7 @@
         }
     }
 
-    /// An even draw below this.
+    /// Draws a number below `count`, uniformly.
     pub(crate) fn random_below(&mut self, count: u32) -> u32 {
         self.rng.random_range(0..count.max(1))
     }
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the list, its versions, and its watches, by the protocol page. One service for the whole fleet, which handles
-//! calls in turn.
+//! Discovery: the list of workers, its versions, and its watches. One service for the whole fleet handles the requests one
+//! after the other.
 
 use crate::Micros;
 use crate::encode::{self, ListMessage, WorkerLine};
@@ -9,49 +9,52 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Changes are told together at this interval.
+/// Changes within this interval are published together as one version.
 pub(crate) const PUBLISH_INTERVAL: Micros = 200 * MILLI;
-/// A watch brings an empty line after so long without any other.
+/// A watch gets a keepalive, an empty line, after this time without another line.
 pub(crate) const WATCH_KEEPALIVE: Micros = calicolb_freshness::KEEPALIVE_INTERVAL;
-/// What a call takes, and what each line of its answer takes.
+/// Processing time of a watch request.
 const CALL_TIME: Micros = MILLI;
+/// Additional processing time for each line of the response.
 const TIME_PER_LINE: Micros = 6;
-/// A call that would wait longer is refused.
+/// A watch request that would wait longer than this is refused.
 const MAX_CALL_WAIT: Micros = 2 * SECOND;
-/// Versions whose changes are remembered: who held an older one gets the whole list.
+/// Number of versions whose changes are kept. A watch from an older version begins with the whole list.
 const MAX_LOGGED_VERSIONS: usize = 64;
 
-/// What discovery tells one scheduler.
+/// A message on a watch: a version of the list, or the changes to it.
 pub(crate) struct Update {
     pub(crate) seq: u64,
     pub(crate) kind: ListKind,
     pub(crate) members: Vec<Member>,
-    /// Its bytes on a watch.
+    /// Length on the watch, in bytes.
     pub(crate) bytes: usize,
 }
 
-/// An open watch.
+/// An open watch of a scheduler process.
 pub(crate) struct Watch {
-    /// The call that opened it.
+    /// Number of the watch request that opened it.
     pub(crate) call: u64,
-    /// When something was last written on it, and when that arrives.
+    /// Time of the last write.
     last_written: Micros,
+    /// Time at which the last write arrives at the scheduler.
     last_arrival: Micros,
 }
 
-/// See the head of this file.
+/// The discovery service.
 pub(crate) struct Discovery {
     pub(crate) zone: usize,
     seq: u64,
     lines: BTreeMap<u32, WorkerLine>,
-    /// The zone and kind of each, as numbers.
+    /// Zone and kind of each worker, as indices.
     locations: BTreeMap<u32, (usize, usize)>,
-    /// Lines that have changed since the last version was told.
+    /// Workers whose lines have changed since the last version.
     changed: BTreeSet<u32>,
-    /// The versions of late, and the lines that each changed.
+    /// The last versions, each with the workers whose lines it changed.
     change_log: Vec<(u64, Vec<u32>)>,
+    /// Time until which the waiting requests keep the service busy.
     busy_until: Micros,
-    /// Open watches, by process.
+    /// Open watches, by scheduler process.
     pub(crate) watches: BTreeMap<u32, Watch>,
     full_list: Option<Rc<Update>>,
 }
@@ -71,14 +74,14 @@
         }
     }
 
-    /// The line of a worker is this from now on.
-    pub(crate) fn set_worker(&mut self, worker: u32, line: WorkerLine, place: (usize, usize)) {
+    /// Sets the line of a worker, and its zone and kind.
+    pub(crate) fn set_worker(&mut self, worker: u32, line: WorkerLine, location: (usize, usize)) {
         self.lines.insert(worker, line);
-        self.locations.insert(worker, place);
+        self.locations.insert(worker, location);
         self.changed.insert(worker);
     }
 
-    /// A worker's state changes in the list.
+    /// Changes the health of a worker in the list.
     pub(crate) fn set_health(&mut self, worker: u32, health: &'static str) {
         if let Some(line) = self.lines.get_mut(&worker).filter(|line| line.health != health) {
             line.health = health;
@@ -86,12 +89,12 @@
         }
     }
 
-    /// Changes wait to be told.
+    /// True if reachable are unpublished changes.
     pub(crate) fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Makes a version of what has changed; gives what all watches bring.
+    /// Makes a new version of the unpublished changes. Returns the update for all watches.
     pub(crate) fn publish(&mut self) -> Rc<Update> {
         self.seq += 1;
         let changed: Vec<u32> = std::mem::take(&mut self.changed).into_iter().collect();
@@ -102,7 +105,7 @@
         }
         let update = Rc::new(self.build_update(&changed, ListKind::Changes));
         for worker in changed {
-            // It is told once that a worker has gone.
+            // A terminated worker is published once and then removed.
             if self.lines.get(&worker).is_some_and(|line| line.health == "terminated") {
                 self.lines.remove(&worker);
             }
@@ -126,7 +129,7 @@
         }
     }
 
-    /// The whole list.
+    /// The whole list at the last published version.
     pub(crate) fn whole_list(&mut self) -> Rc<Update> {
         if let Some(whole) = &self.full_list {
             return Rc::clone(whole);
@@ -137,17 +140,18 @@
         whole
     }
 
-    /// Lines that were changed after this version; `None` where that is not known any more, or some of them have gone.
+    /// Workers whose lines changed after version `from`. `None` if the log does not reach back that far, or if a changed
+    /// worker has been removed since.
     fn changed_since(&self, from: u64) -> Option<Vec<u32>> {
         let remembered = from == self.seq || self.change_log.first().is_some_and(|first| first.0 <= from + 1);
         let later = self.change_log.iter().filter(|(seq, _)| *seq > from).flat_map(|(_, changed)| changed);
         let changed: BTreeSet<u32> = later.copied().collect();
-        let sound =
+        let known =
             remembered && from <= self.seq && changed.iter().all(|worker| self.lines.contains_key(worker));
-        sound.then(|| changed.into_iter().collect())
+        known.then(|| changed.into_iter().collect())
     }
 
-    /// A call for a watch has come: when it is answered; `None`: too many wait.
+    /// Takes a watch request. Returns the time of its answer, or `None` if too many requests are waiting.
     pub(crate) fn schedule_call(&mut self, now: Micros, from: u64) -> Option<Micros> {
         let begin = self.busy_until.max(now);
         if begin > now + MAX_CALL_WAIT {
@@ -158,7 +162,7 @@
         Some(self.busy_until)
     }
 
-    /// What a watch from this version on begins with: the changes since, or else the whole list.
+    /// The first update of a watch from version `from` on: the changes since, or the whole list if they are not known.
     pub(crate) fn initial_update(&mut self, from: u64) -> Rc<Update> {
         match self.changed_since(from) {
             Some(changed) => Rc::new(self.build_update(&changed, ListKind::Changes)),
@@ -166,26 +170,26 @@
         }
     }
 
-    /// A watch is open from now on.
+    /// Registers an open watch.
     pub(crate) fn open_watch(&mut self, process: u32, call: u64, now: Micros) {
         self.watches.insert(process, Watch { call, last_written: now, last_arrival: 0 });
     }
 
-    /// When something was last written on the watch of this call; `None`: it has ended.
+    /// Time of the last write on the watch that this request opened, or `None` if the watch has ended.
     pub(crate) fn last_written(&self, process: u32, call: u64) -> Option<Micros> {
         self.watches.get(&process).filter(|watch| watch.call == call).map(|watch| watch.last_written)
     }
 
-    /// Something is written on a watch, and is so long on its way: when it arrives, after all that was written before. With
-    /// nobody there the watch ends.
+    /// Writes on a watch with a transit time of `delay`. Returns the arrival time, which is never before that of an earlier
+    /// write. The watch ends if `reachable` is false.
     pub(crate) fn write_to_watch(
         &mut self,
         process: u32,
         now: Micros,
         delay: Micros,
-        there: bool,
+        reachable: bool,
     ) -> Option<Micros> {
-        if !there {
+        if !reachable {
             self.watches.remove(&process);
             return None;
         }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan: sizes, rates, what goes wrong, and the settings that follow from them.
+//! The plan of a simulation: sizes, rates, the incident, and the settings that follow from them.
 
 use crate::Micros;
 use calicolb::api::Settings;
@@ -6,79 +6,80 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// The first moment of a play, as Unix time: workers' starts are told in that.
+/// Start of the simulation, as Unix time in microseconds. The list gives workers' start times as Unix time.
 pub(crate) const SIMULATION_START: Micros = 1_700_000_000_000_000;
 pub(crate) const MILLI: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Slots of a plain worker.
+/// Slots of a worker without accelerators.
 pub(crate) const WORKER_SLOTS: u32 = 12;
-/// Accelerators of a worker that has some, each a slot.
+/// Accelerators of a worker of the accelerated kind; each is a slot.
 pub(crate) const ACCELERATORS_PER_WORKER: u32 = 8;
-/// Running tasks by worker, at the size of the letter.
+/// Running tasks per worker at the default size: the operators' figures of 3,400 running tasks on 690 workers.
 const RUNNING_TASKS_PER_WORKER: f64 = 3_400.0 / 690.0;
-/// Tenants ask for this part of their quota, ...
+/// Demand of most tenants, as a fraction of their quota.
 const MODERATE_DEMAND: f64 = 0.8;
-/// ... but one in so many for this multiple.
+/// Demand of every [`EXCESSIVE_DEMAND_INTERVAL`]th tenant, as a multiple of its quota.
 const EXCESSIVE_DEMAND: f64 = 2.0;
+/// One tenant in this number exceeds its quota.
 const EXCESSIVE_DEMAND_INTERVAL: usize = 12;
-/// A worker that starts is warm after this time.
+/// Time from the start of a worker until it has its full capacity.
 pub(crate) const WARM_UP_TIME: Micros = 30 * SECOND;
-/// What a worker can do at its start, as a part of all.
+/// Capacity of a worker at its start, as a fraction of its full capacity.
 pub(crate) const START_CAPACITY: f64 = 0.3;
-/// Notes of progress come at this interval.
+/// Interval at which a worker reports the progress of a running task.
 pub(crate) const PROGRESS_INTERVAL: Micros = 5 * SECOND;
 
-/// What goes wrong in a play.
+/// The incident of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Incident {
-    /// Nothing.
+    /// No incident.
     #[default]
     None,
-    /// One worker's machine goes without a sign; another comes in its place under a new number.
+    /// The machine of one worker vanishes without closing its connections; a new worker replaces it.
     Worker,
-    /// 38 schedulers and workers are restarted or replaced as planned, one after the other over the play.
+    /// 38 schedulers and workers are restarted or replaced as planned, one after the other over the measured time.
     Restarts,
-    /// A rack of some twenty workers goes without a sign, and returns cold 18 s later.
+    /// A rack of about twenty workers vanishes without closing its connections, and returns cold 18 s later.
     Rack,
-    /// The workers and schedulers of a zone go without a sign, and return cold 18 s later.
+    /// The workers and schedulers of a zone vanish without closing their connections, and return cold 18 s later.
     Zone,
-    /// The regions are cut off from each other, up to some time before the end.
+    /// The regions are cut off from each other from the incident time on, until the same time before the end.
     Regions,
-    /// All schedulers and workers die at once and come back within seconds, cold and knowing nothing.
+    /// All schedulers and workers die at once and return within 6 s, cold and without any learned state.
     AllRestart,
-    /// The configuration is changed again and again, and the control machine that leads is killed for 10 s.
+    /// The settings change repeatedly, and the leader of the control machines is down for 10 s.
     Config,
 }
 
-/// What is played. The default is the size of the operators' letter.
+/// Sizes, rates, incident and seed of a simulation. The default has the sizes that the operators stated for their fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// How many schedulers.
+    /// Number of schedulers.
     pub schedulers: u32,
-    /// How many workers.
+    /// Number of workers.
     pub workers: u32,
-    /// Accelerators, eight on a worker of a kind of its own; at most three in ten of the workers have some.
+    /// Number of accelerators, eight on each worker of a separate kind. At most three in ten of the workers are of that kind.
     pub accelerators: u32,
-    /// How many tenants.
+    /// Number of tenants.
     pub tenants: u32,
-    /// How many zones.
+    /// Number of zones.
     pub zones: u32,
-    /// How many regions the zones are in.
+    /// Number of regions that the zones are divided into.
     pub regions: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Tasks that run at the same time; `None`: as many a worker as at the letter's size.
+    /// Mean number of concurrently running tasks; `None` means 3,400 / 690 for each worker, as at the default size.
     pub running_tasks: Option<f64>,
-    /// How many seconds count.
+    /// Length of the measured time, in seconds.
     pub measured_seconds: u64,
-    /// Seconds before these, in which the fleet fills and learns.
+    /// Length of the warm-up before the measured time, in seconds, in which the fleet fills and learns.
     pub warm_up_seconds: u64,
-    /// What goes wrong.
+    /// The incident to simulate.
     pub incident: Incident,
-    /// Changes of configuration, evenly over the time that counts, where they are what is played.
+    /// Number of settings changes, evenly spread over the measured time, with [`Incident::Config`].
     pub config_changes: u32,
-    /// The seed of every draw.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -102,35 +103,35 @@
     }
 }
 
-/// A class of jobs.
+/// A class of jobs and its share of the load.
 pub(crate) struct ClassPlan {
     pub(crate) name: &'static str,
     effect: &'static str,
-    /// Its part of the requests.
+    /// Share of this class in the requests, from 0 to 1.
     pub(crate) request_share: f64,
-    /// Its work, as a multiple of the mean of all.
+    /// Mean work of the class, as a multiple of the mean work of all classes.
     relative_work: f64,
     aim: Micros,
     stretch: f64,
-    /// How long its clients wait.
+    /// Time after which clients of this class give up, in microseconds.
     pub(crate) client_timeout: Micros,
     late_worth: f64,
     worth: f64,
     priority: i64,
-    /// It needs accelerators.
+    /// True if jobs of this class need accelerators.
     pub(crate) accelerated: bool,
 }
 
 impl ClassPlan {
-    /// An answer within this time of the request, for this much work, is in time.
+    /// Aim of a request with `work` microseconds of work: an answer within this time of its arrival is in time.
     pub(crate) fn aim_for(&self, work: f64) -> Micros {
         self.aim + (self.stretch * work) as Micros
     }
 }
 
-/// The urgent class: what it waits for its start is looked at.
+/// Index of the urgent class, whose start delays are recorded.
 pub(crate) const URGENT_CLASS: usize = 0;
-/// What an urgent job may wait for its start.
+/// Time within which an urgent job has to start.
 pub(crate) const URGENT_MAX_START_DELAY: Micros = 7_100 * MILLI;
 
 const fn class(name: &'static str, effect: &'static str, part: f64, work: f64) -> ClassPlan {
@@ -151,7 +152,7 @@
     }
 }
 
-/// The classes: all three effects, and one on accelerators.
+/// The classes: one or more of each of the three effects, and one that needs accelerators.
 pub(crate) const CLASSES: [ClassPlan; 5] = [
     ClassPlan {
         aim: URGENT_MAX_START_DELAY,
@@ -167,7 +168,7 @@
 ];
 
 impl Plan {
-    /// How many of the workers have accelerators: the last ones.
+    /// Number of workers with accelerators. They are the last ones by number.
     pub(crate) fn accelerated_workers(&self) -> u32 {
         if self.accelerators == 0 {
             0
@@ -176,35 +177,35 @@
         }
     }
 
-    /// The mean work of a task, in microseconds at speed 1: by Little's law.
+    /// The mean work of a task, in microseconds at speed 1, by Little's law.
     pub(crate) fn mean_work(&self) -> f64 {
         let running = self.running_tasks.unwrap_or(RUNNING_TASKS_PER_WORKER * f64::from(self.workers));
         running / self.requests_per_s * SECOND as f64
     }
 
-    /// The mean work of a task of a class.
+    /// The mean work of a task of a class, in microseconds at speed 1.
     pub(crate) fn class_work(&self, class: usize) -> f64 {
-        let all: f64 = CLASSES.iter().map(|class| class.request_share * class.relative_work).sum();
-        self.mean_work() * CLASSES[class].relative_work / all
+        let mean: f64 = CLASSES.iter().map(|class| class.request_share * class.relative_work).sum();
+        self.mean_work() * CLASSES[class].relative_work / mean
     }
 
-    /// The zone of the scheduler or worker of this number.
+    /// The zone of the scheduler or worker with this number.
     pub(crate) fn zone_of(&self, number: u32) -> usize {
         (number % self.zones) as usize
     }
 
-    /// When what is counted begins and ends.
+    /// Begin and end of the measured time.
     pub(crate) fn measured_span(&self) -> (Micros, Micros) {
         let begin = SIMULATION_START + self.warm_up_seconds * SECOND;
         (begin, begin + self.measured_seconds * SECOND)
     }
 
-    /// When it goes wrong, and for how long at most.
+    /// Time of the incident: a third into the measured time, but at most 20 s after its begin.
     pub(crate) fn incident_at(&self) -> Micros {
         self.measured_span().0 + (self.measured_seconds * SECOND / 3).min(20 * SECOND)
     }
 
-    /// Quotas (requests a second) and what each tenant asks for, as a multiple of its quota.
+    /// For each tenant its quota in requests per second, and its demand as a multiple of the quota.
     pub(crate) fn quotas_and_demand(&self) -> Vec<(f64, f64)> {
         let weight = |index: usize| 1.0 / (index as f64 + 5.0);
         let count = self.tenants as usize;
@@ -212,7 +213,7 @@
         (0..count).map(|index| (self.requests_per_s * weight(index) / all, self.demand(index))).collect()
     }
 
-    /// What a tenant asks for, as a multiple of its quota.
+    /// Demand of a tenant, as a multiple of its quota.
     pub(crate) fn demand(&self, tenant: usize) -> f64 {
         if tenant % EXCESSIVE_DEMAND_INTERVAL == EXCESSIVE_DEMAND_INTERVAL / 2 {
             EXCESSIVE_DEMAND
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The settings of the scheduler of rank 0, in the program's own form.
+    /// The settings of the scheduler of rank 0, in the program's JSON format.
     pub fn settings_json(&self) -> serde_json::Value {
         let classes: Vec<_> = CLASSES
             .iter()
@@ -256,11 +257,11 @@
         })
     }
 
-    /// The same as the decision module has them.
+    /// The settings of the scheduler of rank 0, as the decision module takes them.
     pub(crate) fn settings(&self) -> Settings {
         match wire::parse_settings(&self.settings_json().to_string()) {
             Ok((settings, _)) => settings,
-            Err(error) => unreachable!("the plan's own settings are sound: {error}"),
+            Err(error) => unreachable!("the settings of the plan are invalid: {error}"),
         }
     }
 }
--- a/crates/simulation/src/recorder.rs
+++ b/crates/simulation/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The ledger: what was sent, started and answered, by scheduler and second, and the account that comes of it.
+//! The recorder: counts of messages, task starts and answers by scheduler and second, and the summary made from them.
 
 use crate::Micros;
 use crate::plan::{Plan, SECOND, URGENT_CLASS};
@@ -8,30 +8,30 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Starts are counted in steps of this.
+/// Width of the bins in which task starts are counted.
 const START_BIN: Micros = 100_000;
-/// Starts are compared over windows of so many steps.
+/// Number of bins in a window over which starts are compared.
 const WINDOW_BINS: usize = 30;
-/// Starts before something goes wrong are those of so many steps.
+/// Number of bins before the incident that give the usual rate of starts.
 const BASELINE_BINS: usize = 100;
-/// Under this part of what was before, starts have broken down, ...
+/// Starts are down where a window has less than this fraction of the usual starts.
 const OUTAGE_THRESHOLD: f64 = 0.85;
-/// ... and from this part on they are back.
+/// Starts have recovered where a window has at least this fraction of the usual starts.
 const RECOVERY_THRESHOLD: f64 = 0.95;
 
-/// What a control message is for.
+/// Purpose of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Function {
-    /// Calls for the list and whole lists.
+    /// Requests for the list or a watch of it, and whole lists.
     List,
-    /// Watches: changes and empty lines.
+    /// Messages on watches of the list: changes and keepalives.
     Watch,
-    /// Loads told within a cohort.
+    /// Loads of workers, sent to the schedulers of a cohort.
     PeerLoads,
     Hellos,
     FaultReports,
     Probes,
-    /// Watches at control machines, and what is in force told to them.
+    /// Watches at control machines, and reports of the version in force.
     Config,
 }
 
@@ -45,118 +45,118 @@
     ("config", Function::Config),
 ];
 
-/// Control messages of one function over the whole fleet, those that schedulers sent and those that came to them.
+/// Control messages of one function that the schedulers of the fleet sent or received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
-    /// Messages: datagrams, requests and answers, lines of a watch.
+    /// Number of messages: datagrams, requests, responses, and lines of a watch.
     pub messages: u64,
-    /// Their bytes, without the headers of UDP, TCP and IP.
+    /// Bytes of the messages, without the headers of UDP, TCP and IP.
     pub bytes: u64,
 }
 
-/// What is counted beside the account.
+/// Counts that are not part of the serialized summary.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExtraCounts {
-    /// Requests that ended with their scheduler: it was killed, or its machine went.
+    /// Requests that were lost because their scheduler was killed or its machine vanished.
     pub lost_with_scheduler: u64,
-    /// Requests that were answered as failed.
+    /// Requests that were answered with a failure.
     pub failed: u64,
-    /// Attempts sent, further ones of a request included.
+    /// Attempts sent, including second and later ones of a request.
     pub attempts: u64,
-    /// Tasks that ended with their worker, or could not be told of.
+    /// Tasks that ended with their worker, or whose end could not be delivered to the scheduler.
     pub tasks_lost: u64,
-    /// Datagrams sent, and those that arrived.
+    /// Datagrams sent, and datagrams delivered.
     pub datagrams: (u64, u64),
-    /// Messages that came through a link while it was cut.
+    /// Messages that were delivered over a path while it was cut. Any number but 0 is a fault of the simulation.
     pub messages_through_cuts: u64,
-    /// Calls that discovery refused because too many waited.
+    /// Watch requests that discovery refused because too many were waiting.
     pub refused_watch_calls: u64,
 }
 
-/// What became of changes of configuration.
+/// Outcome of the settings changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ConfigOutcome {
-    /// Changes that were agreed.
+    /// Changes that the control machines agreed on.
     #[serde(skip)]
     pub changes_accepted: u64,
-    /// From a change being accepted to its being in force at a scheduler: 99 of 100 such times are shorter, in
-    /// milliseconds.
+    /// 99th percentile of the time from the acceptance of a change until it is in force at a scheduler, in milliseconds.
     pub in_force_p99_ms: f64,
-    /// The longest such time.
+    /// Longest time from the acceptance of a change until it is in force at a scheduler, in milliseconds.
     pub in_force_max_ms: f64,
-    /// Schedulers that at the end had not the last version in force, or did not know that they had.
+    /// Schedulers that at the end did not have the last version in force, or regarded themselves as behind.
     pub behind: u64,
-    /// Versions in force somewhere that were not agreed, or were agreed in two forms.
+    /// Versions that were in force at a scheduler without agreement, or that were agreed with two different contents.
     pub unagreed: u64,
-    /// Changes that were told to be agreed, and are not among what the control machines remember at the end.
+    /// Changes that were reported as agreed and are unknown to the control machines at the end.
     pub lost_versions: u64,
 }
 
-/// What came of a play.
+/// Summary of a simulation.
 ///
-/// All counts are of the seconds that count, `Plan::seconds` after the warm-up; a request counts where it came in.
+/// All counts are of the measured time, the `Plan::measured_seconds` after the warm-up. A request belongs to the second in
+/// which it came in.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// How many schedulers.
+    /// Number of schedulers.
     pub schedulers: u32,
-    /// How many workers.
+    /// Number of workers.
     pub workers: u32,
-    /// How many tenants.
+    /// Number of tenants.
     pub tenants: u32,
     /// Requests that came in.
     pub jobs: u64,
     /// Tasks that started at a worker.
     pub started: u64,
-    /// Most tasks that ran at the same time.
+    /// Largest number of tasks that ran at the same time.
     pub running_peak: u64,
     /// Requests that were served.
     pub served: u64,
-    /// Of these, those that were served after their aim.
+    /// Served requests that were answered after their aim.
     pub late: u64,
     /// Requests that were refused.
     pub refused: u64,
     /// Requests that never got a final answer.
     pub lost: u64,
-    /// Attempts that came to a worker though the rules allowed no second one.
+    /// Attempts that arrived at a worker although the rules allowed no further attempt.
     pub doubled: u64,
-    /// 999 of 1,000 urgent requests that were started waited less than this for it, in milliseconds.
+    /// 99.9th percentile of the time that urgent requests waited for their start, in milliseconds.
     pub urgent_start_p999_ms: f64,
-    /// Processor time of the decision module on control, mean of all schedulers, in milliseconds a second.
+    /// Processor time that the decision module spends on control events, mean of all schedulers, in milliseconds per second.
     pub control_cpu_ms_per_s_mean: f64,
-    /// The same of the scheduler worst off in its worst second.
+    /// Processor time on control events, largest value of any scheduler in any second, in milliseconds.
     pub control_cpu_ms_per_s_worst: f64,
-    /// Control bytes in and out, mean of all schedulers, a second.
+    /// Control bytes in and out, mean of all schedulers, per second.
     pub control_bytes_per_s_mean: f64,
-    /// The same of the scheduler worst off in its worst second.
+    /// Control bytes in and out, largest value of any scheduler in any second.
     pub control_bytes_per_s_worst: u64,
-    /// Datagrams in and out of the scheduler worst off in its worst second.
+    /// Datagrams in and out, largest value of any scheduler in any second.
     pub control_datagrams_per_s_worst: u64,
-    /// What a scheduler knows at the end, as JSON for a process that takes over, mean of all, in bytes.
+    /// Size of the knowledge that a scheduler would hand to a successor at the end, as JSON, mean of all, in bytes.
     pub state_bytes_per_scheduler: u64,
-    /// Bytes in and out of discovery in its worst second.
+    /// Bytes in and out of discovery, largest value of any second.
     pub discovery_bytes_per_s_worst: u64,
-    /// Requests of tenants that ask for 0.8 of their quota: the part that counted as within.
+    /// Requests of tenants with a demand of 0.8 of their quota: the fraction that counted as within the quota.
     pub quota_in_share_ratio: f64,
-    /// Requests of tenants that ask for twice their quota: what counted as within, as a part of the quota.
+    /// Requests of tenants with a demand of twice their quota: the number that counted as within, as a fraction of the quota.
     pub quota_over_ratio: f64,
-    /// From what went wrong until starts were back, in milliseconds; `None`: nothing went wrong, or they are not back.
+    /// Time from the incident until task starts recovered, in milliseconds. `None` if there was no incident or no recovery.
     pub recovered_ms: Option<u64>,
-    /// The most memory that this process held, in megabytes.
+    /// Peak resident memory of this process, in megabytes.
     pub peak_rss_mb: f64,
-    /// How long the play took.
+    /// Wall time of the simulation, in seconds.
     pub wall_s: f64,
     /// Control messages by function.
     pub traffic: BTreeMap<&'static str, Traffic>,
-    /// What became of changes of configuration, where they were played.
+    /// Outcome of the settings changes, with [`crate::Incident::Config`].
     #[serde(flatten)]
     pub config: Option<ConfigOutcome>,
-    /// Counts beside these.
+    /// Counts that are not serialized.
     #[serde(skip)]
     pub extra: ExtraCounts,
 }
 
 impl Summary {
-    /// The same without what is measured of this machine: alike for the same plan, to the byte.
+    /// The summary without the values measured on this machine. It is the same for the same plan, to the byte.
     pub fn deterministic_counts(&self) -> Summary {
         Summary {
             control_cpu_ms_per_s_mean: 0.0,
@@ -168,7 +168,7 @@
     }
 }
 
-/// What one scheduler spent on control in one second.
+/// Control messages and processor time of one scheduler in one second.
 #[derive(Clone, Copy, Default)]
 struct SecondUsage {
     bytes: u32,
@@ -176,12 +176,12 @@
     nanos: u32,
 }
 
-/// See the head of this file.
+/// Records the counts of a simulation while it runs.
 pub(crate) struct Recorder {
     begin: Micros,
     end: Micros,
     seconds: usize,
-    /// By scheduler, then by second.
+    /// By scheduler and second: index `rank * seconds + second`.
     usage: Vec<SecondUsage>,
     discovery_bytes: Vec<u64>,
     traffic: [Traffic; FUNCTIONS.len()],
@@ -189,26 +189,26 @@
     running: u64,
     urgent_start_delays: Histogram<u64>,
     started_at: Instant,
-    /// What a look at the thread's clock itself takes.
+    /// Time that reading the thread clock itself takes, in nanoseconds.
     clock_overhead: u64,
     pub(crate) summary: Summary,
 }
 
-/// This thread's own processor time, in steps of a nanosecond.
+/// Processor time of this thread, in nanoseconds.
 fn thread_nanos() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-fn since(begun: u64) -> u64 {
-    thread_nanos().saturating_sub(begun)
+fn since(started: u64) -> u64 {
+    thread_nanos().saturating_sub(started)
 }
 
 impl Recorder {
     pub(crate) fn new(plan: &Plan) -> Self {
         let (begin, end) = plan.measured_span();
         let seconds = plan.measured_seconds.max(1) as usize;
-        let account = Summary {
+        let summary = Summary {
             schedulers: plan.schedulers,
             workers: plan.workers,
             tenants: plan.tenants,
@@ -223,16 +223,16 @@
             traffic: Default::default(),
             starts_by_bin: vec![0; seconds * (SECOND / START_BIN) as usize],
             running: 0,
-            // Three digits up to an hour, in microseconds: the bounds are sound.
+            // Three significant digits up to one hour, in microseconds. These bounds are valid for a histogram.
             urgent_start_delays: Histogram::new_with_bounds(1, 3_600 * SECOND, 3)
                 .unwrap_or_else(|_| unreachable!()),
             started_at: Instant::now(),
             clock_overhead: (0..1_000).map(|_| since(thread_nanos())).min().unwrap_or(0),
-            summary: account,
+            summary,
         }
     }
 
-    /// This moment is among those that count.
+    /// True if `now` is in the measured time.
     pub(crate) fn is_measured(&self, now: Micros) -> bool {
         (self.begin..self.end).contains(&now)
     }
@@ -241,37 +241,38 @@
         self.is_measured(now).then(|| ((now - self.begin) / SECOND) as usize)
     }
 
-    /// A control message was sent by a scheduler, or came to it.
+    /// Records a control message that a scheduler sent or received.
     pub(crate) fn record_message(&mut self, now: Micros, rank: u32, function: Function, bytes: usize) {
         let Some(second) = self.measured_second(now) else { return };
         let datagram = matches!(function, Function::PeerLoads | Function::Hellos | Function::FaultReports);
-        let bin = &mut self.usage[rank as usize * self.seconds + second];
-        bin.bytes += bytes as u32;
-        bin.datagrams += u32::from(datagram);
-        let sum = &mut self.traffic[function as usize];
-        sum.messages += 1;
-        sum.bytes += bytes as u64;
+        let usage = &mut self.usage[rank as usize * self.seconds + second];
+        usage.bytes += bytes as u32;
+        usage.datagrams += u32::from(datagram);
+        let traffic = &mut self.traffic[function as usize];
+        traffic.messages += 1;
+        traffic.bytes += bytes as u64;
     }
 
-    /// Discovery sent or got so much.
+    /// Records bytes that discovery sent or received.
     pub(crate) fn record_discovery_bytes(&mut self, now: Micros, bytes: usize) {
         if let Some(second) = self.measured_second(now) {
             self.discovery_bytes[second] += bytes as u64;
         }
     }
 
-    /// Runs a control event of a scheduler and notes how long it took.
+    /// Runs a control event of a scheduler and records the processor time.
     pub(crate) fn time_control_event<T>(&mut self, now: Micros, rank: u32, run: impl FnOnce() -> T) -> T {
         let Some(second) = self.measured_second(now) else { return run() };
-        let begun = thread_nanos();
+        let started = thread_nanos();
         let done = run();
-        let nanos = since(begun).saturating_sub(self.clock_overhead);
-        let bin = &mut self.usage[rank as usize * self.seconds + second];
-        bin.nanos = bin.nanos.saturating_add(u32::try_from(nanos).unwrap_or(u32::MAX));
+        let nanos = since(started).saturating_sub(self.clock_overhead);
+        let usage = &mut self.usage[rank as usize * self.seconds + second];
+        usage.nanos = usage.nanos.saturating_add(u32::try_from(nanos).unwrap_or(u32::MAX));
         done
     }
 
-    /// A task has started at a worker; `waited` since its request came in, unless one of it had started before.
+    /// Records the start of a task at a worker. `waited` is the time since its request came in, or `None` if a task of the
+    /// request had started before.
     pub(crate) fn record_start(&mut self, now: Micros, class: usize, waited: Option<Micros>) {
         self.running += 1;
         if self.is_measured(now) {
@@ -284,67 +285,71 @@
         }
     }
 
-    /// A task that had started is over.
+    /// Records the end of a task that had started.
     pub(crate) fn record_stop(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// From what went wrong until starts are back: the end of the last window in which they were broken down, up to the
-    /// first one after it in which they are as before.
-    fn recovery_time_ms(&self, wrong: Micros) -> Option<u64> {
-        let at = ((wrong - self.begin) / START_BIN) as usize;
+    /// Time from the incident until task starts recovered, in milliseconds: the first window with
+    /// [`RECOVERY_THRESHOLD`] of the usual starts after the last window with less than [`OUTAGE_THRESHOLD`] of them.
+    fn recovery_time_ms(&self, incident_at: Micros) -> Option<u64> {
+        let at = ((incident_at - self.begin) / START_BIN) as usize;
         let before: u32 = self.starts_by_bin[at.saturating_sub(BASELINE_BINS)..at].iter().sum();
         let usual = f64::from(before) / at.min(BASELINE_BINS) as f64 * WINDOW_BINS as f64;
         let sums: Vec<f64> = self.starts_by_bin[at..]
             .windows(WINDOW_BINS)
             .map(|window| f64::from(window.iter().sum::<u32>()))
             .collect();
-        let Some(down) = sums.iter().rposition(|&sum| sum < OUTAGE_THRESHOLD * usual) else { return Some(0) };
-        let back = sums[down..].iter().position(|&sum| sum >= RECOVERY_THRESHOLD * usual)?;
-        Some((down + back) as u64 * START_BIN / 1_000)
+        let Some(last_down) = sums.iter().rposition(|&sum| sum < OUTAGE_THRESHOLD * usual) else {
+            return Some(0);
+        };
+        let recovery = sums[last_down..].iter().position(|&sum| sum >= RECOVERY_THRESHOLD * usual)?;
+        Some((last_down + recovery) as u64 * START_BIN / 1_000)
     }
 
-    /// The account, once all is over.
+    /// Makes the summary at the end of the simulation.
     pub(crate) fn finish(
         mut self,
-        wrong: Option<Micros>,
-        within: QuotaRatios,
+        incident_at: Option<Micros>,
+        quota: QuotaRatios,
         state_bytes: u64,
-        agreed: Option<ConfigOutcome>,
+        config: Option<ConfigOutcome>,
     ) -> Summary {
         let seconds = self.seconds as f64;
         let schedulers = f64::from(self.summary.schedulers);
         let (bytes, nanos): (u64, u64) = self
             .usage
             .iter()
-            .fold((0, 0), |sum, bin| (sum.0 + u64::from(bin.bytes), sum.1 + u64::from(bin.nanos)));
+            .fold((0, 0), |sum, usage| (sum.0 + u64::from(usage.bytes), sum.1 + u64::from(usage.nanos)));
         let worst = |of: fn(&SecondUsage) -> u32| u64::from(self.usage.iter().map(of).max().unwrap_or(0));
-        let recovered = wrong.and_then(|at| self.recovery_time_ms(at));
+        let recovered_ms = incident_at.and_then(|at| self.recovery_time_ms(at));
         let traffic = FUNCTIONS.iter().map(|&(name, function)| (name, self.traffic[function as usize]));
-        let account = &mut self.summary;
-        account.urgent_start_p999_ms = self.urgent_start_delays.value_at_quantile(0.999) as f64 / 1e3;
-        account.control_cpu_ms_per_s_mean = nanos as f64 / 1e6 / seconds / schedulers;
-        account.control_cpu_ms_per_s_worst = worst(|bin| bin.nanos) as f64 / 1e6;
-        account.control_bytes_per_s_mean = bytes as f64 / seconds / schedulers;
-        account.control_bytes_per_s_worst = worst(|bin| bin.bytes);
-        account.control_datagrams_per_s_worst = worst(|bin| bin.datagrams);
-        account.state_bytes_per_scheduler = state_bytes;
-        account.discovery_bytes_per_s_worst = self.discovery_bytes.iter().copied().max().unwrap_or(0);
-        account.quota_in_share_ratio = within.within_quota;
-        account.quota_over_ratio = within.over_quota;
-        account.recovered_ms = recovered;
-        account.peak_rss_mb = peak_rss_mb();
-        account.wall_s = self.started_at.elapsed().as_secs_f64();
-        account.traffic = traffic.collect();
-        account.config = agreed;
+        let summary = &mut self.summary;
+        summary.urgent_start_p999_ms = self.urgent_start_delays.value_at_quantile(0.999) as f64 / 1e3;
+        summary.control_cpu_ms_per_s_mean = nanos as f64 / 1e6 / seconds / schedulers;
+        summary.control_cpu_ms_per_s_worst = worst(|usage| usage.nanos) as f64 / 1e6;
+        summary.control_bytes_per_s_mean = bytes as f64 / seconds / schedulers;
+        summary.control_bytes_per_s_worst = worst(|usage| usage.bytes);
+        summary.control_datagrams_per_s_worst = worst(|usage| usage.datagrams);
+        summary.state_bytes_per_scheduler = state_bytes;
+        summary.discovery_bytes_per_s_worst = self.discovery_bytes.iter().copied().max().unwrap_or(0);
+        summary.quota_in_share_ratio = quota.within_quota;
+        summary.quota_over_ratio = quota.over_quota;
+        summary.recovered_ms = recovered_ms;
+        summary.peak_rss_mb = peak_rss_mb();
+        summary.wall_s = self.started_at.elapsed().as_secs_f64();
+        summary.traffic = traffic.collect();
+        summary.config = config;
         self.summary
     }
 }
 
-/// What counted as within the tenants' shares.
+/// Ratios of requests that counted as within their tenant's quota.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct QuotaRatios {
+    /// For tenants that stay within their quota: counted requests by all requests.
     pub(crate) within_quota: f64,
+    /// For tenants that exceed their quota: counted requests by the quota.
     pub(crate) over_quota: f64,
 }
 
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,18 +1,19 @@
-//! Workers: slots, a queue, a cold ramp, load reports, and what becomes of the tasks when one ends.
+//! Workers: slots, a queue, warm-up after a start, load reports, and the end of the tasks when a worker stops.
 
 use crate::Micros;
 use crate::plan::{MILLI, START_CAPACITY, WARM_UP_TIME};
 use calicolb::api::Report;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Waiting tasks, as a multiple of the slots: any more are turned away.
+/// Capacity of the queue, as a multiple of the slots. A worker refuses tasks beyond it.
 const QUEUE_PER_SLOT: usize = 2;
 
-/// A report is made at this interval, and told from so long after that on.
+/// Interval between two load reports.
 const REPORT_INTERVAL: Micros = 700 * MILLI;
+/// Time from the making of a load report until it is available.
 const REPORT_DELAY: Micros = 200 * MILLI;
 
-/// Where an attempt came from: a process and its number there.
+/// Origin of an attempt: the scheduler process, and the numbers of the request and attempt in that process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Origin {
     pub(crate) process: u32,
@@ -20,31 +21,31 @@
     pub(crate) attempt: u32,
 }
 
-/// A task that a worker took.
+/// A task that a worker accepted.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub(crate) origin: Origin,
     pub(crate) job: u32,
     pub(crate) slots: u32,
     pub(crate) work: f64,
-    /// When it started, and when it will be done.
+    /// Start and planned end, once the task has started.
     pub(crate) run_span: Option<(Micros, Micros)>,
 }
 
-/// Whether a worker can be reached.
+/// State of a worker process and its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerState {
-    /// It serves.
+    /// The process serves.
     Up,
-    /// Its process has gone; its machine says so.
+    /// The process has stopped; its machine refuses connections.
     Stopped,
-    /// Its machine has gone, without a sign.
+    /// The machine has vanished and does not respond.
     Vanished,
 }
 
-/// See the head of this file.
+/// A simulated worker.
 pub(crate) struct Worker {
-    /// Its number for the schedulers, and its name in the list.
+    /// Name in the list; schedulers derive the worker id from it.
     pub(crate) name: String,
     pub(crate) zone: usize,
     pub(crate) kind: usize,
@@ -54,16 +55,16 @@
     pub(crate) state: WorkerState,
     pub(crate) draining: bool,
     pub(crate) started_at: Option<Micros>,
-    /// Counts its processes: what was set for one before does not concern this one.
+    /// Number of the process at this worker. Events that were scheduled for an earlier process are ignored.
     pub(crate) incarnation: u32,
     pub(crate) tasks: BTreeMap<u64, Task>,
     queue: VecDeque<u64>,
     busy_slots: u32,
-    /// Its load of late, from when on.
+    /// Recent loads, each with the time since which it holds.
     load_history: VecDeque<(Micros, Load)>,
 }
 
-/// Tasks in hand, those of them that wait, and free slots.
+/// Accepted tasks, the waiting ones among them, and free slots.
 pub(crate) type Load = (usize, usize, usize);
 
 impl Worker {
@@ -86,13 +87,13 @@
         }
     }
 
-    /// The part of its capacity that it has so long after its start.
+    /// Fraction of the full capacity, which grows linearly from [`START_CAPACITY`] to 1 within [`WARM_UP_TIME`] of the start.
     pub(crate) fn capacity_fraction(&self, now: Micros) -> f64 {
         let age = self.started_at.map_or(WARM_UP_TIME, |born| now.saturating_sub(born)).min(WARM_UP_TIME);
         START_CAPACITY + (1.0 - START_CAPACITY) * age as f64 / WARM_UP_TIME as f64
     }
 
-    /// Takes a task, or turns it away.
+    /// Accepts a task into the queue, or returns `false` if the worker drains, the task is too large, or the queue is full.
     pub(crate) fn accept(&mut self, now: Micros, number: u64, task: Task) -> bool {
         if self.draining
             || task.slots > self.slots
@@ -106,16 +107,16 @@
         true
     }
 
-    /// Starts what fits, in order of arrival; gives what has started, and when it will be done.
+    /// Starts queued tasks in order of arrival while slots are free. Returns the started tasks and their planned ends.
     pub(crate) fn start_tasks(&mut self, now: Micros) -> Vec<(u64, Micros)> {
-        let pace = self.speed * self.capacity_fraction(now);
+        let speed = self.speed * self.capacity_fraction(now);
         let mut started = Vec::new();
         while let Some(&number) = self.queue.front() {
             let Some(task) = self.tasks.get_mut(&number) else { break };
             if self.busy_slots + task.slots > self.slots {
                 break;
             }
-            let end = now + (task.work / pace).max(1.0) as Micros;
+            let end = now + (task.work / speed).max(1.0) as Micros;
             task.run_span = Some((now, end));
             self.busy_slots += task.slots;
             self.queue.pop_front();
@@ -125,7 +126,7 @@
         started
     }
 
-    /// A task is over: it is done, or given up.
+    /// Removes a task that is done or cancelled.
     pub(crate) fn remove_task(&mut self, now: Micros, number: u64) -> Option<Task> {
         let task = self.tasks.remove(&number)?;
         if task.run_span.is_some() {
@@ -137,14 +138,14 @@
         Some(task)
     }
 
-    /// The task that came from there.
+    /// Finds the task of an attempt.
     pub(crate) fn find_task(&self, origin: Origin) -> Option<u64> {
         self.tasks.iter().find(|(_, task)| task.origin == origin).map(|(&number, _)| number)
     }
 
-    /// It ends; gives its tasks and their numbers.
-    pub(crate) fn stop(&mut self, life: WorkerState) -> BTreeMap<u64, Task> {
-        self.state = life;
+    /// Stops the worker. Returns its tasks by number.
+    pub(crate) fn stop(&mut self, state: WorkerState) -> BTreeMap<u64, Task> {
+        self.state = state;
         self.incarnation += 1;
         self.busy_slots = 0;
         self.queue.clear();
@@ -152,7 +153,7 @@
         std::mem::take(&mut self.tasks)
     }
 
-    /// It starts anew, cold.
+    /// Starts a new process, with the capacity of a cold worker.
     pub(crate) fn restart(&mut self, now: Micros) {
         self.state = WorkerState::Up;
         self.draining = false;
@@ -171,15 +172,15 @@
         }
     }
 
-    /// Its load by its last report: as real ones it is of some time ago.
+    /// The load by the last available report, which is up to [`REPORT_INTERVAL`] plus [`REPORT_DELAY`] old, as at real workers.
     pub(crate) fn reported_load(&self, now: Micros) -> Load {
         let phase = u64::from(self.cell) * 37 * MILLI % REPORT_INTERVAL;
         let made = (now - REPORT_DELAY - phase) / REPORT_INTERVAL * REPORT_INTERVAL + phase;
-        let then = self.load_history.iter().rev().find(|load| load.0 <= made);
-        then.map_or((0, 0, self.slots as usize), |load| load.1)
+        let load = self.load_history.iter().rev().find(|load| load.0 <= made);
+        load.map_or((0, 0, self.slots as usize), |load| load.1)
     }
 
-    /// Its load report.
+    /// The last available load report.
     pub(crate) fn load_report(&self, now: Micros) -> Report {
         let (inflight, queue, free) = self.reported_load(now);
         Report {
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,68 +1,68 @@
-//! The outline of a play: its workers and its requests, for those who play the same among real processes.
+//! The workload of a plan: its workers and requests, for a run of the same load with real processes.
 
 use crate::Micros;
 use crate::plan::{CLASSES, Plan, SIMULATION_START, zone_name};
 use crate::simulation::Simulation;
 
-/// A worker of a play.
+/// A worker of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadWorker {
-    /// Its name in the list.
+    /// Name in the list.
     pub name: String,
-    /// Its zone, as the settings name it.
+    /// Name of the zone in the settings.
     pub zone: String,
-    /// Its kind of machine, by its place in the settings.
+    /// Kind of machine, as an index into the `kinds` of the settings.
     pub kind: usize,
-    /// Its cell.
+    /// Number of the cell.
     pub cell: u32,
-    /// Its slots.
+    /// Number of slots.
     pub slots: u32,
-    /// Its speed when it is warm.
+    /// Speed at full capacity: work done per microsecond.
     pub speed: f64,
 }
 
-/// A request of a play.
+/// A request of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadRequest {
-    /// When its client sends it, in microseconds from the beginning of the play.
+    /// When the client sends it, in microseconds from the start of the simulation.
     pub sent_at: Micros,
-    /// The scheduler that its client turns to.
+    /// Rank of the scheduler that the client sends it to.
     pub rank: u32,
-    /// Its class, by its place in the settings, and by its name.
+    /// Class, as an index into the `request_classes` of the settings.
     pub class: usize,
-    /// See above.
+    /// Name of the class.
     pub class_name: &'static str,
-    /// Its tenant, by its place in the settings.
+    /// Tenant, as an index into the `orgs` of the settings.
     pub tenant: Option<usize>,
-    /// Its work and what its client says of that, in microseconds at speed 1.
+    /// Work, in microseconds at speed 1.
     pub work: f64,
-    /// See above.
+    /// The client's hint about the work, in microseconds at speed 1.
     pub hint: f64,
-    /// Slots that it takes.
+    /// Number of slots that it takes.
     pub slots: u32,
-    /// How long its client waits, in microseconds.
+    /// Time after which the client gives up, in microseconds.
     pub client_timeout: Micros,
-    /// Within this time it is served in time, in microseconds.
+    /// The aim: an answer within this time is in time, in microseconds.
     pub aim: Micros,
-    /// It comes in among the seconds that count.
+    /// True if it comes in during the measured time.
     pub measured: bool,
 }
 
-/// See the head of this file.
+/// The workers and requests of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
-    /// By number.
+    /// The workers, by number.
     pub workers: Vec<WorkloadWorker>,
-    /// By time.
+    /// The requests, by time.
     pub requests: Vec<WorkloadRequest>,
-    /// What counts begins so long after the beginning, in microseconds, and ends so long after it.
+    /// Begin and end of the measured time, in microseconds from the start of the simulation.
     pub measured_span: (Micros, Micros),
 }
 
-/// The outline of a plan in which nothing goes wrong: the same draws as [`crate::play`] makes.
+/// The workload of a plan without an incident: the same random draws as [`crate::simulate`] makes.
 pub fn workload(plan: &Plan) -> Workload {
-    let world = Simulation::new(plan);
-    let workers = world.workers.iter().map(|worker| WorkloadWorker {
+    let simulation = Simulation::new(plan);
+    let workers = simulation.workers.iter().map(|worker| WorkloadWorker {
         name: worker.name.clone(),
         zone: zone_name(worker.zone as u32),
         kind: worker.kind,
@@ -71,7 +71,7 @@
         speed: worker.speed,
     });
     let workers = workers.collect();
-    let requests = world.into_requests().into_iter().map(|job| {
+    let requests = simulation.into_requests().into_iter().map(|job| {
         let class = &CLASSES[job.class];
         WorkloadRequest {
             sent_at: job.arrived - SIMULATION_START,
