--- a/crates/simulation/src/config_learner.rs
+++ b/crates/simulation/src/config_learner.rs
@@ -1,6 +1,5 @@
-//! How a scheduler learns the agreed configuration: one watch at one of the control machines, and a call that tells which
-//! version is in force. By the rules of the program's own learner; what counts of what is heard is
-//! [`calicolb_agreed::Learner`]'s to say.
+//! A scheduler's learner of the agreed settings: one watch at one of the control machines, and a report of the version in
+//! force. It follows the rules of the program's own learner; [`calicolb_agreed::Learner`] decides which messages take effect.
 
 use crate::Micros;
 use crate::control_machines::{self, Lines, SharedSettingsCheck};
@@ -15,31 +14,32 @@
 use rand::{RngExt, SeedableRng};
 use std::sync::Arc;
 
-/// A watch on which nothing came for longer than this is broken.
+/// A watch without any line for longer than this is treated as broken.
 const WATCH_SILENCE_TIMEOUT: Micros = 5 * SECOND;
-/// A connection and the first line on it, or an answer, are owed by then.
+/// Time limit for a connection and the first line on it, and for the response to a report.
 const RESPONSE_TIMEOUT: Micros = SECOND;
-/// The next machine is asked after this time at first, and after this at most.
+/// Initial wait before the next machine is tried. It doubles with each failure.
 const MIN_RETRY_WAIT: Micros = 50 * MILLI;
+/// Upper bound of the wait before the next machine is tried, without the jitter.
 const MAX_RETRY_WAIT: Micros = SECOND;
-/// Without a word of a majority for so long a learner knows that it is behind.
+/// A learner regards itself as behind after this time without a message that confirms a majority.
 const MAJORITY_TIMEOUT: Micros = 5 * SECOND;
 
-/// What a learner wants done.
+/// A command of a learner that the simulation executes.
 pub(crate) enum LearnerCommand {
-    /// A watch at this machine, from this version on, by the call of this number.
+    /// Open a watch at this machine from this version on. `call` is the number of the request.
     OpenWatch { machine: u32, call: u64, from: (u64, Digest) },
-    /// Its watch there is ended.
+    /// Close the watch at this machine that the request `call` opened.
     CloseWatch { machine: u32, call: u64 },
-    /// This machine is told that this version is in force.
+    /// Report to this machine that version `seq` is in force.
     ReportInForce { machine: u32, seq: u64 },
-    /// It is looked at again at this time.
+    /// Call [`ConfigLearner::timer_fired`] at this time.
     SetTimer(Micros),
-    /// These settings come into force.
+    /// Put these settings into force.
     ApplySettings(Box<Settings>, Arc<InForce>),
 }
 
-/// See the head of this file.
+/// The learner of one scheduler process.
 pub(crate) struct ConfigLearner {
     machines: Vec<u32>,
     machine_index: usize,
@@ -59,13 +59,14 @@
     rng: StdRng,
     in_force: Arc<InForce>,
     timer_at: Option<Micros>,
-    /// When what was written on its watch last arrives.
+    /// Time at which the last write on the watch arrives.
     last_arrival: Micros,
     commands: Vec<LearnerCommand>,
 }
 
 impl ConfigLearner {
-    /// A learner whose own settings are these, with their names, until a version is in force.
+    /// Creates a learner. `settings` and `names` are in force until a version is agreed; `first` is the version that the learner
+    /// starts from.
     pub(crate) fn new(settings: Settings, names: Names, first: Version, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut machines: Vec<u32> = (0..control_machines::MACHINE_COUNT).collect();
@@ -95,28 +96,28 @@
         }
     }
 
-    /// What is to be done.
+    /// Takes the commands that wait for their execution.
     pub(crate) fn take_commands(&mut self) -> Vec<LearnerCommand> {
         std::mem::take(&mut self.commands)
     }
 
-    /// The machine that it is at.
+    /// The control machine of the current watch.
     pub(crate) fn current_machine(&self) -> u32 {
         self.machines[self.machine_index]
     }
 
-    /// Something later than what is in force here may be in force elsewhere.
+    /// True if a later version may be in force elsewhere.
     pub(crate) fn is_behind(&self, now: Micros) -> bool {
         self.learner.behind(now)
     }
 
-    /// When something arrives that would alone do so at this time: after all that was written before.
+    /// Arrival time of a write that would arrive at `at` on its own: never before that of an earlier write.
     pub(crate) fn arrival_in_order(&mut self, at: Micros) -> Micros {
         self.last_arrival = self.last_arrival.max(at);
         self.last_arrival
     }
 
-    /// Begins to learn.
+    /// Opens the first watch.
     pub(crate) fn start(&mut self, now: Micros) {
         self.last_majority_at = now;
         self.open_watch(now);
@@ -124,11 +125,11 @@
     }
 
     fn open_watch(&mut self, now: Micros) {
-        let held = self.learner.holds();
+        let known = self.learner.holds();
         self.calls += 1;
         (self.opened_at, self.last_received_at, self.reported_seq, self.retry_at) = (now, None, None, None);
         self.watch_call = Some(self.calls);
-        let from = (held.seq, held.digest);
+        let from = (known.seq, known.digest);
         self.commands.push(LearnerCommand::OpenWatch {
             machine: self.current_machine(),
             call: self.calls,
@@ -147,7 +148,7 @@
         self.retry_at = Some(now + wait / 2 + self.rng.random_range(0..=wait));
     }
 
-    /// The watch of this call has broken, or was not to be had.
+    /// Called when the watch of this request has broken or could not be opened.
     pub(crate) fn watch_failed(&mut self, now: Micros, call: u64) {
         if self.watch_call == Some(call) {
             self.close_and_retry(now);
@@ -155,20 +156,20 @@
         }
     }
 
-    /// The machine has heard which version is in force.
+    /// Called when the machine has acknowledged the report of the version in force.
     pub(crate) fn report_acknowledged(&mut self, now: Micros) {
         self.report_deadline = None;
         self.update_timer(now);
     }
 
-    /// Something has come on the watch.
+    /// Takes the lines that arrived on the watch of this request.
     pub(crate) fn receive_lines(&mut self, now: Micros, call: u64, lines: &Lines) {
         if self.watch_call != Some(call) {
             return;
         }
         self.last_received_at = Some(now);
-        let sound = if lines.lines.is_empty() {
-            // That there is nothing new is said only with a majority.
+        let usable = if lines.lines.is_empty() {
+            // A machine sends a keepalive only while it has a majority.
             self.receive_line(now, &ControlLine { seq: self.seq, majority: true, ..ControlLine::default() })
         } else {
             lines.lines.iter().all(|line| self.receive_line(now, line))
@@ -178,7 +179,7 @@
             self.in_force = Arc::clone(&in_force);
             self.apply_settings(in_force);
         }
-        if sound {
+        if usable {
             self.report_in_force(now)
         } else {
             self.close_and_retry(now)
@@ -210,9 +211,9 @@
         self.learner.hear(now, message) != Taken::Gap
     }
 
-    /// What is in force is read, and goes to the module; names keep their places.
+    /// Reads the version in force and passes the settings to the module. Names keep their indices.
     fn apply_settings(&mut self, in_force: Arc<InForce>) {
-        let Ok((new, names)) = control_machines::settings(&in_force.document) else { return };
+        let Ok((new, names)) = control_machines::settings_from_document(&in_force.document) else { return };
         let (rank, instances, zone) = (self.settings.rank, self.settings.instances, self.settings.zone);
         let new = Settings { rank, instances, zone, ..new };
         if let Ok((settings, names)) = settings_update::merge((&self.settings, &self.names), (&new, &names)) {
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Tells the machine which version is in force, unless it knows.
+    /// Reports the version in force to the machine, unless it was reported on this watch already.
     fn report_in_force(&mut self, now: Micros) {
         let seq = self.in_force.seq;
         if self.watch_call.is_some()
@@ -235,7 +236,7 @@
         }
     }
 
-    /// A time that was set has come.
+    /// Handles the timer: expired reports, silent watches, and the next attempt to open a watch.
     pub(crate) fn timer_fired(&mut self, now: Micros) {
         if self.timer_at.is_some_and(|at| at > now) {
             return;
@@ -244,11 +245,11 @@
         if self.report_deadline.take_if(|by| *by <= now).is_some() {
             self.reported_seq = None;
         }
-        let silent = self.last_majority_at.max(self.opened_at) + MAJORITY_TIMEOUT <= now;
-        if self.watch_call.is_some() && (self.watch_deadline() <= now || silent) {
+        let no_majority = self.last_majority_at.max(self.opened_at) + MAJORITY_TIMEOUT <= now;
+        if self.watch_call.is_some() && (self.watch_deadline() <= now || no_majority) {
             self.close_and_retry(now);
         }
-        if self.retry_at.is_some_and(|again| again <= now) {
+        if self.retry_at.is_some_and(|retry_at| retry_at <= now) {
             self.open_watch(now);
         }
         self.update_timer(now);
--- a/crates/simulation/src/control_machines.rs
+++ b/crates/simulation/src/control_machines.rs
@@ -1,5 +1,5 @@
-//! The agreed configuration of a hollow fleet: the settings as a flat document in the program's form, and the control
-//! machines, each a voter with the learners' watches on it.
+//! The agreed settings of a simulated fleet: the settings as a flat document in the program's format, and the control
+//! machines, each a voter with the watches of learners.
 
 use crate::Micros;
 use crate::encode::{self, ControlLine};
@@ -14,38 +14,38 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How many control machines there are.
+/// Number of control machines.
 pub(crate) const MACHINE_COUNT: u32 = 5;
-/// A voter counts time in these.
+/// Interval of the ticks in which a voter counts time.
 pub(crate) const VOTER_TICK: Micros = 100 * MILLI;
-/// A watch is told this often that there is nothing new.
+/// Interval of the keepalives on a watch.
 pub(crate) const HEARTBEAT_INTERVAL: Micros = 2 * SECOND;
-/// A change that is not agreed by then is asked for again.
+/// A proposed change that is not agreed within this time is proposed again.
 const AGREEMENT_TIMEOUT: Micros = 4 * SECOND;
 
-/// Lists of things that have a name.
+/// Settings that are lists of named objects.
 const NAMED_LISTS: [&str; 2] = ["request_classes", "orgs"];
-/// Lists that have a value for each class.
+/// Settings that are lists with one value for each class.
 const PER_CLASS_LISTS: [&str; 2] = ["class_kind", "class_priority"];
-/// Keys that are each scheduler's own.
+/// Keys that each scheduler sets for itself and that are not agreed.
 const LOCAL_KEYS: [&str; 3] = ["n_instances", "rank", "zone"];
 
 /// The settings of a plan as a flat document.
-pub(crate) fn document(plan: &Plan) -> Document {
+pub(crate) fn settings_document(plan: &Plan) -> Document {
     let mut document = Document::new();
     let settings = plan.settings_json();
     let fields = |value: &Value| value.as_object().cloned().unwrap_or_default();
-    let name = |thing: &Value| thing["name"].as_str().unwrap_or_default().to_owned();
+    let name = |item: &Value| item["name"].as_str().unwrap_or_default().to_owned();
     let items = |value: &Value| value.as_array().cloned().unwrap_or_default();
     for (key, value) in fields(&settings) {
         if LOCAL_KEYS.contains(&key.as_str()) {
             continue;
         }
         if NAMED_LISTS.contains(&key.as_str()) {
-            for thing in items(&value) {
-                let told = fields(&thing).into_iter().filter(|(field, _)| field != "name");
+            for item in items(&value) {
+                let values = fields(&item).into_iter().filter(|(field, _)| field != "name");
                 document
-                    .extend(told.map(|(field, value)| (format!("{key}.{}.{field}", name(&thing)), value)));
+                    .extend(values.map(|(field, value)| (format!("{key}.{}.{field}", name(&item)), value)));
             }
         } else if value.is_object() {
             for (field, value) in fields(&value) {
@@ -65,8 +65,8 @@
     document
 }
 
-/// The settings that a document stands for, with the names behind their places: read by the program's own reader.
-pub(crate) fn settings(document: &Document) -> Result<(Settings, Names), Fault> {
+/// The settings of a document, with the names of classes and tenants by index, parsed by the program's own parser.
+pub(crate) fn settings_from_document(document: &Document) -> Result<(Settings, Names), Fault> {
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
     let mut by_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
@@ -74,8 +74,8 @@
         let (group, rest) = key.split_once('.').unwrap_or((key, ""));
         match rest.rsplit_once('.') {
             Some((name, field)) if NAMED_LISTS.contains(&group) => {
-                let thing = named.entry(group).or_default().entry(name).or_default();
-                thing.insert(field.to_owned(), value.clone());
+                let item = named.entry(group).or_default().entry(name).or_default();
+                item.insert(field.to_owned(), value.clone());
             }
             Some((list, name)) if PER_CLASS_LISTS.contains(&list) => {
                 by_class.entry(list).or_default().insert(name, value);
@@ -93,8 +93,8 @@
             classes.map(|(name, _)| values.get(name).map_or(json!(0), |value| (*value).clone())).collect();
         root.entry("extra").or_insert_with(|| json!({}))[list] = Value::from(each);
     }
-    for (list, things) in named {
-        let each = things.into_iter().map(|(name, mut fields)| {
+    for (list, items_by_name) in named {
+        let each = items_by_name.into_iter().map(|(name, mut fields)| {
             fields.insert("name".to_owned(), Value::from(name));
             Value::Object(fields)
         });
@@ -104,12 +104,12 @@
     wire::parse_settings(&text).map_err(|error| Fault { key: String::new(), why: error.to_string() })
 }
 
-/// What a version is checked by, and which way its keys tighten.
+/// Check of a version, and the direction in which each key becomes stricter.
 pub(crate) struct SharedSettingsCheck;
 
 impl Check for SharedSettingsCheck {
     fn check(&self, document: &Document) -> Result<(), Fault> {
-        settings(document).map(drop)
+        settings_from_document(document).map(drop)
     }
 }
 
@@ -119,39 +119,39 @@
     }
 }
 
-/// A learner's watch at a control machine.
+/// A learner's watch at a control machine, and the version that the learner has after the last write.
 struct Watch {
     call: u64,
     seq: u64,
     digest: Digest,
 }
 
-/// What is written on a watch: lines, and their bytes with the framing.
+/// Lines that are written on a watch together, and their bytes including the chunk framing.
 pub(crate) struct Lines {
     pub(crate) lines: Vec<ControlLine>,
     pub(crate) bytes: usize,
 }
 
-/// A change on its way.
+/// A proposed change without an outcome.
 struct PendingChange {
     ticket: Ticket,
-    /// Which change it is; `None`: the first settings.
+    /// Index of the change, or `None` for the initial settings.
     change: Option<u32>,
     deadline: Micros,
 }
 
-/// What became of a change.
+/// Outcome of a proposed change. `change` is its index, or `None` for the initial settings.
 pub(crate) enum ChangeOutcome {
     Accepted {
         change: Option<u32>,
         seq: u64,
         digest: Digest,
     },
-    /// It was not agreed in time, or is not usable any more.
+    /// The change was not agreed in time, or is no longer valid.
     Failed(Option<u32>),
 }
 
-/// One control machine.
+/// A control machine.
 pub(crate) struct ControlMachine {
     id: VoterId,
     pub(crate) zone: usize,
@@ -161,7 +161,7 @@
     watches: BTreeMap<u32, Watch>,
     last_announced: (u64, bool),
     pending: Vec<PendingChange>,
-    /// The version that it was seen to know last.
+    /// The version that [`ControlMachine::learned_versions`] returned last.
     last_seen: (u64, Digest),
 }
 
@@ -183,14 +183,14 @@
         machine
     }
 
-    /// A process of it starts, with what its store holds.
+    /// Starts the process with the contents of its store.
     pub(crate) fn start(&mut self) {
         let ids: Vec<VoterId> = (1..=u64::from(MACHINE_COUNT)).collect();
         let store = self.disk.open().ok();
         self.voter = store.and_then(|store| Voter::new(self.id, &ids, store, self.seed).ok());
     }
 
-    /// Its process is killed; gives the watches that end, each with its call.
+    /// Kills the process. Returns the watches that end, as scheduler process and request number.
     pub(crate) fn kill(&mut self) -> Vec<(u32, u64)> {
         self.voter = None;
         self.pending.clear();
@@ -202,7 +202,7 @@
         self.voter.as_ref().is_some_and(|voter| voter.leader() == Some(self.id) && voter.has_majority())
     }
 
-    /// Proposes a change; whether it is on its way.
+    /// Proposes a change. Fails if the process is down or the voter refuses the proposal.
     pub(crate) fn propose(&mut self, now: Micros, index: Option<u32>, change: Change) -> Result<(), Refused> {
         let Some(voter) = &mut self.voter else { return Err(Refused::Stopped) };
         let ticket = voter.propose(change, &SharedSettingsCheck)?;
@@ -210,17 +210,17 @@
         Ok(())
     }
 
-    /// The first settings are proposed by the machine that leads, while there are none.
-    pub(crate) fn propose_initial(&mut self, now: Micros, first: &Document) {
-        let none = self.voter.as_ref().is_some_and(|voter| voter.agreed().seq == 0);
-        if none && self.is_leader() && self.pending.is_empty() {
-            let change = Change { set: first.clone(), ..Change::default() };
-            // One that is refused is proposed again at the next tick.
+    /// Proposes the initial settings if this machine is the leader and there are no agreed settings.
+    pub(crate) fn propose_initial(&mut self, now: Micros, initial: &Document) {
+        let no_settings = self.voter.as_ref().is_some_and(|voter| voter.agreed().seq == 0);
+        if no_settings && self.is_leader() && self.pending.is_empty() {
+            let change = Change { set: initial.clone(), ..Change::default() };
+            // A refused proposal is repeated at the next tick.
             let _ = self.propose(now, None, change);
         }
     }
 
-    /// Ends a turn: messages to other voters, and what became of changes.
+    /// Returns the outgoing messages to other voters, and the outcomes of proposed changes.
     pub(crate) fn process_outcomes(&mut self, now: Micros) -> (Vec<(VoterId, Vec<u8>)>, Vec<ChangeOutcome>) {
         let Some(voter) = &mut self.voter else { return Default::default() };
         let mut settled = Vec::new();
@@ -232,12 +232,12 @@
                 Outcome::Void(_) | Outcome::Unknown { .. } => ChangeOutcome::Failed(change),
             });
         }
-        let late = self.pending.extract_if(.., |waiting| waiting.deadline <= now);
-        settled.extend(late.map(|waiting| ChangeOutcome::Failed(waiting.change)));
+        let expired = self.pending.extract_if(.., |waiting| waiting.deadline <= now);
+        settled.extend(expired.map(|waiting| ChangeOutcome::Failed(waiting.change)));
         (voter.outgoing(), settled)
     }
 
-    /// The versions that it has come to know since it was asked last.
+    /// The versions that the machine has learned since the last call.
     pub(crate) fn learned_versions(&mut self) -> Vec<(u64, Digest)> {
         let Some(voter) = &self.voter else { return Vec::new() };
         let learned = match voter.since(self.last_seen.0, self.last_seen.1) {
@@ -250,19 +250,19 @@
     }
 
     fn status_lines(&self) -> Lines {
-        let Some(voter) = &self.voter else { return written(Vec::new()) };
+        let Some(voter) = &self.voter else { return watch_lines(Vec::new()) };
         let (agreed, majority) = (voter.agreed(), voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
-        written(vec![ControlLine { seq: agreed.seq, majority, digest, ..ControlLine::default() }])
+        watch_lines(vec![ControlLine { seq: agreed.seq, majority, digest, ..ControlLine::default() }])
     }
 
-    /// All that a learner with this version lacks.
+    /// The lines that bring a learner from this version to the agreed one.
     fn lines_since(&self, seq: u64, digest: Digest) -> Lines {
-        let Some(voter) = &self.voter else { return written(Vec::new()) };
+        let Some(voter) = &self.voter else { return watch_lines(Vec::new()) };
         let majority = voter.has_majority();
         match voter.since(seq, digest) {
             Answer::Level | Answer::Ahead => self.status_lines(),
-            Answer::Whole(version) => written(vec![ControlLine {
+            Answer::Whole(version) => watch_lines(vec![ControlLine {
                 seq: version.seq,
                 whole: true,
                 majority,
@@ -280,12 +280,12 @@
                     unset: delta.change.unset,
                     ..ControlLine::default()
                 };
-                written(deltas.into_iter().map(line).collect())
+                watch_lines(deltas.into_iter().map(line).collect())
             }
         }
     }
 
-    /// A learner calls for a watch; gives what it begins with.
+    /// Opens a watch for a learner with this version. Returns the first lines, or `None` if the process is down.
     pub(crate) fn open_watch(
         &mut self,
         process: u32,
@@ -299,29 +299,30 @@
         Some(lines)
     }
 
-    /// A learner's watch has ended.
+    /// Removes the watch that this request opened.
     pub(crate) fn close_watch(&mut self, process: u32, call: u64) {
         if self.watches.get(&process).is_some_and(|watch| watch.call == call) {
             self.watches.remove(&process);
         }
     }
 
-    /// What the watches are told, if there is anything new.
+    /// The lines for all watches after a new version or a change of the majority, as scheduler process, request number and
+    /// lines.
     pub(crate) fn watch_updates(&mut self) -> Vec<(u32, u64, Rc<Lines>)> {
         let Some(voter) = &self.voter else { return Vec::new() };
         let agreed = (voter.agreed().seq, voter.agreed().digest);
-        let present = (agreed.0, voter.has_majority());
-        if present == self.last_announced {
+        let current = (agreed.0, voter.has_majority());
+        if current == self.last_announced {
             return Vec::new();
         }
-        let moved = present.1 != self.last_announced.1;
-        self.last_announced = present;
+        let majority_changed = current.1 != self.last_announced.1;
+        self.last_announced = current;
         let mut written: BTreeMap<(u64, String), Rc<Lines>> = BTreeMap::new();
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         let known: Vec<_> =
             self.watches.iter().map(|(&index, watch)| (index, watch.call, watch.seq, watch.digest)).collect();
         for (process, call, seq, digest) in known {
-            if (seq, digest) == agreed && !moved {
+            if (seq, digest) == agreed && !majority_changed {
                 continue;
             }
             let key = (seq, digest.to_string());
@@ -330,12 +331,12 @@
             if let Some(watch) = self.watches.get_mut(&process).filter(|watch| watch.seq <= agreed.0) {
                 (watch.seq, watch.digest) = agreed;
             }
-            told.push((process, call, lines));
+            updates.push((process, call, lines));
         }
-        told
+        updates
     }
 
-    /// What all watches are told while there is nothing new: an empty line, or that there is no majority.
+    /// The keepalives for all watches: an empty line, or a status line while there is no majority.
     pub(crate) fn heartbeats(&self) -> Vec<(u32, u64, Rc<Lines>)> {
         let majority = self.voter.as_ref().is_some_and(Voter::has_majority);
         let empty = || Lines { lines: Vec::new(), bytes: encode::chunk("").len() };
@@ -344,7 +345,7 @@
     }
 }
 
-fn written(lines: Vec<ControlLine>) -> Lines {
+fn watch_lines(lines: Vec<ControlLine>) -> Lines {
     let text: Vec<String> = lines.iter().map(ControlLine::text).collect();
     Lines { bytes: encode::chunk(&text.join("\n")).len(), lines }
 }
--- a/crates/simulation/src/schedulers.rs
+++ b/crates/simulation/src/schedulers.rs
@@ -1,5 +1,5 @@
-//! Schedulers: what a host does round a dispatcher, by the rules that the program's own host keeps. It turns what happens into
-//! the module's events and the module's actions into work, and knows nothing of links or workers.
+//! Schedulers: the host of a dispatcher, by the same rules as the program's own host. The host turns occurrences into events of
+//! the decision module, and the module's actions into commands for the simulation. It has no access to links or workers.
 
 use crate::Micros;
 use crate::config_learner::ConfigLearner;
@@ -17,21 +17,22 @@
 
 pub(crate) use process_end::TransferredJob;
 
-/// A next hop that is well has taken a job by this time after its last byte was written: the program's own figure for the
-/// plan's connections.
+/// Time after the last byte of a job within which a healthy worker has accepted it. The program uses the same value for the
+/// connections of the plan.
 pub(crate) const ACCEPTANCE_TIMEOUT: Micros = 500_000;
-/// The end of a connection has come to the other side by this time.
+/// Time within which the other side has seen the end of a connection.
 pub(crate) const MAX_TRANSIT_TIME: Micros = 200_000;
-/// An idle connection is used again up to this time.
+/// Time up to which an idle connection is used again.
 pub(crate) const MAX_IDLE_TIME: Micros = 9_700_000;
 
-/// One attempt of one request of a process.
+/// Id of an attempt within a scheduler process: the numbers of the request and of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) request: u32,
     pub(crate) number: u32,
 }
 
+/// Final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
     Served,
@@ -39,7 +40,7 @@
     Failed,
 }
 
-/// What falls due at a process.
+/// A deadline of a scheduler process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Deadline {
     DispatcherTimer(TimerId),
@@ -50,7 +51,7 @@
     DiscoveryWatch,
 }
 
-/// What is to be done.
+/// A command of a scheduler process that the simulation executes.
 pub(crate) enum Command {
     SendAnswer { job: u32, answer: Answer },
     SendAttempt { id: AttemptId, worker: WorkerId },
@@ -62,6 +63,7 @@
     SetDeadline(Micros, Deadline),
 }
 
+/// An attempt of an open request.
 struct Attempt {
     worker: WorkerId,
     sent: Micros,
@@ -69,12 +71,13 @@
     accepted: bool,
     cancel_requested: bool,
     cancel_sent: bool,
-    /// How it ended, once it has.
+    /// How the attempt ended, once it has.
     ending: Option<Ending>,
-    /// It is over for the module, and may still be running at its worker.
+    /// True if the attempt has ended for the decision module and may still be running at its worker.
     may_be_running: bool,
 }
 
+/// A request with its attempts. It is removed when it is answered and all attempts have ended.
 struct OpenRequest {
     job: u32,
     arrived: Micros,
@@ -84,17 +87,17 @@
 }
 
 impl OpenRequest {
-    /// The time by which it has its answer, or has lost its client.
-    fn answer_by(&self, last_answer: Micros) -> Micros {
-        self.expires.min(last_answer)
+    /// The time by which the request has its answer or its client has given up.
+    fn answer_by(&self, final_answer_at: Micros) -> Micros {
+        self.expires.min(final_answer_at)
     }
 }
 
-/// See the head of this file.
+/// A scheduler process: a dispatcher and the state of its host.
 pub(crate) struct Process {
     pub(crate) rank: u32,
     pub(crate) zone: usize,
-    /// It runs, and its machine can be reached.
+    /// True while the process runs and its machine is reachable.
     pub(crate) alive: bool,
     pub(crate) dispatcher: Dispatcher,
     requests: BTreeMap<u32, OpenRequest>,
@@ -104,29 +107,30 @@
     finished_candidates: Vec<u32>,
     max_attempts: u32,
     concurrent_attempts: bool,
-    /// From SIGTERM on: the process ends at this time, and nobody is answered later.
+    /// After SIGTERM the time at which the process ends. No answer is sent later.
     ends_at: Micros,
-    /// That binds what was open before, too.
+    /// True if `ends_at` also limits the requests that were open at SIGTERM.
     end_announced: bool,
     list_lease: ListLease,
-    /// When the list's clock is looked at next.
+    /// Time of the next deadline of the list lease.
     list_timer_at: Option<Micros>,
     lease_end: Option<Micros>,
     pub(crate) list_version: u64,
     list_version_at: Micros,
-    /// The number of the call that its watch hangs on.
+    /// Number of the watch request that opened the current watch.
     pub(crate) watch_call: Option<u64>,
-    /// Idle connections: since when, and to which process of the worker.
+    /// Idle connections by worker, each with the time since which it is idle and the incarnation of the worker.
     pub(crate) idle_connections: BTreeMap<WorkerId, Vec<(Micros, u32)>>,
-    /// Attempts that went on at the process that took over.
+    /// Attempts that continue at the successor, with the process and the id of the attempt there.
     pub(crate) transferred_attempts: BTreeMap<AttemptId, (u32, AttemptId)>,
-    /// Requests that came to the module of late, and whether they counted as within their tenant's share.
+    /// Requests that the module has taken since the last call, and whether each counted as within its tenant's quota.
     pub(crate) quota_decisions: Vec<(u32, bool)>,
-    /// How it learns the agreed configuration, where there is one.
+    /// Learner of the agreed settings, where there are control machines.
     pub(crate) learner: Option<Box<ConfigLearner>>,
 }
 
-fn control(event: &Event) -> bool {
+/// True for events whose processor time counts as control.
+fn is_control_event(event: &Event) -> bool {
     matches!(
         event,
         Event::Members(..)
@@ -170,9 +174,9 @@
         }
     }
 
-    // ---- Facts -----------------------------------------------------------------------------------
+    // ---- Occurrences -----------------------------------------------------------------------------
 
-    /// A request has come in whole.
+    /// Takes a complete request.
     pub(crate) fn add_request(&mut self, now: Micros, job: u32, mut arrival: Arrival) {
         arrival.request = RequestId(self.insert_request(job, now, arrival.expires));
         arrival.expires = arrival.expires.min(self.ends_at);
@@ -187,17 +191,17 @@
         number
     }
 
-    /// What an attempt is for.
+    /// The job that an attempt belongs to.
     pub(crate) fn job_of_attempt(&self, id: AttemptId) -> Option<u32> {
         self.requests.get(&id.request).map(|entry| entry.job)
     }
 
-    /// Requests that have no answer yet.
+    /// The jobs that have no answer yet.
     pub(crate) fn unanswered_jobs(&self) -> Vec<u32> {
         self.requests.values().filter(|entry| !entry.answered).map(|entry| entry.job).collect()
     }
 
-    /// A client has gone.
+    /// Handles the disconnect of the client of a job.
     pub(crate) fn client_left(&mut self, job: u32) {
         let found = self.requests.iter_mut().find(|(_, entry)| entry.job == job && !entry.answered);
         if let Some((&number, entry)) = found {
@@ -207,14 +211,14 @@
         }
     }
 
-    /// The connection of an attempt has come up: whether it may begin.
+    /// Called when the connection of an attempt is up. Returns whether the attempt may start.
     pub(crate) fn check_start(&mut self, now: Micros, id: AttemptId) -> bool {
         if self.running_attempt(id).is_none() {
             return false;
         }
-        let last_answer = self.final_answer_at();
+        let final_answer_at = self.final_answer_at();
         let entry = self.requests.get(&id.request);
-        let open = entry.is_some_and(|entry| !entry.answered && now < entry.answer_by(last_answer));
+        let open = entry.is_some_and(|entry| !entry.answered && now < entry.answer_by(final_answer_at));
         if !open {
             self.end_attempt(now, id, Ending::NotSent, false, None);
         } else if !self.dispatcher.may_start_attempt(now, RequestId(id.request), id.number) {
@@ -225,7 +229,7 @@
         false
     }
 
-    /// The last byte of an attempt has been written.
+    /// Called when the last byte of an attempt has been written.
     pub(crate) fn attempt_written(&mut self, now: Micros, id: AttemptId) {
         if let Some(attempt) = self.running_attempt(id) {
             attempt.written = Some(now);
@@ -234,7 +238,7 @@
         }
     }
 
-    /// The worker has taken the job.
+    /// Called when the worker has accepted the attempt.
     pub(crate) fn attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.running_attempt(id) else { return };
         attempt.accepted = true;
@@ -243,7 +247,7 @@
         }
     }
 
-    /// An attempt has ended, as its connection or the worker tells.
+    /// Called when the connection or the worker reports the end of an attempt.
     pub(crate) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -260,8 +264,8 @@
         self.end_attempt(now, id, ending, false, report);
     }
 
-    /// The worker has heard that an attempt is given up. One that has ended here already is over there too, if the worker
-    /// had taken it.
+    /// Called when the cancellation of an attempt has reached the worker. An accepted attempt that had already ended here has
+    /// then ended at the worker too.
     fn cancel_delivered(&mut self, now: Micros, id: AttemptId) {
         let entry = self.requests.get(&id.request);
         let attempt = entry.and_then(|entry| entry.attempts.get(id.number as usize));
@@ -271,7 +275,7 @@
         }
     }
 
-    /// An attempt that had ended here, and might still have been running, is over at its worker too.
+    /// Tells the module that an attempt which had ended here and might still have been running has ended at its worker.
     fn confirm_ended(&mut self, id: AttemptId) {
         let entry = self.requests.get_mut(&id.request);
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
@@ -281,7 +285,7 @@
         self.events.push_back(Event::Note { request: RequestId(id.request), attempt: id.number, note });
     }
 
-    /// The connection of an attempt has broken, or never came up.
+    /// Called when the connection of an attempt has broken or could not be opened.
     pub(crate) fn connection_failed(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.running_attempt(id).filter(|attempt| !attempt.accepted) else { return };
         let ending = if attempt.written.is_some() { Ending::Broken } else { Ending::Unreachable };
@@ -308,9 +312,9 @@
         self.events.push_back(Event::Peer { from, body });
     }
 
-    /// Something has fallen due.
-    pub(crate) fn handle_deadline(&mut self, now: Micros, due: Deadline) {
-        match due {
+    /// Handles a deadline.
+    pub(crate) fn handle_deadline(&mut self, now: Micros, deadline: Deadline) {
+        match deadline {
             Deadline::DispatcherTimer(timer) => self.events.push_back(Event::Timer(timer)),
             Deadline::AttemptTimeout(id) => {
                 let Some(attempt) = self.running_attempt(id) else { return };
@@ -345,31 +349,32 @@
         }
     }
 
-    /// These settings come into force.
+    /// Puts new settings into force.
     pub(crate) fn update_settings(&mut self, settings: Settings) {
         self.events.push_back(Event::Settings(Box::new(settings)));
     }
 
-    // ---- The module ------------------------------------------------------------------------------
+    // ---- Decision module -------------------------------------------------------------------------
 
-    /// Events wait for the module, or work to be done.
+    /// True if events wait for the module or commands wait for their execution.
     pub(crate) fn has_pending(&self) -> bool {
         !self.events.is_empty() || !self.commands.is_empty() || !self.finished_candidates.is_empty()
     }
 
-    /// Hands all that was gathered to the module, and gives what is to be done.
+    /// Passes all queued events to the module and returns the commands that result.
     pub(crate) fn process_events(&mut self, now: Micros, ledger: &mut Recorder) -> Vec<Command> {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let (rank, dispatcher) = (self.rank, &mut self.dispatcher);
-            if control(&event) {
+            if is_control_event(&event) {
                 ledger.time_control_event(now, rank, || dispatcher.on_event(now, event, &mut actions));
             } else if let Event::Arrival(Arrival { request, tenant: Some(tenant), .. }) = event {
-                let given = |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
-                let before = given(dispatcher);
+                let granted = |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
+                let before = granted(dispatcher);
                 dispatcher.on_event(now, event, &mut actions);
-                let within = given(dispatcher) > before;
-                self.quota_decisions.extend(self.requests.get(&request.0).map(|entry| (entry.job, within)));
+                let within_quota = granted(dispatcher) > before;
+                self.quota_decisions
+                    .extend(self.requests.get(&request.0).map(|entry| (entry.job, within_quota)));
             } else {
                 dispatcher.on_event(now, event, &mut actions);
             }
@@ -378,10 +383,10 @@
             self.apply_action(now, action);
         }
         for number in mem::take(&mut self.finished_candidates) {
-            let over = |entry: &OpenRequest| {
+            let finished = |entry: &OpenRequest| {
                 entry.answered && entry.attempts.iter().all(|attempt| attempt.ending.is_some())
             };
-            if self.requests.get(&number).is_some_and(over) {
+            if self.requests.get(&number).is_some_and(finished) {
                 self.requests.remove(&number);
             }
         }
--- a/crates/simulation/src/schedulers/actions.rs
+++ b/crates/simulation/src/schedulers/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision module wants is carried out here; attempts end and requests are answered.
+//! Execution of the actions of the decision module: start, cancellation and end of attempts, and answers to requests.
 
 use super::*;
 
@@ -10,13 +10,13 @@
             Action::Fail(request) => self.answer_request(request.0, Answer::Failed),
             Action::Cancel { request, attempt } => {
                 let id = AttemptId { request: request.0, number: attempt };
-                let concluded = self.requests.get(&id.request).is_none_or(|entry| entry.answered);
-                let copies = self.concurrent_attempts;
+                let answered = self.requests.get(&id.request).is_none_or(|entry| entry.answered);
+                let concurrent_attempts = self.concurrent_attempts;
                 let Some(attempt) = self.running_attempt(id) else { return };
                 let Some(written) = attempt.written else {
                     return self.abandon_attempt(now, id, Ending::NotSent);
                 };
-                if copies || concluded {
+                if concurrent_attempts || answered {
                     return self.abandon_attempt(now, id, Ending::Cancelled);
                 }
                 attempt.cancel_requested = true;
@@ -48,16 +48,17 @@
         worker: WorkerId,
         timeout: Option<Micros>,
     ) {
-        let (tries, last_answer) = (self.max_attempts, self.final_answer_at());
+        let (max_attempts, final_answer_at) = (self.max_attempts, self.final_answer_at());
         let Some(entry) = self.requests.get_mut(&request) else { return };
         let id = AttemptId { request, number: entry.attempts.len() as u32 };
-        let ends =
-            entry.answer_by(last_answer).min(timeout.map_or(Micros::MAX, |span| now.saturating_add(span)));
+        let ends_at = entry
+            .answer_by(final_answer_at)
+            .min(timeout.map_or(Micros::MAX, |span| now.saturating_add(span)));
         entry.attempts.push(Attempt::new(worker, now));
-        if entry.answered || ends <= now || id.number >= tries {
+        if entry.answered || ends_at <= now || id.number >= max_attempts {
             return self.end_attempt(now, id, Ending::NotSent, false, None);
         }
-        self.commands.push(Command::SetDeadline(ends, Deadline::AttemptTimeout(id)));
+        self.commands.push(Command::SetDeadline(ends_at, Deadline::AttemptTimeout(id)));
         self.commands.push(Command::SendAttempt { id, worker });
     }
 
@@ -78,7 +79,7 @@
         self.commands.push(Command::Cancel { id, worker, accepted: taken });
     }
 
-    /// Ends an attempt, once; it may still be `running` at its worker.
+    /// Ends an attempt that has not ended yet. `running` says that it may still be running at its worker.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -90,7 +91,7 @@
         let Some(attempt) = self.running_attempt(id) else { return };
         (attempt.ending, attempt.may_be_running) = (Some(ending), running);
         let (worker, elapsed) = (attempt.worker, now.saturating_sub(attempt.sent));
-        let concluded = self.requests.get(&id.request).is_none_or(|entry| entry.answered);
+        let answered = self.requests.get(&id.request).is_none_or(|entry| entry.answered);
         self.events.push_back(Event::Outcome(Outcome {
             request: RequestId(id.request),
             attempt: id.number,
@@ -98,7 +99,7 @@
             ending,
             elapsed,
             running,
-            concluded,
+            concluded: answered,
             report,
         }));
         self.finished_candidates.push(id.request);
--- a/crates/simulation/src/schedulers/list.rs
+++ b/crates/simulation/src/schedulers/list.rs
@@ -1,9 +1,9 @@
-//! The list of workers as a process holds it, and its clock.
+//! The list of workers of a process, and the lease of the list.
 
 use super::*;
 
 impl Process {
-    /// Begins with this copy of the list. `confirmed`: when discovery confirmed it last, if that is known.
+    /// Begins with a saved copy of the list. `confirmed` is the time at which discovery last confirmed it, if known.
     pub(crate) fn load_initial_list(&mut self, list: &Update, confirmed: Option<Micros>) {
         if let Some(at) = confirmed {
             self.list_lease.confirm(at);
@@ -13,7 +13,7 @@
         self.update_list_timer();
     }
 
-    /// A call for a watch goes out, or the watch is ended.
+    /// Called when a watch request with number `call` is sent, or with `None` when the watch is closed.
     pub(crate) fn set_watch(&mut self, now: Micros, call: Option<u64>) {
         self.watch_call = call;
         if call.is_some() {
@@ -24,7 +24,7 @@
         self.update_list_timer();
     }
 
-    /// The watch has brought something, an empty line perhaps.
+    /// Takes a message of the watch. A keepalive has no update.
     pub(crate) fn watch_message(&mut self, now: Micros, update: Option<&Update>) {
         self.list_lease.message_received(now);
         if let Some(update) = update.filter(|update| {
@@ -36,7 +36,7 @@
         self.update_list_timer();
     }
 
-    /// The watch, or the call for it, was refused or ended.
+    /// Called when the watch or the request for it was refused or has ended.
     pub(crate) fn watch_failed(&mut self, now: Micros) {
         self.watch_call = None;
         self.list_lease.watch_failed(now);
@@ -45,17 +45,17 @@
     }
 
     pub(super) fn update_list_timer(&mut self) {
-        // One that is set for earlier looks again when it comes.
+        // A deadline that is already set for an earlier time calls this again.
         if let Some(at) = self.list_lease.due()
             && self.list_timer_at.is_none_or(|set| at < set)
         {
             self.list_timer_at = Some(at);
             self.commands.push(Command::SetDeadline(at, Deadline::DiscoveryWatch));
         }
-        let until = self.list_lease.lease_end();
-        if until != self.lease_end {
-            self.lease_end = until;
-            self.events.push_back(Event::ListLease(until));
+        let lease_end = self.list_lease.lease_end();
+        if lease_end != self.lease_end {
+            self.lease_end = lease_end;
+            self.events.push_back(Event::ListLease(lease_end));
         }
     }
 }
--- a/crates/simulation/src/schedulers/process_end.rs
+++ b/crates/simulation/src/schedulers/process_end.rs
@@ -1,20 +1,20 @@
-//! A process that ends and the one that takes over: what was learned, and what is owed to open requests by the rule that the
-//! program keeps too ([`calicolb_shutdown::shutdown_action`]).
+//! End of a process, and handover to its successor: learned state, and the treatment of open requests by the rule that the
+//! program uses ([`calicolb_shutdown::shutdown_action`]).
 
 use super::*;
 use calicolb_shutdown as shutdown;
 use calicolb_shutdown::{Phase, ShutdownAction};
 
-/// A request on its way to the process that takes over.
+/// A request that is transferred to the successor.
 pub(crate) struct TransferredJob {
     pub(crate) job: u32,
-    /// Its number at the process that it leaves.
+    /// Number of the request at the predecessor.
     pub(crate) request: u32,
     pub(crate) history: TransferredRequest,
 }
 
 impl Attempt {
-    /// How far it has come.
+    /// State of the attempt, as the shutdown rule takes it.
     fn shutdown_state(&self) -> shutdown::Attempt {
         match self.ending {
             Some(ending) => shutdown::Attempt::Ended(ending.state(self.may_be_running)),
@@ -27,60 +27,61 @@
         }
     }
 
-    /// One that another process sent.
-    fn from_prior(past: &PriorAttempt) -> Self {
-        let ending = match past.state {
+    /// An attempt that the predecessor sent.
+    fn from_prior(prior: &PriorAttempt) -> Self {
+        let ending = match prior.state {
             AttemptState::InFlight => None,
             AttemptState::NeverRan => Some(Ending::Unreachable),
             AttemptState::MayHaveRan | AttemptState::MayRun => Some(Ending::Cancelled),
         };
-        let loose = past.state == AttemptState::MayRun;
-        let sent = past.sent;
+        let may_be_running = prior.state == AttemptState::MayRun;
+        let sent = prior.sent;
         Attempt {
             written: Some(sent),
             accepted: true,
             ending,
-            may_be_running: loose,
-            ..Attempt::new(past.worker, sent)
+            may_be_running,
+            ..Attempt::new(prior.worker, sent)
         }
     }
 }
 
 impl Process {
-    /// SIGTERM has come: nobody is answered after this time.
-    pub(crate) fn set_process_end(&mut self, last_answer: Micros) {
-        self.ends_at = last_answer;
+    /// Handles SIGTERM: no answer is sent after `final_answer_at`.
+    pub(crate) fn set_process_end(&mut self, final_answer_at: Micros) {
+        self.ends_at = final_answer_at;
     }
 
-    /// Looks at what is owed to open requests: gives those that move to the successor, and answers the others in the last
-    /// moment.
+    /// Applies the shutdown rule to all open requests. Returns those that are transferred to the successor, and makes the
+    /// module answer those that the rule answers now.
     pub(crate) fn settle_open_requests(&mut self, phase: Phase, successor: bool) -> Vec<TransferredJob> {
         if !self.end_announced && (!successor || phase >= Phase::HandingOver) {
             self.announce_end();
         }
         let numbers: Vec<u32> = self.requests.keys().copied().collect();
-        let mut moved = Vec::new();
+        let mut transferred = Vec::new();
         for number in numbers {
             match self.shutdown_action(number, phase, successor) {
                 ShutdownAction::Wait => {}
-                ShutdownAction::Transfer => moved.extend(self.transfer_request(number)),
+                ShutdownAction::Transfer => transferred.extend(self.transfer_request(number)),
                 ShutdownAction::Answer(_) => self.events.push_back(Event::FinishRequest(RequestId(number))),
             }
         }
-        moved
+        transferred
     }
 
     fn announce_end(&mut self) {
         self.end_announced = true;
         self.events.push_back(Event::ShutdownAt(self.ends_at));
         for (&request, entry) in self.requests.iter().filter(|(_, entry)| entry.expires > self.ends_at) {
-            let out = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
-            let dues = out.map(|(number, _)| Deadline::AttemptTimeout(AttemptId { request, number }));
-            self.commands.extend(dues.map(|due| Command::SetDeadline(self.ends_at, due)));
+            let running = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
+            let deadlines =
+                running.map(|(number, _)| Deadline::AttemptTimeout(AttemptId { request, number }));
+            self.commands.extend(deadlines.map(|deadline| Command::SetDeadline(self.ends_at, deadline)));
         }
     }
 
-    /// When the last answers to what was open at SIGTERM are given; never while a successor goes on with it.
+    /// Time of the last answers to requests that were open at SIGTERM; unlimited while a successor continues them.
     pub(super) fn final_answer_at(&self) -> Micros {
         if self.end_announced { self.ends_at } else { Micros::MAX }
     }
@@ -105,17 +106,17 @@
         let effect = self.effect(number);
         let entry = self.requests.remove(&number)?;
         self.events.push_back(Event::RequestTransferred(RequestId(number)));
-        let past = |attempt: &Attempt| PriorAttempt {
+        let prior = |attempt: &Attempt| PriorAttempt {
             worker: attempt.worker,
             sent: attempt.sent,
             state: attempt.shutdown_state().state(),
         };
-        let attempts = entry.attempts.iter().map(past).collect();
+        let attempts = entry.attempts.iter().map(prior).collect();
         let history = TransferredRequest { arrived: entry.arrived, effect, attempts };
         Some(TransferredJob { job: entry.job, request: number, history })
     }
 
-    /// A request that the process before this one has worked on goes on here; gives its number.
+    /// Continues a request of the predecessor. Returns its number here.
     pub(crate) fn adopt_request(
         &mut self,
         job: u32,
@@ -124,32 +125,32 @@
     ) -> u32 {
         let number = self.insert_request(job, history.arrived, arrival.expires);
         arrival.request = RequestId(number);
-        let ends = arrival.expires.min(self.ends_at);
-        arrival.expires = ends;
+        let ends_at = arrival.expires.min(self.ends_at);
+        arrival.expires = ends_at;
         if let Some(entry) = self.requests.get_mut(&number) {
             entry.attempts = history.attempts.iter().map(Attempt::from_prior).collect();
-            let out = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
-            let dues = out
+            let running = (0..).zip(&entry.attempts).filter(|(_, attempt)| attempt.ending.is_none());
+            let deadlines = running
                 .map(|(attempt, _)| Deadline::AttemptTimeout(AttemptId { request: number, number: attempt }));
-            self.commands.extend(dues.map(|due| Command::SetDeadline(ends, due)));
+            self.commands.extend(deadlines.map(|deadline| Command::SetDeadline(ends_at, deadline)));
         }
         arrival.transferred = Some(history);
         self.events.push_back(Event::Arrival(arrival));
         number
     }
 
-    /// Another process takes over: gives what this one has learned.
+    /// Hands over to a successor: returns the knowledge of this process.
     pub(crate) fn hand_over(&mut self) -> serde_json::Value {
         self.events.push_back(Event::SuccessorActive(true));
         self.dispatcher.knowledge()
     }
 
-    /// When discovery last confirmed its list.
+    /// Time at which discovery last confirmed the list.
     pub(crate) fn list_confirmed_at(&self) -> Option<Micros> {
         self.list_lease.confirmed()
     }
 
-    /// Takes what the process before this one had learned.
+    /// Takes over the knowledge of the predecessor. `next` is the number of the next request.
     pub(crate) fn import_knowledge(&mut self, knowledge: serde_json::Value, next: u32) {
         self.next_request = next;
         self.events.push_back(Event::KnowledgeReceived(knowledge));
--- a/crates/simulation/src/simulation/agreement.rs
+++ b/crates/simulation/src/simulation/agreement.rs
@@ -93,7 +93,7 @@
         };
         let machines =
             (0..MACHINE_COUNT).map(|index| ControlMachine::new(index, place(index as usize), seed)).collect();
-        let first = Version::new(0, control_machines::document(&self.plan));
+        let first = Version::new(0, control_machines::settings_document(&self.plan));
         self.agreement = Some(Agreement {
             machines,
             initial_version: first,
