--- a/crates/simulation/src/config_learner.rs
+++ b/crates/simulation/src/config_learner.rs
@@ -256,7 +256,8 @@
     }
 
     fn watch_deadline(&self) -> Micros {
-        self.last_received_at.map_or(self.opened_at + RESPONSE_TIMEOUT, |heard| heard + WATCH_SILENCE_TIMEOUT)
+        self.last_received_at
+            .map_or(self.opened_at + RESPONSE_TIMEOUT, |received_at| received_at + WATCH_SILENCE_TIMEOUT)
     }
 
     fn update_timer(&mut self, now: Micros) {
--- a/crates/simulation/src/control_machines.rs
+++ b/crates/simulation/src/control_machines.rs
@@ -223,18 +223,18 @@
     /// Returns the outgoing messages to other voters, and the outcomes of proposed changes.
     pub(crate) fn process_outcomes(&mut self, now: Micros) -> (Vec<(VoterId, Vec<u8>)>, Vec<ChangeOutcome>) {
         let Some(voter) = &mut self.voter else { return Default::default() };
-        let mut settled = Vec::new();
+        let mut outcomes = Vec::new();
         for (ticket, outcome) in voter.settled(&SharedSettingsCheck) {
-            let Some(at) = self.pending.iter().position(|waiting| waiting.ticket == ticket) else { continue };
+            let Some(at) = self.pending.iter().position(|pending| pending.ticket == ticket) else { continue };
             let change = self.pending.swap_remove(at).change;
-            settled.push(match outcome {
+            outcomes.push(match outcome {
                 Outcome::Agreed { seq, digest } => ChangeOutcome::Accepted { change, seq, digest },
                 Outcome::Void(_) | Outcome::Unknown { .. } => ChangeOutcome::Failed(change),
             });
         }
-        let expired = self.pending.extract_if(.., |waiting| waiting.deadline <= now);
-        settled.extend(expired.map(|waiting| ChangeOutcome::Failed(waiting.change)));
-        (voter.outgoing(), settled)
+        let expired = self.pending.extract_if(.., |pending| pending.deadline <= now);
+        outcomes.extend(expired.map(|pending| ChangeOutcome::Failed(pending.change)));
+        (voter.outgoing(), outcomes)
     }
 
     /// The versions that the machine has learned since the last call.
--- a/crates/simulation/src/incidents.rs
+++ b/crates/simulation/src/incidents.rs
@@ -1,4 +1,4 @@
-//! Troubles: what goes wrong, and when.
+//! Incidents: their steps, the times of the steps, and their effects on the simulation.
 
 use crate::Micros;
 use crate::plan::{Incident, MILLI, SECOND};
@@ -9,58 +9,59 @@
 use calicolb_shutdown::Grace;
 use rand::RngExt;
 
-/// Discovery sees that a machine has gone after this time, and up to so much more.
+/// Minimum time until discovery detects that a machine has vanished.
 const DETECTION_DELAY: Micros = 3 * SECOND;
+/// Largest random addition to [`DETECTION_DELAY`].
 const DETECTION_JITTER: Micros = 2 * SECOND;
-/// What has gone with its rack or zone is back after this time.
+/// Time after which the machines of a vanished rack or zone return.
 const OUTAGE: Micros = 18 * SECOND;
-/// A machine that failed alone is replaced after this time.
+/// Time after which a single failed machine is replaced.
 const REPLACEMENT_DELAY: Micros = 20 * SECOND;
-/// A worker that drains ends after this time, whatever it still has.
+/// Time after which a draining worker stops, even if it still has tasks.
 const DRAIN_TIME: Micros = 60 * SECOND;
-/// Its replacement is up after this time.
+/// Time after which the replacement of a draining worker is up.
 const REPLACEMENT_START_DELAY: Micros = 2 * SECOND;
-/// A process that ends looks so often at what is owed to its open requests.
+/// Interval at which an ending process applies the shutdown rule to its open requests.
 const SHUTDOWN_CHECK_INTERVAL: Micros = 100 * MILLI;
-/// Restarts and replacements of an ordinary day.
+/// Number of planned restarts and replacements on an ordinary day.
 const PLANNED_RESTARTS: u32 = 38;
 
-/// One step of a trouble.
+/// One step of an incident. Workers are given by index, schedulers by rank, processes by index.
 pub(crate) enum IncidentStep {
-    /// A worker's machine goes without a sign.
+    /// The machine of a worker vanishes without closing its connections.
     WorkerVanishes(u32),
-    /// It is back, cold, under its own number.
+    /// A worker returns, cold, under the same name.
     WorkerReturns(u32),
-    /// Another comes in its place, under a new number.
+    /// A new worker replaces this one, under a new name.
     WorkerReplaced(u32),
-    /// A worker gets nothing new by the list, and ends soon.
+    /// The list marks a worker as terminating; it refuses new tasks and stops after [`DRAIN_TIME`].
     WorkerDrains(u32),
-    /// Its process ends.
+    /// The process of a worker stops.
     WorkerStops(u32),
-    /// Discovery has seen by now that it has gone.
+    /// Discovery detects that a worker has vanished.
     WorkerLossDetected(u32),
-    /// A scheduler's machine goes, or the process is killed.
+    /// The machine of a scheduler vanishes, or its process is killed.
     SchedulerKilled(u32),
-    /// It starts anew, and knows nothing.
+    /// A scheduler starts a new process without any learned state.
     SchedulerReturns(u32),
-    /// Another process takes over from it as planned.
+    /// A new process takes over from the process of a scheduler.
     SchedulerRestarts(u32),
-    /// The process before, told to end at this time, looks at what is owed to its open requests.
+    /// A process that got SIGTERM at this time applies the shutdown rule to its open requests.
     ShutdownCheck { process: u32, terminated_at: Micros },
-    /// The process before is killed.
+    /// A process is killed.
     ProcessKilled(u32),
-    /// Regions are cut off from each other, or no longer.
+    /// Cuts the regions off from each other, or restores their links if false.
     CutRegions(bool),
 }
 
 impl Simulation {
-    /// Lays the steps of the plan's trouble.
+    /// Schedules the steps of the plan's incident.
     pub(crate) fn schedule_incident(&mut self) {
         let (begin, end) = self.plan.measured_span();
         let at = self.plan.incident_at();
         let mut steps: Vec<(Micros, IncidentStep)> = Vec::new();
         match self.plan.incident {
-            // Changes of configuration are laid with the control machines.
+            // `set_up_agreement` schedules the steps of this incident.
             Incident::None | Incident::Config => {}
             Incident::Worker => {
                 let worker = self.rng.random_range(0..self.plan.workers);
@@ -68,7 +69,7 @@
                 steps.push((at + REPLACEMENT_DELAY, IncidentStep::WorkerReplaced(worker)));
             }
             Incident::Restarts => {
-                // Evenly over the play; schedulers and workers in turn, each at most once.
+                // Evenly over the measured time, schedulers and workers in turn, each at most once.
                 let step = (end - begin) / u64::from(PLANNED_RESTARTS);
                 let (mut ranks, mut numbers) = (0..self.plan.schedulers, 0..self.plan.workers);
                 for index in 0..PLANNED_RESTARTS {
@@ -108,13 +109,13 @@
             Incident::AllRestart => {
                 for index in 0..self.plan.workers {
                     steps.push((at, IncidentStep::WorkerVanishes(index)));
-                    let back = self.rng.random_range(2 * SECOND..6 * SECOND);
-                    steps.push((at + back, IncidentStep::WorkerReturns(index)));
+                    let outage = self.rng.random_range(2 * SECOND..6 * SECOND);
+                    steps.push((at + outage, IncidentStep::WorkerReturns(index)));
                 }
                 for rank in 0..self.plan.schedulers {
                     steps.push((at, IncidentStep::SchedulerKilled(rank)));
-                    let back = self.rng.random_range(SECOND..4 * SECOND);
-                    steps.push((at + back, IncidentStep::SchedulerReturns(rank)));
+                    let outage = self.rng.random_range(SECOND..4 * SECOND);
+                    steps.push((at + outage, IncidentStep::SchedulerReturns(rank)));
                 }
             }
         }
@@ -127,8 +128,8 @@
         match step {
             IncidentStep::WorkerVanishes(index) => {
                 self.stop_worker(index, WorkerState::Vanished);
-                let seen = self.now + DETECTION_DELAY + self.rng.random_range(0..DETECTION_JITTER);
-                self.schedule(seen, SimEvent::Incident(IncidentStep::WorkerLossDetected(index)));
+                let detected_at = self.now + DETECTION_DELAY + self.rng.random_range(0..DETECTION_JITTER);
+                self.schedule(detected_at, SimEvent::Incident(IncidentStep::WorkerLossDetected(index)));
             }
             IncidentStep::WorkerLossDetected(index) => {
                 if self.workers[index as usize].state != WorkerState::Up {
@@ -141,8 +142,8 @@
                 self.list_worker(index);
             }
             IncidentStep::WorkerReplaced(index) => {
-                let gone = &self.workers[index as usize];
-                let (zone, kind, cell) = (gone.zone, gone.kind, gone.cell);
+                let old = &self.workers[index as usize];
+                let (zone, kind, cell) = (old.zone, old.kind, old.cell);
                 self.add_worker(zone, kind, cell, Some(self.now));
             }
             IncidentStep::WorkerDrains(index) => {
@@ -172,44 +173,44 @@
                 self.start_learner(process);
             }
             IncidentStep::SchedulerRestarts(rank) => self.restart_scheduler(rank),
-            IncidentStep::ShutdownCheck { process, terminated_at: term } => {
-                self.check_shutdown(process, term)
+            IncidentStep::ShutdownCheck { process, terminated_at } => {
+                self.check_shutdown(process, terminated_at)
             }
             IncidentStep::ProcessKilled(process) => self.kill_process(process),
             IncidentStep::CutRegions(cut) => self.links.cut_regions(self.now, cut),
         }
     }
 
-    /// A worker ends, and all its tasks with it. Its machine tells of that, if it is still there.
-    fn stop_worker(&mut self, index: u32, life: WorkerState) {
-        for (number, task) in self.workers[index as usize].stop(life) {
+    /// Stops a worker, which ends all its tasks. The schedulers get an update on each task if the machine is still there.
+    fn stop_worker(&mut self, index: u32, state: WorkerState) {
+        for (number, task) in self.workers[index as usize].stop(state) {
             self.task_ended(&task, number);
             self.recorder.summary.extra.tasks_lost += 1;
-            if life == WorkerState::Stopped {
+            if state == WorkerState::Stopped {
                 let ending = if task.run_span.is_some() { Ending::Broken } else { Ending::Full };
                 self.send_task_update(index, task.origin, TaskUpdate::Ended(ending, None), 1);
             }
         }
     }
 
-    /// A process ends, and what it had taken and not answered is lost.
+    /// Kills a scheduler process. Its unanswered requests are lost.
     fn kill_process(&mut self, process: u32) {
-        let told = &mut self.processes[process as usize];
-        told.alive = false;
-        for job in told.unanswered_jobs() {
-            let counts = self.jobs[job as usize].measured && !self.jobs[job as usize].answered;
-            self.recorder.summary.extra.lost_with_scheduler += u64::from(counts);
+        let target = &mut self.processes[process as usize];
+        target.alive = false;
+        for job in target.unanswered_jobs() {
+            let lost = self.jobs[job as usize].measured && !self.jobs[job as usize].answered;
+            self.recorder.summary.extra.lost_with_scheduler += u64::from(lost);
             self.finish_request(job, None);
         }
         self.discovery.watches.remove(&process);
     }
 
-    /// The process of a scheduler hands over to the next.
+    /// Starts a successor for the process of a scheduler, which hands over and gets SIGTERM.
     fn restart_scheduler(&mut self, rank: u32) {
         let Some(predecessor) = self.live_process(rank) else { return };
-        let told = &mut self.processes[predecessor as usize];
+        let target = &mut self.processes[predecessor as usize];
         let (knowledge, next, confirmed) =
-            (told.hand_over(), told.next_request_number(), told.list_confirmed_at());
+            (target.hand_over(), target.next_request_number(), target.list_confirmed_at());
         let list = self.discovery.whole_list();
         let successor = self.start_process(rank);
         self.with_process(successor, |successor, _| {
@@ -218,17 +219,20 @@
         });
         self.start_learner(successor);
         self.process_pending(predecessor);
-        let (term, grace) = (self.now, self.shutdown_grace());
-        let kill = grace.kill_after;
-        self.processes[predecessor as usize].set_process_end(term + grace.final_answer_at());
-        for look in 0..kill / SHUTDOWN_CHECK_INTERVAL {
-            let settles = IncidentStep::ShutdownCheck { process: predecessor, terminated_at: term };
-            self.schedule(term + look * SHUTDOWN_CHECK_INTERVAL, SimEvent::Incident(settles));
+        let (terminated_at, grace) = (self.now, self.shutdown_grace());
+        let kill_after = grace.kill_after;
+        self.processes[predecessor as usize].set_process_end(terminated_at + grace.final_answer_at());
+        for check in 0..kill_after / SHUTDOWN_CHECK_INTERVAL {
+            let step = IncidentStep::ShutdownCheck { process: predecessor, terminated_at };
+            self.schedule(terminated_at + check * SHUTDOWN_CHECK_INTERVAL, SimEvent::Incident(step));
         }
-        self.schedule(term + kill, SimEvent::Incident(IncidentStep::ProcessKilled(predecessor)));
+        self.schedule(
+            terminated_at + kill_after,
+            SimEvent::Incident(IncidentStep::ProcessKilled(predecessor)),
+        );
     }
 
-    /// From SIGTERM to SIGKILL, which comes as early as it may.
+    /// The shortest permitted time from SIGTERM to SIGKILL, and its phases.
     fn shutdown_grace(&self) -> Grace {
         Grace::new(self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
     }
@@ -240,10 +244,10 @@
         let phase = self.shutdown_grace().phase(self.now - terminated_at);
         let successor =
             self.live_process(self.processes[process as usize].rank).filter(|&next| next != process);
-        let moved = self.processes[process as usize].settle_open_requests(phase, successor.is_some());
+        let transferred = self.processes[process as usize].settle_open_requests(phase, successor.is_some());
         self.process_pending(process);
         let Some(successor) = successor else { return };
-        for TransferredJob { job, request, history } in moved {
+        for TransferredJob { job, request, history } in transferred {
             let attempts = history.attempts.len() as u32;
             let arrival = self.jobs[job as usize].arrival();
             let there = self.processes[successor as usize].adopt_request(job, arrival, history);
--- a/crates/simulation/src/schedulers.rs
+++ b/crates/simulation/src/schedulers.rs
@@ -362,12 +362,12 @@
     }
 
     /// Passes all queued events to the module and returns the commands that result.
-    pub(crate) fn process_events(&mut self, now: Micros, ledger: &mut Recorder) -> Vec<Command> {
+    pub(crate) fn process_events(&mut self, now: Micros, recorder: &mut Recorder) -> Vec<Command> {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let (rank, dispatcher) = (self.rank, &mut self.dispatcher);
             if is_control_event(&event) {
-                ledger.time_control_event(now, rank, || dispatcher.on_event(now, event, &mut actions));
+                recorder.time_control_event(now, rank, || dispatcher.on_event(now, event, &mut actions));
             } else if let Event::Arrival(Arrival { request, tenant: Some(tenant), .. }) = event {
                 let granted = |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
                 let before = granted(dispatcher);
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,5 +1,5 @@
-//! The world: the queue of events, and who hears of what. Two events of the same moment come in the order in which
-//! they were laid.
+//! The event loop of the simulation: the event queue, and the delivery of events to schedulers, workers, discovery and control
+//! machines. Two events of the same time are handled in the order in which they were scheduled.
 
 mod agreement;
 mod attempts;
@@ -34,26 +34,26 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
 
-/// Schedulers start within this time.
+/// Time from the start of the simulation within which the schedulers start.
 const START_WINDOW: Micros = 2 * SECOND;
-/// Jobs that are under way come in within this time, from [`START`] on.
+/// Time after [`START_WINDOW`] within which the jobs come in that are under way at the start.
 const FILL_WINDOW: Micros = 6 * SECOND;
-/// A client whose scheduler is gone is with another after this time.
+/// Time after which a client whose scheduler is gone tries another one.
 const FAILOVER_DELAY: Micros = 200 * MILLI;
-/// From a client to a scheduler.
+/// Transit time from a client to a scheduler, in microseconds.
 const CLIENT_DELAY: Micros = 300;
-/// So long after its client's time a request without an answer is lost.
+/// Time after the client timeout at which a request without an answer counts as lost.
 const LOST_AFTER: Micros = 500 * MILLI;
-/// A worker tells what became of a task again after this time, ...
+/// Interval at which a worker repeats an undelivered task update.
 const UPDATE_RETRY_INTERVAL: Micros = SECOND;
-/// ... and so often at most.
+/// Maximum number of sends of a task update.
 const MAX_UPDATE_SENDS: u32 = 10;
-/// Spread of the workers' speeds, as the standard deviation of the natural logarithm.
+/// Spread of the speeds of the workers, as the standard deviation of the natural logarithm.
 const SPEED_SPREAD: f64 = 0.1;
-/// Workers of a rack.
+/// Number of workers in a rack.
 pub(crate) const WORKERS_PER_RACK: u32 = 20;
 
-/// See the head of this file.
+/// The state of a simulation: all its components and the event queue.
 pub(crate) struct Simulation {
     pub(crate) plan: Plan,
     pub(crate) settings: Settings,
@@ -62,32 +62,35 @@
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
     pub(crate) links: Links,
     pub(crate) workers: Vec<Worker>,
+    /// Index of each worker in `workers`.
     worker_numbers: HashMap<WorkerId, u32>,
     pub(crate) discovery: Discovery,
+    /// True while a [`SimEvent::PublishList`] is in the queue.
     publish_scheduled: bool,
-    /// All processes that there were.
+    /// All scheduler processes, including those that have ended.
     pub(crate) processes: Vec<Process>,
-    /// The process that serves as the scheduler of a rank.
+    /// By rank, the last process that was started for the scheduler.
     pub(crate) serving_process: Vec<Option<u32>>,
     clients: Clients,
     pub(crate) jobs: Vec<Job>,
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     open_requests: usize,
     pub(crate) recorder: Recorder,
     task_count: u64,
     call_count: u64,
     pub(crate) rng: StdRng,
     agreement: Option<Agreement>,
-    /// Changes that a control machine has been asked for, and which.
+    /// Settings changes that wait for an outcome, as the index of the change and of the control machine.
     requested_changes: Vec<(u32, u32)>,
-    /// Of tenants within their quotas: requests, and those that counted so. Of those beyond: what counted as within.
+    /// For tenants with a demand within their quota the number of requests, and of those that counted as within it; for other
+    /// tenants the number of requests that counted as within the quota.
     quota_counts: (u64, u64, u64),
 }
 
 impl Simulation {
     pub(crate) fn new(plan: &Plan) -> Self {
-        let seed = |part: u64| plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(part);
-        let mut world = Simulation {
+        let seed = |stream: u64| plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(stream);
+        let mut simulation = Simulation {
             plan: plan.clone(),
             settings: plan.settings(),
             now: SIMULATION_START,
@@ -114,49 +117,56 @@
         let plain = plan.workers - plan.accelerated_workers();
         for index in 0..plan.workers {
             let rack = plan.zone_of(index) as u32 * 1_000 + index / plan.zones / WORKERS_PER_RACK;
-            world.add_worker(plan.zone_of(index), usize::from(index >= plain), rack, None);
+            simulation.add_worker(plan.zone_of(index), usize::from(index >= plain), rack, None);
         }
-        world.discovery.publish();
+        simulation.discovery.publish();
         for rank in 0..plan.schedulers {
-            let at = SIMULATION_START + world.rng.random_range(0..START_WINDOW);
-            world.schedule(at, SimEvent::SchedulerStarts { rank });
+            let at = SIMULATION_START + simulation.rng.random_range(0..START_WINDOW);
+            simulation.schedule(at, SimEvent::SchedulerStarts { rank });
         }
         let under_way = (plan.mean_work() / SECOND as f64 * plan.requests_per_s) as u32;
         for _ in 0..under_way {
-            let at = SIMULATION_START + START_WINDOW + world.rng.random_range(0..FILL_WINDOW);
-            world.schedule(at, SimEvent::InitialRequest);
+            let at = SIMULATION_START + START_WINDOW + simulation.rng.random_range(0..FILL_WINDOW);
+            simulation.schedule(at, SimEvent::InitialRequest);
         }
-        world.schedule(SIMULATION_START + START_WINDOW + FILL_WINDOW / 2, SimEvent::NextRequest);
-        world.schedule_incident();
+        simulation.schedule(SIMULATION_START + START_WINDOW + FILL_WINDOW / 2, SimEvent::NextRequest);
+        simulation.schedule_incident();
         if plan.incident == Incident::Config {
-            world.set_up_agreement(seed(4));
+            simulation.set_up_agreement(seed(4));
         }
-        world
+        simulation
     }
 
-    /// A new worker, in the list from the next version on; `born`: when its process started, if that is not long ago.
-    pub(crate) fn add_worker(&mut self, zone: usize, kind: usize, cell: u32, born: Option<Micros>) -> u32 {
+    /// Adds a worker, which is in the list from the next version on. `started_at` is the start of its process, or `None` if it
+    /// started long before the simulation.
+    pub(crate) fn add_worker(
+        &mut self,
+        zone: usize,
+        kind: usize,
+        cell: u32,
+        started_at: Option<Micros>,
+    ) -> u32 {
         let index = self.workers.len() as u32;
         let mut draw = u64::from(index) << 32 | self.plan.seed & 0xffff_ffff;
         let name = loop {
             draw = (draw ^ draw >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
             let name = format!("s-{:08x}", draw >> 32);
-            // Schedulers know a worker by a number that is drawn from its name.
+            // Schedulers identify a worker by a hash of its name, so names with equal hashes are not used.
             if !self.worker_numbers.contains_key(&worker_id(&name)) {
                 break name;
             }
         };
-        let spread = LogNormal::new(0.0, SPEED_SPREAD).map_or(1.0, |spread| spread.sample(&mut self.rng));
+        let speed = LogNormal::new(0.0, SPEED_SPREAD).map_or(1.0, |spread| spread.sample(&mut self.rng));
         let slots = if kind == 0 { WORKER_SLOTS } else { ACCELERATORS_PER_WORKER };
         self.worker_numbers.insert(worker_id(&name), index);
-        let mut worker = Worker::new(name, zone, kind, cell, slots, spread);
-        worker.started_at = born;
+        let mut worker = Worker::new(name, zone, kind, cell, slots, speed);
+        worker.started_at = started_at;
         self.workers.push(worker);
         self.list_worker(index);
         index
     }
 
-    /// A worker is in service by the list.
+    /// Lists a worker as in service.
     pub(crate) fn list_worker(&mut self, index: u32) {
         let worker = &self.workers[index as usize];
         let line = WorkerLine {
@@ -167,51 +177,51 @@
             block: worker.cell,
             health: "in_service",
             share: 1.0,
-            born_ms: worker.started_at.map_or(0, |born| born / 1_000),
+            born_ms: worker.started_at.map_or(0, |started_at| started_at / 1_000),
         };
-        let place = (worker.zone, worker.kind);
-        self.discovery.set_worker(index, line, place);
+        let location = (worker.zone, worker.kind);
+        self.discovery.set_worker(index, line, location);
         self.schedule_publish();
     }
 
-    /// What has changed in the list is told soon.
+    /// Schedules the publication of changes to the list, if there are any and it is not scheduled yet.
     pub(crate) fn schedule_publish(&mut self) {
         if self.discovery.has_changes() && !std::mem::replace(&mut self.publish_scheduled, true) {
             self.schedule(self.now + PUBLISH_INTERVAL, SimEvent::PublishList);
         }
     }
 
-    pub(crate) fn schedule(&mut self, at: Micros, what: SimEvent) {
+    pub(crate) fn schedule(&mut self, at: Micros, event: SimEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event: what }));
+        self.queue.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
     pub(crate) fn run(mut self) -> Summary {
         let (_, end) = self.plan.measured_span();
-        let patience = CLASSES.iter().map(|class| class.client_timeout).max().unwrap_or(0);
+        let client_timeout = CLASSES.iter().map(|class| class.client_timeout).max().unwrap_or(0);
         while let Some(Reverse(next)) = self.queue.pop() {
-            if next.at >= end && (self.open_requests == 0 || next.at > end + patience + SECOND) {
+            if next.at >= end && (self.open_requests == 0 || next.at > end + client_timeout + SECOND) {
                 break;
             }
             self.now = next.at;
             self.handle_event(next.event);
         }
-        let wrong = (self.plan.incident != Incident::None).then(|| self.plan.incident_at());
-        let known: Vec<u64> =
+        let incident_at = (self.plan.incident != Incident::None).then(|| self.plan.incident_at());
+        let sizes: Vec<u64> =
             self.serving_process.iter().flatten().map(|&process| self.knowledge_bytes(process)).collect();
-        let state = known.iter().sum::<u64>() / (known.len() as u64).max(1);
+        let state_bytes = sizes.iter().sum::<u64>() / (sizes.len() as u64).max(1);
         let quotas = self.plan.quotas_and_demand();
-        let over: f64 = quotas.iter().filter(|quota| quota.1 > 1.0).map(|quota| quota.0).sum();
-        let ratio = |part: u64, all: f64| if all > 0.0 { part as f64 / all } else { 0.0 };
-        let shares = QuotaRatios {
+        let exceeded_quotas: f64 = quotas.iter().filter(|quota| quota.1 > 1.0).map(|quota| quota.0).sum();
+        let ratio = |count: u64, all: f64| if all > 0.0 { count as f64 / all } else { 0.0 };
+        let quota = QuotaRatios {
             within_quota: ratio(self.quota_counts.1, self.quota_counts.0 as f64),
-            over_quota: ratio(self.quota_counts.2, over * self.plan.measured_seconds as f64),
+            over_quota: ratio(self.quota_counts.2, exceeded_quotas * self.plan.measured_seconds as f64),
         };
-        let agreed = self.config_outcome();
-        self.recorder.finish(wrong, shares, state, agreed)
+        let config = self.config_outcome();
+        self.recorder.finish(incident_at, quota, state_bytes, config)
     }
 
-    /// The requests of a play in which nothing goes wrong, in the order in which they come in.
+    /// The requests of a simulation without an incident, in order of arrival.
     pub(crate) fn into_requests(mut self) -> Vec<Job> {
         while let Some(Reverse(next)) = self.queue.pop() {
             self.now = next.at;
@@ -224,18 +234,18 @@
         self.jobs
     }
 
-    /// How many bytes of JSON a process knows.
+    /// Size of the knowledge of a process as JSON, in bytes.
     fn knowledge_bytes(&self, process: u32) -> u64 {
         let knowledge = self.processes[process as usize].dispatcher.knowledge();
         serde_json::to_vec(&knowledge).map_or(0, |text| text.len() as u64)
     }
 
-    /// The settings that the scheduler of this rank begins with.
+    /// The settings that the scheduler of this rank starts with.
     fn initial_settings(&self, rank: u32) -> Settings {
         Settings { rank, zone: ZoneIx(self.plan.zone_of(rank)), ..self.settings.clone() }
     }
 
-    /// A process of the scheduler of this rank starts.
+    /// Starts a process for the scheduler of this rank. Returns its index.
     pub(crate) fn start_process(&mut self, rank: u32) -> u32 {
         let settings = self.initial_settings(rank);
         let seed = self.plan.seed << 32 | u64::from(rank) << 8 | (self.processes.len() as u64 & 255);
@@ -245,11 +255,11 @@
         process
     }
 
-    /// Counts what comes through a link that has been cut for longer than anything is on its way.
-    fn check_cut(&mut self, what: &SimEvent) {
+    /// Counts a message that arrives over a path which has been cut for longer than the maximum transit time.
+    fn check_cut(&mut self, event: &SimEvent) {
         let zone = |process: &u32| self.processes[*process as usize].zone;
         let worker = |index: &u32| self.workers[*index as usize].zone;
-        let way = match what {
+        let path = match event {
             SimEvent::DatagramArrives { to, from, .. } => (self.plan.zone_of(*from), self.plan.zone_of(*to)),
             SimEvent::AttemptArrives { origin, worker: index, .. }
             | SimEvent::CancelArrives { worker: index, origin, .. } => (zone(&origin.process), worker(index)),
@@ -263,12 +273,12 @@
             _ => return,
         };
         self.recorder.summary.extra.messages_through_cuts +=
-            u64::from(self.links.crossed_cut(self.now, way.0, way.1));
+            u64::from(self.links.crossed_cut(self.now, path.0, path.1));
     }
 
-    fn handle_event(&mut self, what: SimEvent) {
-        self.check_cut(&what);
-        match what {
+    fn handle_event(&mut self, event: SimEvent) {
+        self.check_cut(&event);
+        match event {
             SimEvent::SchedulerStarts { rank } => {
                 let process = self.start_process(rank);
                 let list = self.discovery.whole_list();
@@ -280,8 +290,8 @@
             SimEvent::NextRequest => self.generate_request_and_schedule_next(),
             SimEvent::RequestArrives { job } => self.request_arrives(job),
             SimEvent::RequestOverdue { job } => self.request_overdue(job),
-            SimEvent::DeadlineReached { process, deadline: due } => {
-                self.with_process(process, |process, now| process.handle_deadline(now, due))
+            SimEvent::DeadlineReached { process, deadline } => {
+                self.with_process(process, |process, now| process.handle_deadline(now, deadline))
             }
             SimEvent::DatagramArrives { to, from, body } => {
                 let Some(process) = self.live_process(to) else { return };
@@ -309,8 +319,8 @@
                     process.idle_connections.entry(worker).or_default().push((now, incarnation));
                 })
             }
-            SimEvent::TaskUpdateArrives { process, id, update: news, .. } => {
-                self.task_update_arrives(process, id, news)
+            SimEvent::TaskUpdateArrives { process, id, update, .. } => {
+                self.task_update_arrives(process, id, update)
             }
             SimEvent::SendTaskUpdate { worker, origin, update, sends } => {
                 self.send_task_update(worker, origin, update, sends)
@@ -319,8 +329,8 @@
             SimEvent::TaskProgress { worker, incarnation, task } => {
                 self.task_progress(worker, incarnation, task)
             }
-            SimEvent::CancelArrives { worker, origin, acknowledges: answers } => {
-                self.cancel_arrives(worker, origin, answers)
+            SimEvent::CancelArrives { worker, origin, acknowledges } => {
+                self.cancel_arrives(worker, origin, acknowledges)
             }
             SimEvent::ProbeArrives { process, worker, sent } => self.probe_arrives(process, worker, sent),
             SimEvent::ProbeFinished { process, worker, sent, report, bytes } => {
@@ -366,45 +376,46 @@
                 }
             }
             SimEvent::Incident(step) => self.apply_incident_step(step),
-            SimEvent::Agreement(word) => self.handle_agreement_event(word),
+            SimEvent::Agreement(event) => self.handle_agreement_event(event),
         }
     }
 
-    /// The process that serves as this scheduler, if it runs.
+    /// The process of the scheduler of this rank, if it runs.
     pub(crate) fn live_process(&self, rank: u32) -> Option<u32> {
         self.serving_process[rank as usize].filter(|&process| self.processes[process as usize].alive)
     }
 
-    /// Tells a process something, if it runs, and does what it then wants.
-    pub(crate) fn with_process(&mut self, process: u32, tell: impl FnOnce(&mut Process, Micros)) {
-        let told = &mut self.processes[process as usize];
-        if told.alive {
-            tell(told, self.now);
+    /// Calls `update` on a process, if it runs, and executes the commands that result.
+    pub(crate) fn with_process(&mut self, process: u32, update: impl FnOnce(&mut Process, Micros)) {
+        let target = &mut self.processes[process as usize];
+        if target.alive {
+            update(target, self.now);
             self.process_pending(process);
         }
     }
 
+    /// Processes the pending events of a process and executes the resulting commands until there are none.
     pub(crate) fn process_pending(&mut self, process: u32) {
         while self.processes[process as usize].alive && self.processes[process as usize].has_pending() {
-            let works = self.processes[process as usize].process_events(self.now, &mut self.recorder);
-            for (job, within) in std::mem::take(&mut self.processes[process as usize].quota_decisions) {
-                self.count_quota_decision(job, within);
+            let commands = self.processes[process as usize].process_events(self.now, &mut self.recorder);
+            for (job, within_quota) in std::mem::take(&mut self.processes[process as usize].quota_decisions) {
+                self.count_quota_decision(job, within_quota);
             }
-            for work in works {
-                self.execute(process, work);
+            for command in commands {
+                self.execute(process, command);
             }
         }
     }
 
-    fn count_quota_decision(&mut self, job: u32, within: bool) {
+    fn count_quota_decision(&mut self, job: u32, within_quota: bool) {
         let job = &self.jobs[job as usize];
         let Some(tenant) = job.tenant.filter(|_| job.measured) else { return };
-        // As in the plan: who asks for more than its quota.
+        // A demand above 1 exceeds the quota.
         if self.plan.demand(tenant) > 1.0 {
-            self.quota_counts.2 += u64::from(within);
+            self.quota_counts.2 += u64::from(within_quota);
         } else {
             self.quota_counts.0 += 1;
-            self.quota_counts.1 += u64::from(within);
+            self.quota_counts.1 += u64::from(within_quota);
         }
     }
 }
--- a/crates/simulation/src/simulation/agreement.rs
+++ b/crates/simulation/src/simulation/agreement.rs
@@ -1,4 +1,4 @@
-//! The control machines, the learners at them, and the changes that operators ask for.
+//! Events of the control machines and their learners, and the settings changes that operators propose.
 
 use super::*;
 use crate::config_learner::{ConfigLearner, LearnerCommand};
@@ -11,12 +11,12 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A change that no machine takes is asked for again after this time.
+/// Time after which a failed proposal of a change is repeated.
 const PROPOSAL_RETRY_INTERVAL: Micros = 200 * MILLI;
-/// The last change comes so long before the end of what counts at the latest.
+/// Time between the last change and the end of the measured time, at least.
 const FINAL_CHANGE_MARGIN: Micros = 8 * SECOND;
 
-/// What can happen to the agreed configuration.
+/// An event of the control machines or of a learner.
 pub(crate) enum AgreementEvent {
     VoterTick {
         machine: u32,
@@ -58,7 +58,7 @@
     ProposeChange {
         index: u32,
     },
-    /// The machine that leads is killed, and starts again after this time.
+    /// Kills the leader, which starts again after `restart_after`.
     KillLeader {
         restart_after: Micros,
     },
@@ -67,36 +67,38 @@
     },
 }
 
-/// See the head of this file.
+/// The control machines, and the records of the versions that were agreed and in force.
 pub(crate) struct Agreement {
     pub(crate) machines: Vec<ControlMachine>,
     initial_version: Version,
-    /// What changes were agreed to be, when their proposer knew.
+    /// Accepted versions, each with the time at which the proposing machine learned of the acceptance.
     accepted: Vec<(u64, Digest, Micros)>,
-    /// What came into force at which process, and when.
+    /// Versions that came into force: scheduler process, version, digest and time.
     in_force_reports: Vec<(u32, u64, Digest, Micros)>,
-    /// Changes that were agreed.
+    /// Indices of the accepted changes.
     accepted_changes: BTreeSet<u32>,
-    /// The versions that the machines came to know, and those that came to be known in two forms.
+    /// Digest of each version, as the first machine that learned the version has it.
     known_versions: BTreeMap<u64, Digest>,
+    /// Number of times that a machine learned a known version with another digest.
     conflicting_versions: u64,
 }
 
 impl Simulation {
-    /// Sets up the control machines: two of five in the first region, the others in the rest.
+    /// Sets up the control machines: two of five in the first region, the others in the other regions.
     pub(super) fn set_up_agreement(&mut self, seed: u64) {
         let zones = 0..self.plan.zones as usize;
         let (first, rest): (Vec<usize>, Vec<usize>) = zones.partition(|&zone| self.links.region(zone) == 0);
         let rest = if rest.is_empty() { first.clone() } else { rest };
-        let place = |index: usize| {
+        let zone_of = |index: usize| {
             if index < 2 { first[index % first.len()] } else { rest[(index - 2) % rest.len()] }
         };
-        let machines =
-            (0..MACHINE_COUNT).map(|index| ControlMachine::new(index, place(index as usize), seed)).collect();
-        let first = Version::new(0, control_machines::settings_document(&self.plan));
+        let machines = (0..MACHINE_COUNT)
+            .map(|index| ControlMachine::new(index, zone_of(index as usize), seed))
+            .collect();
+        let initial_version = Version::new(0, control_machines::settings_document(&self.plan));
         self.agreement = Some(Agreement {
             machines,
-            initial_version: first,
+            initial_version,
             accepted: Vec::new(),
             in_force_reports: Vec::new(),
             accepted_changes: BTreeSet::new(),
@@ -120,8 +122,8 @@
         );
     }
 
-    fn schedule_agreement(&mut self, at: Micros, word: AgreementEvent) {
-        self.schedule(at, SimEvent::Agreement(word));
+    fn schedule_agreement(&mut self, at: Micros, event: AgreementEvent) {
+        self.schedule(at, SimEvent::Agreement(event));
     }
 
     fn machine_mut(&mut self, index: u32) -> Option<&mut ControlMachine> {
@@ -138,41 +140,41 @@
         self.agreement.as_ref().map(|agreement| &*agreement.initial_version.document)
     }
 
-    /// A process begins to learn, where there is something to learn.
+    /// Starts the learner of a scheduler process, if there are control machines.
     pub(crate) fn start_learner(&mut self, process: u32) {
         let Some(agreement) = &self.agreement else { return };
         let rank = self.processes[process as usize].rank;
         let seed = self.plan.seed ^ u64::from(process) << 20;
         let settings = self.initial_settings(rank);
         let Ok((_, names)) = wire::parse_settings(&self.plan.settings_json().to_string()) else { return };
-        let study = ConfigLearner::new(settings, names, agreement.initial_version.clone(), seed);
-        self.processes[process as usize].learner = Some(Box::new(study));
-        self.with_learner(process, |study, now| study.start(now));
+        let learner = ConfigLearner::new(settings, names, agreement.initial_version.clone(), seed);
+        self.processes[process as usize].learner = Some(Box::new(learner));
+        self.with_learner(process, |learner, now| learner.start(now));
     }
 
-    /// Tells a learner something, and does what it then wants.
-    fn with_learner(&mut self, process: u32, tell: impl FnOnce(&mut ConfigLearner, Micros)) {
+    /// Calls `update` on the learner of a process and executes the commands that result.
+    fn with_learner(&mut self, process: u32, update: impl FnOnce(&mut ConfigLearner, Micros)) {
         let (now, rank) = (self.now, self.processes[process as usize].rank);
         if !self.processes[process as usize].alive {
             return;
         }
-        let Some(study) = &mut self.processes[process as usize].learner else { return };
-        self.recorder.time_control_event(now, rank, || tell(study, now));
+        let Some(learner) = &mut self.processes[process as usize].learner else { return };
+        self.recorder.time_control_event(now, rank, || update(learner, now));
         let zone = self.processes[process as usize].zone;
-        let asks = self.processes[process as usize]
+        let commands = self.processes[process as usize]
             .learner
             .as_mut()
-            .map(|study| study.take_commands())
+            .map(|learner| learner.take_commands())
             .unwrap_or_default();
-        for ask in asks {
-            self.execute_learner_command(process, rank, zone, ask);
+        for command in commands {
+            self.execute_learner_command(process, rank, zone, command);
         }
         self.process_pending(process);
     }
 
-    fn execute_learner_command(&mut self, process: u32, rank: u32, zone: usize, ask: LearnerCommand) {
+    fn execute_learner_command(&mut self, process: u32, rank: u32, zone: usize, command: LearnerCommand) {
         let name = format!("n{rank}");
-        match ask {
+        match command {
             LearnerCommand::SetTimer(at) => {
                 self.schedule_agreement(at, AgreementEvent::LearnerTimer { process })
             }
@@ -185,16 +187,19 @@
                 if !self.links.is_open_both_ways(zone, there) {
                     return;
                 }
-                let round = self.links.delay(zone, there) + self.links.delay(there, zone);
+                let round_trip = self.links.delay(zone, there) + self.links.delay(there, zone);
                 if up {
                     self.recorder.record_message(self.now, rank, Function::Config, bytes);
-                    let at = self.now + round + self.links.delay(zone, there);
+                    let at = self.now + round_trip + self.links.delay(zone, there);
                     self.schedule_agreement(
                         at,
                         AgreementEvent::WatchCallArrives { machine, process, call, from },
                     );
                 } else {
-                    self.schedule_agreement(self.now + round, AgreementEvent::WatchFailed { process, call });
+                    self.schedule_agreement(
+                        self.now + round_trip,
+                        AgreementEvent::WatchFailed { process, call },
+                    );
                 }
             }
             LearnerCommand::CloseWatch { machine, call } => {
@@ -224,22 +229,22 @@
         }
     }
 
-    pub(super) fn handle_agreement_event(&mut self, word: AgreementEvent) {
-        match word {
+    pub(super) fn handle_agreement_event(&mut self, event: AgreementEvent) {
+        match event {
             AgreementEvent::VoterTick { machine } => {
                 self.schedule_agreement(self.now + VOTER_TICK, AgreementEvent::VoterTick { machine });
-                let (now, first) = (self.now, self.initial_document().cloned().unwrap_or_default());
-                let Some(told) = self.machine_mut(machine) else { return };
-                if let Some(voter) = &mut told.voter {
+                let (now, initial) = (self.now, self.initial_document().cloned().unwrap_or_default());
+                let Some(target) = self.machine_mut(machine) else { return };
+                if let Some(voter) = &mut target.voter {
                     voter.tick();
                 }
-                told.propose_initial(now, &first);
+                target.propose_initial(now, &initial);
                 self.process_machine(machine);
             }
             AgreementEvent::Heartbeat { machine } => {
                 self.schedule_agreement(self.now + HEARTBEAT_INTERVAL, AgreementEvent::Heartbeat { machine });
-                let told = self.machine_mut(machine).map(|told| told.heartbeats()).unwrap_or_default();
-                self.write_lines(machine, told);
+                let writes = self.machine_mut(machine).map(|target| target.heartbeats()).unwrap_or_default();
+                self.write_lines(machine, writes);
             }
             AgreementEvent::VoterMessage { from, to, body } => {
                 if let Some(voter) = self.machine_mut(to).and_then(|machine| machine.voter.as_mut()) {
@@ -263,10 +268,10 @@
                 if self.processes[process as usize].alive {
                     self.recorder.record_message(self.now, rank, Function::Config, lines.bytes);
                 }
-                self.with_learner(process, |study, now| study.receive_lines(now, call, &lines));
+                self.with_learner(process, |learner, now| learner.receive_lines(now, call, &lines));
             }
             AgreementEvent::WatchFailed { process, call } => {
-                self.with_learner(process, |study, now| study.watch_failed(now, call))
+                self.with_learner(process, |learner, now| learner.watch_failed(now, call))
             }
             AgreementEvent::InForceReportArrives { machine, process } => {
                 let zone = self.processes[process as usize].zone;
@@ -284,13 +289,13 @@
                 if self.processes[process as usize].alive {
                     self.recorder.record_message(self.now, rank, Function::Config, encode::NO_CONTENT.len());
                 }
-                self.with_learner(process, |study, now| study.report_acknowledged(now));
+                self.with_learner(process, |learner, now| learner.report_acknowledged(now));
             }
             AgreementEvent::LearnerTimer { process } => {
-                self.with_learner(process, |study, now| study.timer_fired(now))
+                self.with_learner(process, |learner, now| learner.timer_fired(now))
             }
             AgreementEvent::ProposeChange { index } => self.propose_change(index),
-            AgreementEvent::KillLeader { restart_after: back } => {
+            AgreementEvent::KillLeader { restart_after } => {
                 let leader = (0..MACHINE_COUNT)
                     .find(|&index| self.machine_mut(index).is_some_and(|machine| machine.is_leader()));
                 let machine = leader.unwrap_or(0);
@@ -301,11 +306,11 @@
                     let at = self.now + self.links.delay(there, zone);
                     self.schedule_agreement(at, AgreementEvent::WatchFailed { process, call });
                 }
-                // What it had not answered, its operator asks for again elsewhere.
+                // The operators propose the unanswered changes of this machine again, at another machine.
                 let open: Vec<u32> = self
                     .requested_changes
-                    .extract_if(.., |asked| asked.1 == machine)
-                    .map(|asked| asked.0)
+                    .extract_if(.., |requested| requested.1 == machine)
+                    .map(|requested| requested.0)
                     .collect();
                 open.into_iter().for_each(|index| {
                     self.schedule_agreement(
@@ -313,7 +318,7 @@
                         AgreementEvent::ProposeChange { index },
                     )
                 });
-                self.schedule_agreement(self.now + back, AgreementEvent::RestartMachine { machine });
+                self.schedule_agreement(self.now + restart_after, AgreementEvent::RestartMachine { machine });
             }
             AgreementEvent::RestartMachine { machine } => {
                 if let Some(machine) = self.machine_mut(machine) {
@@ -323,7 +328,7 @@
         }
     }
 
-    /// Operators ask some machine for a change: another quota of a tenant, or another aim of a class.
+    /// Proposes a change at a random machine: a new quota of a tenant, or a new aim of a class.
     fn propose_change(&mut self, index: u32) {
         let tenants = self.plan.tenants.max(1);
         let (key, value) = if index.is_multiple_of(3) {
@@ -348,12 +353,12 @@
         }
     }
 
-    /// Ends a turn of a machine: what its voter wants said goes out, and what is new is told.
+    /// Sends the outgoing messages of a machine, writes new versions on its watches, and handles the outcomes of changes.
     fn process_machine(&mut self, index: u32) {
         let now = self.now;
         let Some(machine) = self.machine_mut(index) else { return };
         let (messages, settled) = machine.process_outcomes(now);
-        let (news, zone, learned) = (machine.watch_updates(), machine.zone, machine.learned_versions());
+        let (updates, zone, learned) = (machine.watch_updates(), machine.zone, machine.learned_versions());
         if let Some(agreement) = &mut self.agreement {
             for (seq, digest) in learned {
                 agreement.conflicting_versions +=
@@ -371,7 +376,7 @@
                 );
             }
         }
-        self.write_lines(index, news);
+        self.write_lines(index, updates);
         for settled in settled {
             match settled {
                 ChangeOutcome::Accepted { change, seq, digest } => {
@@ -379,10 +384,10 @@
                         agreement.accepted.push((seq, digest, now));
                         agreement.accepted_changes.insert(change);
                     }
-                    self.requested_changes.retain(|asked| Some(asked.0) != change);
+                    self.requested_changes.retain(|requested| Some(requested.0) != change);
                 }
                 ChangeOutcome::Failed(change) => {
-                    self.requested_changes.retain(|asked| Some(asked.0) != change);
+                    self.requested_changes.retain(|requested| Some(requested.0) != change);
                     if let Some(index) = change {
                         self.schedule_agreement(
                             now + PROPOSAL_RETRY_INTERVAL,
@@ -394,15 +399,15 @@
         }
     }
 
-    fn write_lines(&mut self, machine: u32, told: Vec<(u32, u64, Rc<Lines>)>) {
+    fn write_lines(&mut self, machine: u32, writes: Vec<(u32, u64, Rc<Lines>)>) {
         let there = self.machine_zone(machine);
-        for (process, call, lines) in told {
+        for (process, call, lines) in writes {
             let zone = self.processes[process as usize].zone;
             if self.processes[process as usize].alive && self.links.is_open_both_ways(there, zone) {
-                // In order: what is written later never overtakes.
+                // Lines on a watch arrive in the order of the writes.
                 let at = self.now + self.links.delay(there, zone);
-                let study = self.processes[process as usize].learner.as_mut();
-                let at = study.map_or(at, |study| study.arrival_in_order(at));
+                let learner = self.processes[process as usize].learner.as_mut();
+                let at = learner.map_or(at, |learner| learner.arrival_in_order(at));
                 self.schedule_agreement(
                     at,
                     AgreementEvent::WatchLinesArrive { machine, process, call, lines },
@@ -413,7 +418,7 @@
         }
     }
 
-    /// What became of the changes.
+    /// The outcome of the settings changes.
     pub(super) fn config_outcome(&self) -> Option<ConfigOutcome> {
         let agreement = self.agreement.as_ref()?;
         let voters = agreement.machines.iter().filter_map(|machine| machine.voter.as_ref());
@@ -421,7 +426,7 @@
         let known =
             |seq: u64, digest: Digest| seq <= last && agreement.known_versions.get(&seq) == Some(&digest);
         let lost = agreement.accepted.iter().filter(|(seq, digest, _)| !known(*seq, *digest)).count() as u64;
-        let strange =
+        let unknown =
             agreement.in_force_reports.iter().filter(|(_, seq, digest, _)| !known(*seq, *digest)).count()
                 as u64;
         let mut by_process: BTreeMap<u32, Vec<(u64, Micros)>> = BTreeMap::new();
@@ -430,30 +435,31 @@
         }
         let serving: Vec<u32> =
             (0..self.plan.schedulers).filter_map(|rank| self.live_process(rank)).collect();
-        let mut spans = Vec::new();
+        let mut delays = Vec::new();
         let mut behind = 0;
         for process in serving {
-            let forces = by_process.get(&process).map(Vec::as_slice).unwrap_or_default();
-            let level = forces.last().is_some_and(|(seq, _)| *seq == last);
-            let knows = self.processes[process as usize]
+            let in_force = by_process.get(&process).map(Vec::as_slice).unwrap_or_default();
+            let is_current = in_force.last().is_some_and(|(seq, _)| *seq == last);
+            let is_behind = self.processes[process as usize]
                 .learner
                 .as_ref()
-                .is_some_and(|study| study.is_behind(self.now));
-            behind += u64::from(!level || knows);
+                .is_some_and(|learner| learner.is_behind(self.now));
+            behind += u64::from(!is_current || is_behind);
             for &(seq, _, accepted) in &agreement.accepted {
-                let reached = forces.iter().find(|(there, _)| *there >= seq).map(|(_, at)| *at);
-                spans.extend(reached.map(|at| at.saturating_sub(accepted)));
+                let reached = in_force.iter().find(|(there, _)| *there >= seq).map(|(_, at)| *at);
+                delays.extend(reached.map(|at| at.saturating_sub(accepted)));
             }
         }
-        spans.sort_unstable();
-        let at = |part: f64| spans.get((spans.len() as f64 * part) as usize).or(spans.last());
-        let millis = |span: Option<&Micros>| span.map_or(0.0, |span| *span as f64 / 1e3);
+        delays.sort_unstable();
+        let quantile =
+            |fraction: f64| delays.get((delays.len() as f64 * fraction) as usize).or(delays.last());
+        let millis = |delay: Option<&Micros>| delay.map_or(0.0, |delay| *delay as f64 / 1e3);
         Some(ConfigOutcome {
             changes_accepted: agreement.accepted_changes.len() as u64,
-            in_force_p99_ms: millis(at(0.99)),
-            in_force_max_ms: millis(spans.last()),
+            in_force_p99_ms: millis(quantile(0.99)),
+            in_force_max_ms: millis(delays.last()),
             behind,
-            unagreed: strange + agreement.conflicting_versions,
+            unagreed: unknown + agreement.conflicting_versions,
             lost_versions: lost,
         })
     }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,25 +1,28 @@
-//! What schedulers want, and the attempts between them and workers.
+//! Execution of the commands of schedulers, and the transport of attempts to workers.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn execute(&mut self, process: u32, work: Command) {
-        match work {
+    pub(super) fn execute(&mut self, process: u32, command: Command) {
+        match command {
             Command::SendAnswer { job, answer } => self.finish_request(job, Some(answer)),
-            Command::SetDeadline(at, due) => {
-                self.schedule(at, SimEvent::DeadlineReached { process, deadline: due })
+            Command::SetDeadline(at, deadline) => {
+                self.schedule(at, SimEvent::DeadlineReached { process, deadline })
             }
             Command::SendAttempt { id, worker } => self.send_attempt(process, id, worker),
-            Command::Cancel { id, worker, accepted: taken } => {
+            Command::Cancel { id, worker, accepted } => {
                 let Some(&index) = self.worker_numbers.get(&worker) else { return };
                 let (here, there) =
                     (self.processes[process as usize].zone, self.workers[index as usize].zone);
                 let origin = origin(process, id);
                 if self.links.is_open_both_ways(here, there) {
                     let at = self.now + self.links.delay(here, there);
-                    self.schedule(at, SimEvent::CancelArrives { worker: index, origin, acknowledges: taken });
+                    self.schedule(
+                        at,
+                        SimEvent::CancelArrives { worker: index, origin, acknowledges: accepted },
+                    );
                 }
-                if !taken {
+                if !accepted {
                     self.schedule(
                         self.now + MAX_TRANSIT_TIME,
                         SimEvent::DeadlineReached { process, deadline: Deadline::CancelDelivered(id) },
@@ -28,8 +31,9 @@
             }
             Command::SendProbe(worker) => self.send_probe(process, worker),
             Command::SendPeerMessage { to, body } => self.send_peer_message(process, to, body),
-            Command::SetWatch(want) => self.set_watch(process, want),
-            // The module asks for a watch only; a whole list is what a watch begins with where changes are not enough.
+            Command::SetWatch(open) => self.set_watch(process, open),
+            // A watch begins with the whole list if the changes since the known version are not available, so a fetch opens a
+            // watch.
             Command::FetchList => self.set_watch(process, true),
         }
     }
@@ -38,12 +42,12 @@
         let (rank, zone) = (self.processes[process as usize].rank, self.processes[process as usize].zone);
         let body = Rc::new(body);
         if to == Some(rank) {
-            // To the process that took over, on the same machine.
+            // A message to the own rank goes to the successor on the same machine.
             return self.schedule(self.now + 100, SimEvent::DatagramArrives { to: rank, from: rank, body });
         }
         self.recorder.record_message(self.now, rank, function(&body), body.len());
-        let all = 0..self.plan.schedulers;
-        let to = to.map_or(all, |to| to..to + 1);
+        let all_ranks = 0..self.plan.schedulers;
+        let to = to.map_or(all_ranks, |to| to..to + 1);
         for to in to.filter(|&to| to != rank) {
             self.recorder.summary.extra.datagrams.0 += 1;
             if let Some(delay) = self.links.datagram_delay(zone, self.plan.zone_of(to)) {
@@ -60,29 +64,29 @@
             return self.processes[process as usize].connection_failed(self.now, id);
         };
         let (here, there) = (self.processes[process as usize].zone, self.workers[index as usize].zone);
-        let (life, incarnation) =
+        let (state, incarnation) =
             (self.workers[index as usize].state, self.workers[index as usize].incarnation);
         let now = self.now;
         let idle = self.processes[process as usize].idle_connections.get_mut(&worker).and_then(|idle| {
-            idle.retain(|&(since, whose)| now < since + MAX_IDLE_TIME && whose == incarnation);
+            idle.retain(|&(since, connected_to)| now < since + MAX_IDLE_TIME && connected_to == incarnation);
             idle.pop()
         });
         if idle.is_some() {
             return self.write_attempt(process, id, index);
         }
-        // A connection has to be made: there and back, or nothing comes back.
-        let round = self.links.delay(here, there) + self.links.delay(there, here);
-        let reached = self.links.is_open_both_ways(here, there) && life != WorkerState::Vanished;
-        match (reached, life) {
+        // Without an idle connection a new one is opened, which takes a round_trip trip or fails after the timeout.
+        let round_trip = self.links.delay(here, there) + self.links.delay(there, here);
+        let reached = self.links.is_open_both_ways(here, there) && state != WorkerState::Vanished;
+        match (reached, state) {
             (true, WorkerState::Up) => {
-                self.schedule(now + round, SimEvent::ConnectionUp { process, id, worker: index })
+                self.schedule(now + round_trip, SimEvent::ConnectionUp { process, id, worker: index })
             }
-            (true, _) => self.schedule(now + round, SimEvent::ConnectionFailed { process, id }),
+            (true, _) => self.schedule(now + round_trip, SimEvent::ConnectionFailed { process, id }),
             (false, _) => self.schedule(now + MAX_TRANSIT_TIME, SimEvent::ConnectionFailed { process, id }),
         }
     }
 
-    /// The last byte of an attempt is written.
+    /// Writes an attempt on its connection.
     pub(super) fn write_attempt(&mut self, process: u32, id: AttemptId, worker: u32) {
         self.processes[process as usize].attempt_written(self.now, id);
         self.recorder.summary.extra.attempts += u64::from(self.recorder.is_measured(self.now));
@@ -97,11 +101,12 @@
     }
 }
 
+/// The origin of an attempt of a process.
 pub(super) fn origin(process: u32, id: AttemptId) -> Origin {
     Origin { process, request: id.request, attempt: id.number }
 }
 
-/// What a datagram is for, by its length: they are all of different ones.
+/// The function of a datagram. Each kind of datagram has a different length.
 pub(super) fn function(body: &[u8]) -> Function {
     match body.len() {
         0..=3 => Function::Hellos,
--- a/crates/simulation/src/simulation/events.rs
+++ b/crates/simulation/src/simulation/events.rs
@@ -1,16 +1,17 @@
-//! What can happen, and in which order.
+//! The events of the simulation and their order.
 
 use super::*;
 
-/// What a worker tells of a task that it took.
+/// Update of a worker on a task that it accepted.
 #[derive(Clone, Debug)]
 pub(crate) enum TaskUpdate {
     Started,
+    /// Completed fraction of the work, from 0 to 1.
     Progress(f64),
     Ended(Ending, Option<Report>),
 }
 
-/// What can happen.
+/// An event of the simulation.
 pub(crate) enum SimEvent {
     SchedulerStarts { rank: u32 },
     InitialRequest,
@@ -40,7 +41,7 @@
     Agreement(AgreementEvent),
 }
 
-/// One that is laid: earlier ones come first, and of the same moment those that were laid first.
+/// An event in the queue, ordered by time and then by the order of scheduling.
 pub(super) struct ScheduledEvent {
     pub(super) at: Micros,
     pub(super) sequence: u64,
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way between clients and schedulers.
+//! Requests between clients and schedulers.
 
 use super::*;
 
@@ -12,9 +12,9 @@
     }
 
     pub(super) fn generate_request(&mut self, under_way: bool) {
-        let counts = self.recorder.is_measured(self.now);
-        let job = self.clients.draw_request(self.now, counts, under_way);
-        self.recorder.summary.jobs += u64::from(counts);
+        let measured = self.recorder.is_measured(self.now);
+        let job = self.clients.draw_request(self.now, measured, under_way);
+        self.recorder.summary.jobs += u64::from(measured);
         let index = self.jobs.len() as u32;
         self.schedule(job.expires + LOST_AFTER, SimEvent::RequestOverdue { job: index });
         self.jobs.push(job);
@@ -25,10 +25,10 @@
     pub(super) fn request_arrives(&mut self, index: u32) {
         let job = &mut self.jobs[index as usize];
         let (rank, expires) = (job.rank, job.expires);
-        let serving =
+        let live =
             self.serving_process[rank as usize].filter(|&process| self.processes[process as usize].alive);
-        let Some(process) = serving else {
-            // The front has not seen yet that it has gone, and the client turns to another.
+        let Some(process) = live else {
+            // The load balancer has not yet noticed that the scheduler is gone; the client tries another scheduler.
             job.rank = self.clients.random_below(self.plan.schedulers);
             if self.now + FAILOVER_DELAY < expires {
                 return self.schedule(self.now + FAILOVER_DELAY, SimEvent::RequestArrives { job: index });
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A request has its final answer, or will never have one.
+    /// Records the final answer to a request, or `None` if the request is lost.
     pub(crate) fn finish_request(&mut self, index: u32, answer: Option<Answer>) {
         let job = &mut self.jobs[index as usize];
         if std::mem::replace(&mut job.answered, true) {
@@ -60,16 +60,16 @@
         if !job.measured {
             return;
         }
-        let account = &mut self.recorder.summary;
+        let summary = &mut self.recorder.summary;
         match answer {
             Some(Answer::Served) => {
-                account.served += 1;
+                summary.served += 1;
                 let aim = CLASSES[job.class].aim_for(job.work);
-                account.late += u64::from(self.now > job.arrived + aim);
+                summary.late += u64::from(self.now > job.arrived + aim);
             }
-            Some(Answer::Refused) => account.refused += 1,
-            Some(Answer::Failed) => account.extra.failed += 1,
-            None => account.lost += 1,
+            Some(Answer::Refused) => summary.refused += 1,
+            Some(Answer::Failed) => summary.extra.failed += 1,
+            None => summary.lost += 1,
         }
     }
 }
--- a/crates/simulation/src/simulation/tasks.rs
+++ b/crates/simulation/src/simulation/tasks.rs
@@ -1,4 +1,4 @@
-//! What happens at workers, and what they tell.
+//! Tasks at workers, and the updates that workers send about them.
 
 use super::*;
 
@@ -8,10 +8,12 @@
         let (zone, incarnation) = (worker.zone, worker.incarnation);
         let Origin { process, request, attempt } = origin;
         let id = AttemptId { request, number: attempt };
-        let back = self.now + self.links.delay(zone, self.processes[process as usize].zone);
+        let reply_at = self.now + self.links.delay(zone, self.processes[process as usize].zone);
         match worker.state {
             WorkerState::Vanished => return,
-            WorkerState::Stopped => return self.schedule(back, SimEvent::ConnectionFailed { process, id }),
+            WorkerState::Stopped => {
+                return self.schedule(reply_at, SimEvent::ConnectionFailed { process, id });
+            }
             WorkerState::Up => {}
         }
         self.count_forbidden_attempt(job, index);
@@ -19,57 +21,56 @@
         self.task_count += 1;
         let worker = &mut self.workers[index as usize];
         if !worker.accept(self.now, self.task_count, Task { origin, job, slots, work, run_span: None }) {
-            let news = TaskUpdate::Ended(Ending::Full, Some(worker.load_report(self.now)));
-            return self
-                .schedule(back, SimEvent::TaskUpdateArrives { process, id, from: index, update: news });
+            let update = TaskUpdate::Ended(Ending::Full, Some(worker.load_report(self.now)));
+            return self.schedule(reply_at, SimEvent::TaskUpdateArrives { process, id, from: index, update });
         }
-        let run = TaskRecord {
+        let record = TaskRecord {
             task: self.task_count,
             worker: index,
             accepted_at: self.now,
             has_started: false,
             has_ended: false,
         };
-        self.jobs[job as usize].task_records.push(run);
+        self.jobs[job as usize].task_records.push(record);
         let worker = worker_id(&self.workers[index as usize].name);
-        self.schedule(back, SimEvent::AttemptAccepted { process, id, worker, incarnation });
+        self.schedule(reply_at, SimEvent::AttemptAccepted { process, id, worker, incarnation });
         self.start_tasks(index);
     }
 
-    /// Counts an attempt that the rules did not allow: an earlier one has neither ended nor been given up, or may have run
-    /// where that is not harmless.
+    /// Counts an attempt that the rules forbid: an earlier attempt of the request is still at a worker, or it has run and a repeat
+    /// is not safe.
     pub(super) fn count_forbidden_attempt(&mut self, job: u32, index: u32) {
         let job = &self.jobs[job as usize];
         let zone = self.workers[index as usize].zone;
-        let harmless = |run: &TaskRecord| match self.settings.classes[job.class].effect {
+        let repeat_is_safe = |record: &TaskRecord| match self.settings.classes[job.class].effect {
             Effect::Safe => true,
-            Effect::Unsafe => !run.has_started,
+            Effect::Unsafe => !record.has_started,
             Effect::Keyed { group, span } => {
-                let there = &self.workers[run.worker as usize];
-                let drops = match group {
+                let other = &self.workers[record.worker as usize];
+                let deduplicates = match group {
                     Group::All => true,
-                    Group::Zone => there.zone == zone,
-                    Group::Cell => there.cell == self.workers[index as usize].cell,
+                    Group::Zone => other.zone == zone,
+                    Group::Cell => other.cell == self.workers[index as usize].cell,
                 };
-                !run.has_started || (drops && self.now < run.accepted_at + span)
+                !record.has_started || (deduplicates && self.now < record.accepted_at + span)
             }
         };
-        let broken = job.task_records.iter().any(|run| !run.has_ended || !harmless(run));
-        self.recorder.summary.doubled += u64::from(broken && job.measured);
+        let forbidden = job.task_records.iter().any(|record| !record.has_ended || !repeat_is_safe(record));
+        self.recorder.summary.doubled += u64::from(forbidden && job.measured);
     }
 
     pub(super) fn start_tasks(&mut self, index: u32) {
         let incarnation = self.workers[index as usize].incarnation;
         for (task, end) in self.workers[index as usize].start_tasks(self.now) {
-            let Some(taken) = self.workers[index as usize].tasks.get(&task) else { continue };
-            let (job, origin) = (taken.job, taken.origin);
-            let told = &mut self.jobs[job as usize];
-            told.task_records
+            let Some(accepted) = self.workers[index as usize].tasks.get(&task) else { continue };
+            let (job_index, origin) = (accepted.job, accepted.origin);
+            let job = &mut self.jobs[job_index as usize];
+            job.task_records
                 .iter_mut()
-                .filter(|run| run.task == task)
-                .for_each(|run| run.has_started = true);
-            let (class, waited) = (told.class, self.now - told.arrived);
-            let first = !std::mem::replace(&mut told.started, true);
+                .filter(|record| record.task == task)
+                .for_each(|record| record.has_started = true);
+            let (class, waited) = (job.class, self.now - job.arrived);
+            let first = !std::mem::replace(&mut job.started, true);
             self.recorder.record_start(self.now, class, first.then_some(waited));
             self.schedule(end, SimEvent::TaskDone { worker: index, incarnation, task });
             if self.now + PROGRESS_INTERVAL < end {
@@ -94,70 +95,70 @@
         self.start_tasks(index);
     }
 
-    /// A task is over at its worker.
+    /// Records that a task has ended at its worker.
     pub(crate) fn task_ended(&mut self, task: &Task, number: u64) {
         if task.run_span.is_some() {
             self.recorder.record_stop();
         }
-        let runs = self.jobs[task.job as usize].task_records.iter_mut();
-        runs.filter(|run| run.task == number).for_each(|run| run.has_ended = true);
+        let records = self.jobs[task.job as usize].task_records.iter_mut();
+        records.filter(|record| record.task == number).for_each(|record| record.has_ended = true);
     }
 
     pub(super) fn task_progress(&mut self, index: u32, incarnation: u32, number: u64) {
         let worker = &self.workers[index as usize];
         let task = worker.tasks.get(&number).filter(|_| worker.incarnation == incarnation);
-        let Some((origin, (begun, end))) = task.and_then(|task| Some((task.origin, task.run_span?))) else {
+        let Some((origin, (started, end))) = task.and_then(|task| Some((task.origin, task.run_span?))) else {
             return;
         };
-        let share = (self.now - begun) as f64 / (end - begun) as f64;
+        let share = (self.now - started) as f64 / (end - started) as f64;
         if self.now + PROGRESS_INTERVAL < end {
             self.schedule(
                 self.now + PROGRESS_INTERVAL,
                 SimEvent::TaskProgress { worker: index, incarnation, task: number },
             );
         }
-        // Told once: the next one says more.
+        // A progress update is sent only once, since the next one replaces it.
         self.send_task_update(index, origin, TaskUpdate::Progress(share), MAX_UPDATE_SENDS);
     }
 
-    /// A worker tells a process something of a task, for the first time or again.
-    pub(crate) fn send_task_update(&mut self, index: u32, origin: Origin, news: TaskUpdate, times: u32) {
+    /// Sends an update on a task to the scheduler, for the first time or again. `sends` counts the sends.
+    pub(crate) fn send_task_update(&mut self, index: u32, origin: Origin, update: TaskUpdate, sends: u32) {
         let worker = &self.workers[index as usize];
         let process = &self.processes[origin.process as usize];
         let open = self.links.is_open_both_ways(worker.zone, process.zone);
         let (from, to) = (worker.zone, process.zone);
-        // Another process may listen there now.
+        // The successor of a process receives its updates.
         let listens = process.alive || self.live_process(process.rank).is_some();
         if open && listens {
             let at = self.now + self.links.delay(from, to);
             let id = AttemptId { request: origin.request, number: origin.attempt };
             self.schedule(
                 at,
-                SimEvent::TaskUpdateArrives { process: origin.process, id, from: index, update: news },
+                SimEvent::TaskUpdateArrives { process: origin.process, id, from: index, update },
             );
-        } else if times < MAX_UPDATE_SENDS && worker.state != WorkerState::Vanished {
+        } else if sends < MAX_UPDATE_SENDS && worker.state != WorkerState::Vanished {
             self.schedule(
                 self.now + UPDATE_RETRY_INTERVAL,
-                SimEvent::SendTaskUpdate { worker: index, origin, update: news, sends: times + 1 },
+                SimEvent::SendTaskUpdate { worker: index, origin, update, sends: sends + 1 },
             );
-        } else if let TaskUpdate::Ended(..) = news {
+        } else if let TaskUpdate::Ended(..) = update {
             self.recorder.summary.extra.tasks_lost += 1;
         }
     }
 
-    pub(super) fn task_update_arrives(&mut self, mut process: u32, mut id: AttemptId, news: TaskUpdate) {
-        // What a process left to the one that took over is told to that one.
+    pub(super) fn task_update_arrives(&mut self, mut process: u32, mut id: AttemptId, update: TaskUpdate) {
+        // An update on a transferred attempt goes to the successor.
         while let Some(&(successor, there)) = self.processes[process as usize].transferred_attempts.get(&id) {
             (process, id) = (successor, there);
         }
-        self.with_process(process, |process, now| match news {
+        self.with_process(process, |process, now| match update {
             TaskUpdate::Started => process.attempt_note(id, AttemptNote::Started),
             TaskUpdate::Progress(share) => process.attempt_note(id, AttemptNote::Progress(share)),
             TaskUpdate::Ended(ending, report) => process.attempt_ended(now, id, ending, report),
         });
     }
 
-    pub(super) fn cancel_arrives(&mut self, index: u32, origin: Origin, answers: bool) {
+    pub(super) fn cancel_arrives(&mut self, index: u32, origin: Origin, acknowledges: bool) {
         let worker = &mut self.workers[index as usize];
         if worker.state != WorkerState::Up {
             return;
@@ -169,7 +170,7 @@
             self.task_ended(&task, number);
             self.start_tasks(index);
         }
-        if answers {
+        if acknowledges {
             let process = origin.process;
             let id = AttemptId { request: origin.request, number: origin.attempt };
             let at = self.now + self.links.delay(zone, self.processes[process as usize].zone);
@@ -180,8 +181,8 @@
     pub(super) fn send_probe(&mut self, process: u32, worker: WorkerId) {
         let Some(&index) = self.worker_numbers.get(&worker) else { return };
         let (rank, here) = (self.processes[process as usize].rank, self.processes[process as usize].zone);
-        let (there, life) = (self.workers[index as usize].zone, self.workers[index as usize].state);
-        if self.links.is_open_both_ways(here, there) && life == WorkerState::Up {
+        let (there, state) = (self.workers[index as usize].zone, self.workers[index as usize].state);
+        if self.links.is_open_both_ways(here, there) && state == WorkerState::Up {
             self.recorder.record_message(self.now, rank, Function::Probes, encode::probe_request().len());
             let at = self.now + self.links.delay(here, there);
             self.schedule(at, SimEvent::ProbeArrives { process, worker: index, sent: self.now });
--- a/crates/simulation/src/simulation/watches.rs
+++ b/crates/simulation/src/simulation/watches.rs
@@ -1,17 +1,17 @@
-//! Calls to discovery, and what it writes on its watches.
+//! Watch requests to discovery, and the messages on its watches.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn set_watch(&mut self, process: u32, want: bool) {
+    pub(super) fn set_watch(&mut self, process: u32, open: bool) {
         self.call_count += 1;
         let call = self.call_count;
-        let told = &mut self.processes[process as usize];
-        let (rank, zone, from) = (told.rank, told.zone, told.list_version);
-        told.set_watch(self.now, want.then_some(call));
+        let target = &mut self.processes[process as usize];
+        let (rank, zone, from) = (target.rank, target.zone, target.list_version);
+        target.set_watch(self.now, open.then_some(call));
         let there = self.discovery.zone;
-        // One that gets no connection waits until its clock has enough.
-        if want && self.links.is_open_both_ways(zone, there) {
+        // Without a connection the scheduler waits until its list lease gives up the request.
+        if open && self.links.is_open_both_ways(zone, there) {
             let bytes = encode::watch_request(from).len();
             self.recorder.record_message(self.now, rank, Function::List, bytes);
             let delay = 2 * self.links.delay(zone, there) + self.links.delay(there, zone);
@@ -49,7 +49,7 @@
         self.schedule(self.now + WATCH_KEEPALIVE, SimEvent::KeepaliveDue { process, call });
     }
 
-    /// Discovery writes something on a watch.
+    /// Writes an update, or a keepalive if `update` is `None`, on a watch.
     pub(super) fn write_to_watch(
         &mut self,
         process: u32,
@@ -58,11 +58,11 @@
         bytes: usize,
     ) {
         let zone = self.processes[process as usize].zone;
-        let open =
+        let reachable =
             self.links.is_open_both_ways(self.discovery.zone, zone) && self.processes[process as usize].alive;
         let delay = self.links.delay(self.discovery.zone, zone);
-        // What is written to nobody brings the watch to an end.
-        if let Some(at) = self.discovery.write_to_watch(process, self.now, delay, open) {
+        // A write to an unreachable process ends the watch.
+        if let Some(at) = self.discovery.write_to_watch(process, self.now, delay, reachable) {
             self.recorder.record_discovery_bytes(self.now, bytes);
             self.schedule(at, SimEvent::WatchMessageArrives { process, call, update, bytes });
         }
