--- a/crates/simulation/src/incidents.rs
+++ b/crates/simulation/src/incidents.rs
@@ -250,10 +250,11 @@
         for TransferredJob { job, request, history } in transferred {
             let attempts = history.attempts.len() as u32;
             let arrival = self.jobs[job as usize].arrival();
-            let there = self.processes[successor as usize].adopt_request(job, arrival, history);
+            let adopted = self.processes[successor as usize].adopt_request(job, arrival, history);
             for number in 0..attempts {
-                let (here, there) = (AttemptId { request, number }, AttemptId { request: there, number });
-                self.processes[process as usize].transferred_attempts.insert(here, (successor, there));
+                let (old_id, new_id) =
+                    (AttemptId { request, number }, AttemptId { request: adopted, number });
+                self.processes[process as usize].transferred_attempts.insert(old_id, (successor, new_id));
             }
         }
         self.process_pending(successor);
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -134,14 +134,19 @@
 /// Time within which an urgent job has to start.
 pub(crate) const URGENT_MAX_START_DELAY: Micros = 7_100 * MILLI;
 
-const fn class(name: &'static str, effect: &'static str, part: f64, work: f64) -> ClassPlan {
+const fn class(
+    name: &'static str,
+    effect: &'static str,
+    request_share: f64,
+    relative_work: f64,
+) -> ClassPlan {
     let (aim, client_timeout) = (30 * SECOND, 300 * SECOND);
     let (worth, late_worth, priority, accelerated) = (1.0, 0.5, 0, false);
     ClassPlan {
         name,
         effect,
-        request_share: part,
-        relative_work: work,
+        request_share,
+        relative_work,
         aim,
         stretch: 1.5,
         client_timeout,
--- a/crates/simulation/src/schedulers/actions.rs
+++ b/crates/simulation/src/schedulers/actions.rs
@@ -75,8 +75,8 @@
     pub(super) fn send_cancel(&mut self, id: AttemptId) {
         let Some(attempt) = self.running_attempt(id).filter(|attempt| !attempt.cancel_sent) else { return };
         attempt.cancel_sent = true;
-        let (worker, taken) = (attempt.worker, attempt.accepted);
-        self.commands.push(Command::Cancel { id, worker, accepted: taken });
+        let (worker, accepted) = (attempt.worker, attempt.accepted);
+        self.commands.push(Command::Cancel { id, worker, accepted });
     }
 
     /// Ends an attempt that has not ended yet. `running` says that it may still be running at its worker.
--- a/crates/simulation/src/simulation/agreement.rs
+++ b/crates/simulation/src/simulation/agreement.rs
@@ -180,17 +180,18 @@
             }
             LearnerCommand::OpenWatch { machine, call, from } => {
                 let bytes = encode::control_watch_request(from.0, &from.1.to_string(), &name).len();
-                let Some((there, up)) = self.machine_mut(machine).map(|to| (to.zone, to.voter.is_some()))
+                let Some((machine_zone, up)) =
+                    self.machine_mut(machine).map(|to| (to.zone, to.voter.is_some()))
                 else {
                     return;
                 };
-                if !self.links.is_open_both_ways(zone, there) {
+                if !self.links.is_open_both_ways(zone, machine_zone) {
                     return;
                 }
-                let round_trip = self.links.delay(zone, there) + self.links.delay(there, zone);
+                let round_trip = self.links.delay(zone, machine_zone) + self.links.delay(machine_zone, zone);
                 if up {
                     self.recorder.record_message(self.now, rank, Function::Config, bytes);
-                    let at = self.now + round_trip + self.links.delay(zone, there);
+                    let at = self.now + round_trip + self.links.delay(zone, machine_zone);
                     self.schedule_agreement(
                         at,
                         AgreementEvent::WatchCallArrives { machine, process, call, from },
@@ -208,15 +209,17 @@
                 }
             }
             LearnerCommand::ReportInForce { machine, seq } => {
-                let there = self.machine_zone(machine);
-                if self.links.is_open_both_ways(zone, there) {
+                let machine_zone = self.machine_zone(machine);
+                if self.links.is_open_both_ways(zone, machine_zone) {
                     self.recorder.record_message(
                         self.now,
                         rank,
                         Function::Config,
                         encode::in_force_report(&name, seq).len(),
                     );
-                    let at = self.now + 2 * self.links.delay(zone, there) + self.links.delay(there, zone);
+                    let at = self.now
+                        + 2 * self.links.delay(zone, machine_zone)
+                        + self.links.delay(machine_zone, zone);
                     self.schedule_agreement(at, AgreementEvent::InForceReportArrives { machine, process });
                 }
             }
@@ -275,12 +278,13 @@
             }
             AgreementEvent::InForceReportArrives { machine, process } => {
                 let zone = self.processes[process as usize].zone;
-                let Some((there, up)) = self.machine_mut(machine).map(|to| (to.zone, to.voter.is_some()))
+                let Some((machine_zone, up)) =
+                    self.machine_mut(machine).map(|to| (to.zone, to.voter.is_some()))
                 else {
                     return;
                 };
-                if up && self.links.is_open_both_ways(zone, there) {
-                    let at = self.now + self.links.delay(there, zone);
+                if up && self.links.is_open_both_ways(zone, machine_zone) {
+                    let at = self.now + self.links.delay(machine_zone, zone);
                     self.schedule_agreement(at, AgreementEvent::InForceReportAcknowledged { process });
                 }
             }
@@ -302,8 +306,8 @@
                 let ended = self.machine_mut(machine).map(|machine| machine.kill()).unwrap_or_default();
                 for (process, call) in ended {
                     let zone = self.processes[process as usize].zone;
-                    let there = self.machine_zone(machine);
-                    let at = self.now + self.links.delay(there, zone);
+                    let machine_zone = self.machine_zone(machine);
+                    let at = self.now + self.links.delay(machine_zone, zone);
                     self.schedule_agreement(at, AgreementEvent::WatchFailed { process, call });
                 }
                 // The operators propose the unanswered changes of this machine again, at another machine.
@@ -367,9 +371,9 @@
         }
         for (to, body) in messages {
             let to = to as u32 - 1;
-            let there = self.machine_zone(to);
-            if self.links.is_open_both_ways(zone, there) {
-                let at = now + self.links.delay(zone, there);
+            let machine_zone = self.machine_zone(to);
+            if self.links.is_open_both_ways(zone, machine_zone) {
+                let at = now + self.links.delay(zone, machine_zone);
                 self.schedule_agreement(
                     at,
                     AgreementEvent::VoterMessage { from: index, to, body: Rc::new(body) },
@@ -400,12 +404,12 @@
     }
 
     fn write_lines(&mut self, machine: u32, writes: Vec<(u32, u64, Rc<Lines>)>) {
-        let there = self.machine_zone(machine);
+        let machine_zone = self.machine_zone(machine);
         for (process, call, lines) in writes {
             let zone = self.processes[process as usize].zone;
-            if self.processes[process as usize].alive && self.links.is_open_both_ways(there, zone) {
+            if self.processes[process as usize].alive && self.links.is_open_both_ways(machine_zone, zone) {
                 // Lines on a watch arrive in the order of the writes.
-                let at = self.now + self.links.delay(there, zone);
+                let at = self.now + self.links.delay(machine_zone, zone);
                 let learner = self.processes[process as usize].learner.as_mut();
                 let at = learner.map_or(at, |learner| learner.arrival_in_order(at));
                 self.schedule_agreement(
@@ -446,7 +450,8 @@
                 .is_some_and(|learner| learner.is_behind(self.now));
             behind += u64::from(!is_current || is_behind);
             for &(seq, _, accepted) in &agreement.accepted {
-                let reached = in_force.iter().find(|(there, _)| *there >= seq).map(|(_, at)| *at);
+                let reached =
+                    in_force.iter().find(|(in_force_seq, _)| *in_force_seq >= seq).map(|(_, at)| *at);
                 delays.extend(reached.map(|at| at.saturating_sub(accepted)));
             }
         }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -12,11 +12,11 @@
             Command::SendAttempt { id, worker } => self.send_attempt(process, id, worker),
             Command::Cancel { id, worker, accepted } => {
                 let Some(&index) = self.worker_numbers.get(&worker) else { return };
-                let (here, there) =
+                let (from_zone, to_zone) =
                     (self.processes[process as usize].zone, self.workers[index as usize].zone);
                 let origin = origin(process, id);
-                if self.links.is_open_both_ways(here, there) {
-                    let at = self.now + self.links.delay(here, there);
+                if self.links.is_open_both_ways(from_zone, to_zone) {
+                    let at = self.now + self.links.delay(from_zone, to_zone);
                     self.schedule(
                         at,
                         SimEvent::CancelArrives { worker: index, origin, acknowledges: accepted },
@@ -63,7 +63,7 @@
         let Some(&index) = self.worker_numbers.get(&worker) else {
             return self.processes[process as usize].connection_failed(self.now, id);
         };
-        let (here, there) = (self.processes[process as usize].zone, self.workers[index as usize].zone);
+        let (from_zone, to_zone) = (self.processes[process as usize].zone, self.workers[index as usize].zone);
         let (state, incarnation) =
             (self.workers[index as usize].state, self.workers[index as usize].incarnation);
         let now = self.now;
@@ -74,9 +74,9 @@
         if idle.is_some() {
             return self.write_attempt(process, id, index);
         }
-        // Without an idle connection a new one is opened, which takes a round_trip trip or fails after the timeout.
-        let round_trip = self.links.delay(here, there) + self.links.delay(there, here);
-        let reached = self.links.is_open_both_ways(here, there) && state != WorkerState::Vanished;
+        // Without an idle connection a new one is opened, which takes a round trip or fails after the timeout.
+        let round_trip = self.links.delay(from_zone, to_zone) + self.links.delay(to_zone, from_zone);
+        let reached = self.links.is_open_both_ways(from_zone, to_zone) && state != WorkerState::Vanished;
         match (reached, state) {
             (true, WorkerState::Up) => {
                 self.schedule(now + round_trip, SimEvent::ConnectionUp { process, id, worker: index })
@@ -90,12 +90,13 @@
     pub(super) fn write_attempt(&mut self, process: u32, id: AttemptId, worker: u32) {
         self.processes[process as usize].attempt_written(self.now, id);
         self.recorder.summary.extra.attempts += u64::from(self.recorder.is_measured(self.now));
-        let (here, there) = (self.processes[process as usize].zone, self.workers[worker as usize].zone);
+        let (from_zone, to_zone) =
+            (self.processes[process as usize].zone, self.workers[worker as usize].zone);
         if let Some(job) = self.processes[process as usize]
             .job_of_attempt(id)
-            .filter(|_| self.links.is_open_both_ways(here, there))
+            .filter(|_| self.links.is_open_both_ways(from_zone, to_zone))
         {
-            let at = self.now + self.links.delay(here, there);
+            let at = self.now + self.links.delay(from_zone, to_zone);
             self.schedule(at, SimEvent::AttemptArrives { origin: origin(process, id), worker, job });
         }
     }
--- a/crates/simulation/src/simulation/tasks.rs
+++ b/crates/simulation/src/simulation/tasks.rs
@@ -148,8 +148,10 @@
 
     pub(super) fn task_update_arrives(&mut self, mut process: u32, mut id: AttemptId, update: TaskUpdate) {
         // An update on a transferred attempt goes to the successor.
-        while let Some(&(successor, there)) = self.processes[process as usize].transferred_attempts.get(&id) {
-            (process, id) = (successor, there);
+        while let Some(&(successor, successor_id)) =
+            self.processes[process as usize].transferred_attempts.get(&id)
+        {
+            (process, id) = (successor, successor_id);
         }
         self.with_process(process, |process, now| match update {
             TaskUpdate::Started => process.attempt_note(id, AttemptNote::Started),
@@ -180,11 +182,12 @@
 
     pub(super) fn send_probe(&mut self, process: u32, worker: WorkerId) {
         let Some(&index) = self.worker_numbers.get(&worker) else { return };
-        let (rank, here) = (self.processes[process as usize].rank, self.processes[process as usize].zone);
-        let (there, state) = (self.workers[index as usize].zone, self.workers[index as usize].state);
-        if self.links.is_open_both_ways(here, there) && state == WorkerState::Up {
+        let (rank, from_zone) =
+            (self.processes[process as usize].rank, self.processes[process as usize].zone);
+        let (to_zone, state) = (self.workers[index as usize].zone, self.workers[index as usize].state);
+        if self.links.is_open_both_ways(from_zone, to_zone) && state == WorkerState::Up {
             self.recorder.record_message(self.now, rank, Function::Probes, encode::probe_request().len());
-            let at = self.now + self.links.delay(here, there);
+            let at = self.now + self.links.delay(from_zone, to_zone);
             self.schedule(at, SimEvent::ProbeArrives { process, worker: index, sent: self.now });
         } else {
             let (sent, report, bytes) = (self.now, None, 0);
--- a/crates/simulation/src/simulation/watches.rs
+++ b/crates/simulation/src/simulation/watches.rs
@@ -9,12 +9,12 @@
         let target = &mut self.processes[process as usize];
         let (rank, zone, from) = (target.rank, target.zone, target.list_version);
         target.set_watch(self.now, open.then_some(call));
-        let there = self.discovery.zone;
+        let discovery_zone = self.discovery.zone;
         // Without a connection the scheduler waits until its list lease gives up the request.
-        if open && self.links.is_open_both_ways(zone, there) {
+        if open && self.links.is_open_both_ways(zone, discovery_zone) {
             let bytes = encode::watch_request(from).len();
             self.recorder.record_message(self.now, rank, Function::List, bytes);
-            let delay = 2 * self.links.delay(zone, there) + self.links.delay(there, zone);
+            let delay = 2 * self.links.delay(zone, discovery_zone) + self.links.delay(discovery_zone, zone);
             self.schedule(self.now + delay, SimEvent::WatchCallArrives { process, call, from });
         }
     }
--- a/crates/simulation/tests/workload.rs
+++ b/crates/simulation/tests/workload.rs
@@ -1,9 +1,9 @@
-//! The outline of a plan has the requests and workers that a play of it has.
+//! The workload of a plan has the requests and workers of its simulation.
 
 use calicolb_simulation::{Plan, simulate, workload};
 
 #[test]
-fn an_outline_has_the_requests_of_the_play() {
+fn workload_has_the_requests_and_workers_of_the_simulation() {
     for seed in [1, 2, 3] {
         let plan = Plan {
             schedulers: 4,
@@ -21,11 +21,11 @@
         };
         println!("seed {seed}");
         let drawn = workload(&plan);
-        let counting = drawn.requests.iter().filter(|request| request.measured).count() as u64;
-        assert_eq!(counting, simulate(&plan).jobs);
-        assert!(counting > 20, "hardly anything is drawn: {counting}");
-        // What is under way at the beginning, then what comes in, up to the last second that counts.
-        assert!(drawn.requests.len() as u64 > counting + 15);
+        let measured = drawn.requests.iter().filter(|request| request.measured).count() as u64;
+        assert_eq!(measured, simulate(&plan).jobs);
+        assert!(measured > 20, "only {measured} measured requests were drawn");
+        // First the requests that are under way at the start, then the arrivals up to the end of the measured time.
+        assert!(drawn.requests.len() as u64 > measured + 15);
         assert!(drawn.requests.is_sorted_by_key(|request| request.sent_at));
         assert!(
             drawn
@@ -36,14 +36,14 @@
         assert!(
             drawn.requests.iter().all(|request| request.sent_at < drawn.measured_span.1 && request.rank < 4)
         );
-        // Every scheduler, class and tenant has some.
-        let had = |of: fn(&calicolb_simulation::WorkloadRequest) -> usize| {
-            drawn.requests.iter().map(of).collect::<std::collections::BTreeSet<_>>().len()
+        // Every scheduler, class and tenant has requests.
+        let distinct = |field: fn(&calicolb_simulation::WorkloadRequest) -> usize| {
+            drawn.requests.iter().map(field).collect::<std::collections::BTreeSet<_>>().len()
         };
-        assert_eq!(had(|request| request.rank as usize), 4);
-        assert_eq!(had(|request| request.class), 5);
-        assert_eq!(had(|request| request.tenant.unwrap_or(99)), 5);
-        // Eight accelerators are one machine of the nine.
+        assert_eq!(distinct(|request| request.rank as usize), 4);
+        assert_eq!(distinct(|request| request.class), 5);
+        assert_eq!(distinct(|request| request.tenant.unwrap_or(99)), 5);
+        // Eight accelerators are one of the nine workers.
         assert_eq!(drawn.workers.iter().map(|worker| worker.slots).sum::<u32>(), 8 * 12 + 8);
         assert_eq!(drawn, workload(&plan));
     }
