--- a/crates/gearman/src/book.rs
+++ b/crates/gearman/src/book.rs
@@ -2,7 +2,7 @@
 //! it, and whether it is taken at all, is decided elsewhere; the book says what clients are told of that.
 
 use crate::ConnId;
-use crate::packet::{From, Kind, write};
+use crate::packet::{From, PacketType, write};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// A job, as its host calls it.
@@ -198,12 +198,12 @@
                 job.tries += 1;
                 return Vec::new();
             }
-            Part::Data(data) => write(From::Server, Kind::WorkData, &[handle, &data]),
-            Part::Warning(data) => write(From::Server, Kind::WorkWarning, &[handle, &data]),
+            Part::Data(data) => write(From::Server, PacketType::WorkData, &[handle, &data]),
+            Part::Warning(data) => write(From::Server, PacketType::WorkWarning, &[handle, &data]),
             Part::Status(done, of) => {
                 job.progress = (done, of);
                 let (done, of) = (done.to_string(), of.to_string());
-                write(From::Server, Kind::WorkStatus, &[handle, done.as_bytes(), of.as_bytes()])
+                write(From::Server, PacketType::WorkStatus, &[handle, done.as_bytes(), of.as_bytes()])
             }
             Part::Exception(what) => {
                 job.exception = Some(what);
@@ -241,9 +241,9 @@
                 conn,
                 match &entry.end {
                     Some(End::Refused(come_back)) => {
-                        write(From::Server, Kind::Error, &[b"BUSY", refusal(*come_back).as_bytes()])
+                        write(From::Server, PacketType::Error, &[b"BUSY", refusal(*come_back).as_bytes()])
                     }
-                    _ => write(From::Server, Kind::JobCreated, &[entry.handle.as_bytes()]),
+                    _ => write(From::Server, PacketType::JobCreated, &[entry.handle.as_bytes()]),
                 },
             ));
         }
@@ -264,7 +264,7 @@
     fn tell(&self, job: &Job, conn: ConnId, end: &End, mail: &mut Vec<Mail>) {
         let handle = job.handle.as_bytes();
         if let End::Served(result) = end {
-            return mail.push((conn, write(From::Server, Kind::WorkComplete, &[handle, result])));
+            return mail.push((conn, write(From::Server, PacketType::WorkComplete, &[handle, result])));
         }
         if self.exceptions.contains(&conn) {
             let why = match (&job.exception, end) {
@@ -272,9 +272,9 @@
                 (None, End::Refused(come_back)) => refusal(*come_back).into_bytes(),
                 (None, _) => b"no worker gave a result, and it may have run".to_vec(),
             };
-            mail.push((conn, write(From::Server, Kind::WorkException, &[handle, &why])));
+            mail.push((conn, write(From::Server, PacketType::WorkException, &[handle, &why])));
         }
-        mail.push((conn, write(From::Server, Kind::WorkFail, &[handle])));
+        mail.push((conn, write(From::Server, PacketType::WorkFail, &[handle])));
     }
 
     fn remember(&mut self, handle: String, served: bool) {
@@ -328,7 +328,7 @@
         let (known, running, done, of) = self.look(handle);
         let numbers = [known, running, done, of].map(|number| number.to_string());
         let [known, running, done, of] = numbers.each_ref().map(|text| text.as_bytes());
-        write(From::Server, Kind::StatusRes, &[handle, known, running, done, of])
+        write(From::Server, PacketType::StatusRes, &[handle, known, running, done, of])
     }
 
     fn look(&self, handle: &[u8]) -> (u64, u64, u64, u64) {
@@ -353,7 +353,7 @@
         };
         let numbers = numbers.map(|number| number.to_string());
         let [known, running, done, of, waiting] = numbers.each_ref().map(|text| text.as_bytes());
-        write(From::Server, Kind::StatusResUnique, &[unique, known, running, done, of, waiting])
+        write(From::Server, PacketType::StatusResUnique, &[unique, known, running, done, of, waiting])
     }
 
     /// Jobs of a function that are open, and those that are with a worker.
@@ -399,9 +399,9 @@
         Submission { conn, function: "look".to_owned(), unique: unique.into(), background }
     }
 
-    fn told(mail: &[Mail]) -> Vec<(ConnId, Kind)> {
+    fn told(mail: &[Mail]) -> Vec<(ConnId, PacketType)> {
         let kind = |bytes: &[u8]| match read(bytes, From::Server, 1 << 16) {
-            Ok(Read::Whole(packet, _)) => packet.kind,
+            Ok(Read::Whole(packet, _)) => packet.packet_type,
             other => panic!("no packet: {other:?}"),
         };
         mail.iter().map(|(conn, bytes)| (*conn, kind(bytes))).collect()
@@ -413,12 +413,15 @@
         book.open(1, "H:1".to_owned(), submission(9, "", false));
         assert!(book.end(1, End::Refused(Some(1_500_000))).is_empty());
         let mail = book.settle();
-        assert_eq!(told(&mail), [(9, Kind::Error)]);
+        assert_eq!(told(&mail), [(9, PacketType::Error)]);
         assert!(String::from_utf8_lossy(&mail[0].1).ends_with("come back in 1.500 s"));
         book.with_exceptions(9);
         book.open(2, "H:2".to_owned(), submission(9, "", false));
-        assert_eq!(told(&book.settle()), [(9, Kind::JobCreated)]);
-        assert_eq!(told(&book.end(2, End::Refused(None))), [(9, Kind::WorkException), (9, Kind::WorkFail)]);
+        assert_eq!(told(&book.settle()), [(9, PacketType::JobCreated)]);
+        assert_eq!(
+            told(&book.end(2, End::Refused(None))),
+            [(9, PacketType::WorkException), (9, PacketType::WorkFail)]
+        );
         assert!(book.is_empty() && book.end(2, End::Failed).is_empty(), "it has one end");
     }
 
@@ -430,9 +433,9 @@
         assert_eq!(book.same(&submission(8, "", false)), None);
         assert_eq!(book.same(&Submission { function: "book".to_owned(), ..submission(8, "u", false) }), None);
         book.join(1, &submission(8, "u", false));
-        assert_eq!(told(&book.settle()), [(7, Kind::JobCreated), (8, Kind::JobCreated)]);
+        assert_eq!(told(&book.settle()), [(7, PacketType::JobCreated), (8, PacketType::JobCreated)]);
         assert!(book.leave(7).is_empty(), "the other still waits");
-        assert_eq!(told(&book.end(1, End::Served(b"r".to_vec()))), [(8, Kind::WorkComplete)]);
+        assert_eq!(told(&book.end(1, End::Served(b"r".to_vec()))), [(8, PacketType::WorkComplete)]);
         assert_eq!(book.same(&submission(8, "u", false)), None, "it is over");
     }
 
@@ -475,7 +478,7 @@
         assert!(book.full("look") && !book.full("book"));
         book.settle();
         let (job, mail) = book.cancel("H:1").expect("it is open");
-        assert_eq!((job, told(&mail)), (1, vec![(7, Kind::WorkFail)]));
+        assert_eq!((job, told(&mail)), (1, vec![(7, PacketType::WorkFail)]));
         assert!(!book.full("look") && book.cancel("H:1").is_none());
     }
 }
--- a/crates/gearman/src/fleet.rs
+++ b/crates/gearman/src/fleet.rs
@@ -3,7 +3,7 @@
 //! attempt a connection gets that asks.
 
 use crate::ConnId;
-use crate::packet::Kind;
+use crate::packet::PacketType;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// Functions that one connection may name.
@@ -95,7 +95,7 @@
     /// It asked, got nothing, and will ask again or go to sleep.
     Awake,
     /// It asks, and has no answer yet.
-    Asking(Kind),
+    Asking(PacketType),
     Asleep,
     /// It did not ask when it was woken, and gets nothing until it does.
     Stuck,
@@ -271,7 +271,7 @@
     ///
     /// # Errors
     /// Too many workers are there.
-    pub fn ask(&mut self, conn: ConnId, how: Kind, now: u64) -> Result<bool, TooMany> {
+    pub fn ask(&mut self, conn: ConnId, how: PacketType, now: u64) -> Result<bool, TooMany> {
         self.join(conn, now)?;
         let known = self.conn(conn);
         if matches!(known.pull, Pull::Busy(..)) {
@@ -314,7 +314,7 @@
 
     /// Answers a connection that asks: with what is offered to it, or to another of its hop that has not asked yet.
     /// `None`: it is told that there is nothing. Gives how it asked, and the connection that is expected no longer.
-    pub fn assign(&mut self, conn: ConnId) -> Option<(Kind, Assignment<B>, ConnId)> {
+    pub fn assign(&mut self, conn: ConnId) -> Option<(PacketType, Assignment<B>, ConnId)> {
         let Pull::Asking(how) = self.conns.get(&conn)?.pull else { return None };
         let own = self.conns.get(&conn).is_some_and(|conn| conn.offer.is_some());
         let from = if own { Some(conn) } else { self.neighbour(conn) };
@@ -494,7 +494,7 @@
         let Offered::Wake(conn) = fleet.offer(0, attempt, &["look"], &format!("H:{attempt}")) else {
             panic!("one sleeps")
         };
-        assert_eq!(fleet.ask(conn, Kind::GrabJob, 60), Ok(true));
+        assert_eq!(fleet.ask(conn, PacketType::GrabJob, 60), Ok(true));
         let (_, given, _) = fleet.assign(conn).expect("it was offered");
         assert_eq!(given.attempt, attempt);
         conn
@@ -522,10 +522,10 @@
     fn whichever_connection_asks_first_gets_what_the_hop_was_offered() {
         let mut fleet = pair();
         assert_eq!(fleet.offer(0, 7, &["look"], "H:7"), Offered::Wake(1));
-        assert_eq!(fleet.ask(2, Kind::GrabJobUniq, 60), Ok(true));
+        assert_eq!(fleet.ask(2, PacketType::GrabJobUniq, 60), Ok(true));
         let (how, given, from) = fleet.assign(2).expect("the other was offered it");
-        assert_eq!((how, given.attempt, from), (Kind::GrabJobUniq, 7, 1));
-        assert_eq!(fleet.ask(1, Kind::GrabJob, 60), Ok(true));
+        assert_eq!((how, given.attempt, from), (PacketType::GrabJobUniq, 7, 1));
+        assert_eq!(fleet.ask(1, PacketType::GrabJob, 60), Ok(true));
         assert_eq!(fleet.assign(1), None);
         assert_eq!(fleet.expire(1), None, "nothing is owed any more");
     }
@@ -539,7 +539,7 @@
         assert_eq!(lanes(&mut fleet), [(true, 1, 1)]);
         assert_eq!(fleet.offer(0, 8, &["look"], "H:8"), Offered::Wake(2));
         assert_eq!(fleet.offer(0, 9, &["look"], "H:9"), Offered::Full);
-        assert_eq!(fleet.ask(1, Kind::GrabJob, 60), Ok(true));
+        assert_eq!(fleet.ask(1, PacketType::GrabJob, 60), Ok(true));
         assert_eq!(lanes(&mut fleet), [(true, 2, 1)]);
     }
 
@@ -551,10 +551,10 @@
         assert_eq!(fleet.give_up(7), Some(1));
         assert_eq!(lanes(&mut fleet), [(true, 1, 1)], "its lane is not dealt twice");
         assert_eq!(fleet.work(1, b"H:7"), Work::Orphan);
-        assert_eq!(fleet.ask(1, Kind::GrabJob, 60), Ok(false), "it has a job");
+        assert_eq!(fleet.ask(1, PacketType::GrabJob, 60), Ok(false), "it has a job");
         fleet.done(1);
         assert_eq!(lanes(&mut fleet), [(true, 2, 1)]);
-        assert_eq!(fleet.ask(1, Kind::GrabJob, 60), Ok(true));
+        assert_eq!(fleet.ask(1, PacketType::GrabJob, 60), Ok(true));
         assert_eq!(fleet.offer(0, 8, &["look"], "H:8"), Offered::Asked(1));
         assert!(fleet.assign(1).is_some());
         assert_eq!(fleet.work(1, b"H:7"), Work::Strange);
--- a/crates/gearman/src/packet.rs
+++ b/crates/gearman/src/packet.rs
@@ -21,18 +21,18 @@
     ($($(#[$doc:meta])* $name:ident = $number:literal, $wire:literal, $fields:literal;)*) => {
         /// What a packet is. The numbers are those of the published protocol.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-        pub enum Kind {
+        pub enum PacketType {
             $($(#[$doc])* $name = $number,)*
         }
 
-        impl Kind {
+        impl PacketType {
             /// All of them.
-            pub const ALL: &'static [Kind] = &[$(Kind::$name,)*];
+            pub const ALL: &'static [PacketType] = &[$(PacketType::$name,)*];
 
             /// The kind with this number.
-            pub fn of(number: u32) -> Option<Kind> {
+            pub fn from_number(number: u32) -> Option<PacketType> {
                 match number {
-                    $($number => Some(Kind::$name),)*
+                    $($number => Some(PacketType::$name),)*
                     _ => None,
                 }
             }
@@ -40,14 +40,14 @@
             /// Its name in the protocol.
             pub fn name(self) -> &'static str {
                 match self {
-                    $(Kind::$name => $wire,)*
+                    $(PacketType::$name => $wire,)*
                 }
             }
 
             /// How many arguments it has.
-            pub fn fields(self) -> usize {
+            pub fn argument_count(self) -> usize {
                 match self {
-                    $(Kind::$name => $fields,)*
+                    $(PacketType::$name => $fields,)*
                 }
             }
         }
@@ -139,7 +139,7 @@
     StatusResUnique = 42, "STATUS_RES_UNIQUE", 6;
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for PacketType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -161,12 +161,12 @@
     },
     /// There is no such type; the packet was skipped.
     #[error("there is no packet of type {0}")]
-    Kind(u32),
+    UnknownType(u32),
     /// The arguments are too few or too many; the packet was skipped.
     #[error("{kind} has {due} arguments, not {found}")]
     Fields {
         /// What it should be.
-        kind: Kind,
+        kind: PacketType,
         /// How many arguments are due.
         due: usize,
         /// How many there are.
@@ -178,7 +178,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
     /// What it is.
-    pub kind: Kind,
+    pub packet_type: PacketType,
     /// All its arguments.
     data: &'a [u8],
 }
@@ -211,8 +211,10 @@
     }
     let length = HEAD + size as usize;
     let Some(data) = bytes.get(HEAD..length) else { return Ok(Read::Partial) };
-    let Some(kind) = Kind::of(number) else { return Ok(Read::Unusable(Fault::Kind(number), length)) };
-    let packet = Packet { kind, data };
+    let Some(kind) = PacketType::from_number(number) else {
+        return Ok(Read::Unusable(Fault::UnknownType(number), length));
+    };
+    let packet = Packet { packet_type: kind, data };
     Ok(match packet.check() {
         Ok(()) => Read::Whole(packet, length),
         Err(fault) => Read::Unusable(fault, length),
@@ -221,13 +223,13 @@
 
 impl<'a> Packet<'a> {
     fn check(&self) -> Result<(), Fault> {
-        let due = self.kind.fields();
+        let due = self.packet_type.argument_count();
         // The last argument may hold anything, NULs too; a packet without arguments holds nothing.
         let found = match due {
             0 => usize::from(!self.data.is_empty()),
             _ => 1 + self.data.iter().filter(|&&byte| byte == 0).take(due - 1).count(),
         };
-        if found == due { Ok(()) } else { Err(Fault::Fields { kind: self.kind, due, found }) }
+        if found == due { Ok(()) } else { Err(Fault::Fields { kind: self.packet_type, due, found }) }
     }
 
     /// Its arguments. A packet that was read whole has as many as its kind.
@@ -238,7 +240,7 @@
 }
 
 /// Writes a packet.
-pub fn write(from: From, kind: Kind, fields: &[&[u8]]) -> Vec<u8> {
+pub fn write(from: From, kind: PacketType, fields: &[&[u8]]) -> Vec<u8> {
     let size = fields.iter().map(|field| field.len()).sum::<usize>() + fields.len().saturating_sub(1);
     let mut bytes = Vec::with_capacity(HEAD + size);
     bytes.extend_from_slice(if from == From::Peer { &REQUEST } else { &RESPONSE });
@@ -259,12 +261,12 @@
 
     #[test]
     fn a_packet_is_whole_only_with_its_last_byte() {
-        let bytes = write(From::Peer, Kind::SubmitJob, &[b"look", b"u1", b"a\0b"]);
+        let bytes = write(From::Peer, PacketType::SubmitJob, &[b"look", b"u1", b"a\0b"]);
         for cut in 0..bytes.len() {
             assert_eq!(read(&bytes[..cut], From::Peer, 100), Ok(Read::Partial), "cut at {cut}");
         }
         let Ok(Read::Whole(packet, length)) = read(&bytes, From::Peer, 100) else { panic!("it is whole") };
-        assert_eq!((packet.kind, length), (Kind::SubmitJob, bytes.len()));
+        assert_eq!((packet.packet_type, length), (PacketType::SubmitJob, bytes.len()));
         assert_eq!(packet.fields::<3>(), [&b"look"[..], b"u1", b"a\0b"]);
     }
 
@@ -275,17 +277,17 @@
         let huge = [&REQUEST[..], &7_u32.to_be_bytes(), &u32::MAX.to_be_bytes()].concat();
         assert_eq!(read(&huge, From::Peer, 100), Err(Fault::Size { size: u32::MAX, limit: 100 }));
         let unknown = [&REQUEST[..], &99_u32.to_be_bytes(), &2_u32.to_be_bytes(), b"ab"].concat();
-        assert_eq!(read(&unknown, From::Peer, 100), Ok(Read::Unusable(Fault::Kind(99), 14)));
-        let few = write(From::Peer, Kind::SubmitJob, &[b"look", b"u1"]);
-        let fault = Fault::Fields { kind: Kind::SubmitJob, due: 3, found: 2 };
+        assert_eq!(read(&unknown, From::Peer, 100), Ok(Read::Unusable(Fault::UnknownType(99), 14)));
+        let few = write(From::Peer, PacketType::SubmitJob, &[b"look", b"u1"]);
+        let fault = Fault::Fields { kind: PacketType::SubmitJob, due: 3, found: 2 };
         assert_eq!(read(&few, From::Peer, 100), Ok(Read::Unusable(fault, few.len())));
-        let many = write(From::Peer, Kind::GrabJob, &[b"x"]);
-        let fault = Fault::Fields { kind: Kind::GrabJob, due: 0, found: 1 };
+        let many = write(From::Peer, PacketType::GrabJob, &[b"x"]);
+        let fault = Fault::Fields { kind: PacketType::GrabJob, due: 0, found: 1 };
         assert_eq!(read(&many, From::Peer, 100), Ok(Read::Unusable(fault, many.len())));
     }
 
     #[test]
     fn every_kind_has_its_own_number_and_is_found_by_it() {
-        assert!(Kind::ALL.iter().all(|&kind| Kind::of(kind as u32) == Some(kind)));
+        assert!(PacketType::ALL.iter().all(|&kind| PacketType::from_number(kind as u32) == Some(kind)));
     }
 }
--- a/crates/gearman/tests/properties.rs
+++ b/crates/gearman/tests/properties.rs
@@ -1,24 +1,24 @@
 //! What holds for any bytes and any order.
 
 use calicolb_gearman::fleet::{Fleet, Lost, Offered};
-use calicolb_gearman::packet::{From, Kind, Read, read, write};
+use calicolb_gearman::packet::{From, PacketType, Read, read, write};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::HashSet;
 
 const LIMIT: usize = 4096;
 
-fn kind() -> impl Strategy<Value = Kind> {
-    (0..Kind::ALL.len()).prop_map(|nr| Kind::ALL[nr])
+fn kind() -> impl Strategy<Value = PacketType> {
+    (0..PacketType::ALL.len()).prop_map(|nr| PacketType::ALL[nr])
 }
 
 /// A packet with as many arguments as its kind has: names without a zero, and a last one that may hold anything.
-fn packet() -> impl Strategy<Value = (Kind, Vec<Vec<u8>>)> {
+fn packet() -> impl Strategy<Value = (PacketType, Vec<Vec<u8>>)> {
     kind().prop_flat_map(|kind| {
-        let names = vec(vec(1_u8..=255, 0..20), kind.fields().saturating_sub(1));
+        let names = vec(vec(1_u8..=255, 0..20), kind.argument_count().saturating_sub(1));
         let last = vec(any::<u8>(), 0..200);
         (names, last).prop_map(move |(mut fields, last)| {
-            if kind.fields() > 0 {
+            if kind.argument_count() > 0 {
                 fields.push(last);
             }
             (kind, fields)
@@ -27,7 +27,7 @@
 }
 
 /// Reads all packets of a stream that comes in parts of these lengths.
-fn heard(stream: &[u8], parts: &[usize]) -> Vec<(Kind, Vec<u8>)> {
+fn heard(stream: &[u8], parts: &[usize]) -> Vec<(PacketType, Vec<u8>)> {
     let (mut held, mut at, mut heard) = (Vec::new(), 0, Vec::new());
     let mut lengths = parts.iter().copied().cycle();
     while at < stream.len() {
@@ -37,7 +37,7 @@
         loop {
             match read(&held, From::Peer, LIMIT).expect("the stream is sound") {
                 Read::Whole(packet, length) => {
-                    heard.push((packet.kind, packet.fields::<1>()[0].to_vec()));
+                    heard.push((packet.packet_type, packet.fields::<1>()[0].to_vec()));
                     held.drain(..length);
                 }
                 Read::Partial => break,
@@ -55,7 +55,7 @@
         packets in vec(packet(), 1..20),
         parts in vec(1_usize..64, 1..10),
     ) {
-        let bytes = |(kind, fields): &(Kind, Vec<Vec<u8>>)| {
+        let bytes = |(kind, fields): &(PacketType, Vec<Vec<u8>>)| {
             write(From::Peer, *kind, &fields.iter().map(Vec::as_slice).collect::<Vec<_>>())
         };
         let stream: Vec<u8> = packets.iter().flat_map(bytes).collect();
@@ -86,7 +86,7 @@
                 0 => drop(fleet.can_do(conn, "look", 0)),
                 1 => drop(fleet.sleep(conn, 1)),
                 2 => {
-                    if fleet.ask(conn, Kind::GrabJob, 1) == Ok(true)
+                    if fleet.ask(conn, PacketType::GrabJob, 1) == Ok(true)
                         && let Some((_, given, _)) = fleet.assign(conn)
                     {
                         prop_assert!(out.contains(&given.attempt));
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{CLASSES, Job, Plan};
 use crate::workers::{Line, exchange};
-use calicolb_gearman::packet::Kind;
+use calicolb_gearman::packet::PacketType;
 use indicatif::ProgressBar;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -112,17 +112,19 @@
     let Some(mut line) = take(&pool.gearman).or_else(|| Line::connect(at).ok()) else { return Told::Nothing };
     let fields = [class.name.as_bytes(), job.id.as_bytes(), body(job).as_bytes()].map(<[u8]>::to_vec);
     let fields = fields.each_ref().map(Vec::as_slice);
-    if line.send(Kind::SubmitJob, &fields).is_err() {
+    if line.send(PacketType::SubmitJob, &fields).is_err() {
         return Told::Nothing;
     }
     let told = loop {
         match line.next::<2>(Some(wait)) {
-            Ok((Kind::WorkComplete, [_, result])) if result == format!("done {}", job.id).as_bytes() => {
+            Ok((PacketType::WorkComplete, [_, result]))
+                if result == format!("done {}", job.id).as_bytes() =>
+            {
                 break Told::Served;
             }
-            Ok((Kind::WorkFail, _)) => break Told::Failed,
-            Ok((Kind::Error, [code, _])) if code == b"BUSY" => break Told::Refused,
-            Ok((Kind::JobCreated | Kind::WorkStatus | Kind::WorkData, _)) => {}
+            Ok((PacketType::WorkFail, _)) => break Told::Failed,
+            Ok((PacketType::Error, [code, _])) if code == b"BUSY" => break Told::Refused,
+            Ok((PacketType::JobCreated | PacketType::WorkStatus | PacketType::WorkData, _)) => {}
             Ok(_) | Err(_) => return Told::Nothing,
         }
     };
--- a/crates/rig/src/workers.rs
+++ b/crates/rig/src/workers.rs
@@ -1,7 +1,7 @@
 //! Stand-in workers: they sleep for as long as a job's work says, slower while they are cold.
 
 use crate::ledger::Ledger;
-use calicolb_gearman::packet::{From, Kind, Read as Found, read, write};
+use calicolb_gearman::packet::{From, PacketType, Read as Found, read, write};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -256,17 +256,17 @@
     }
 
     /// Sends a packet.
-    pub fn send(&mut self, kind: Kind, fields: &[&[u8]]) -> io::Result<()> {
+    pub fn send(&mut self, kind: PacketType, fields: &[&[u8]]) -> io::Result<()> {
         self.stream.write_all(&write(From::Peer, kind, fields))
     }
 
     /// Waits for a packet: its kind and its first `N` arguments, the last of which holds the rest.
-    pub fn next<const N: usize>(&mut self, wait: Option<Duration>) -> io::Result<(Kind, [Vec<u8>; N])> {
+    pub fn next<const N: usize>(&mut self, wait: Option<Duration>) -> io::Result<(PacketType, [Vec<u8>; N])> {
         self.stream.set_read_timeout(wait)?;
         loop {
             match read(&self.held, From::Server, LIMIT) {
                 Ok(Found::Whole(packet, length)) => {
-                    let found = (packet.kind, packet.fields::<N>().map(<[u8]>::to_vec));
+                    let found = (packet.packet_type, packet.fields::<N>().map(<[u8]>::to_vec));
                     self.held.drain(..length);
                     return Ok(found);
                 }
@@ -291,9 +291,9 @@
 }
 
 fn able(line: &mut Line, name: &str) -> io::Result<()> {
-    line.send(Kind::SetClientId, &[name.as_bytes()])?;
+    line.send(PacketType::SetClientId, &[name.as_bytes()])?;
     for class in &crate::load::CLASSES {
-        line.send(Kind::CanDo, &[class.name.as_bytes()])?;
+        line.send(PacketType::CanDo, &[class.name.as_bytes()])?;
     }
     Ok(())
 }
@@ -301,38 +301,38 @@
 fn lane(worker: &Worker, at: SocketAddr) -> io::Result<()> {
     let mut line = Line::connect(at)?;
     able(&mut line, &worker.name)?;
-    line.send(Kind::GrabJobUniq, &[])?;
+    line.send(PacketType::GrabJobUniq, &[])?;
     // It has asked, and has no answer yet.
     let mut asked = true;
     loop {
         if worker.leaving.load(Ordering::Relaxed) {
             // Something may be on its way already: it is done, then the worker goes.
-            line.send(Kind::ResetAbilities, &[])?;
-            line.send(Kind::GrabJobUniq, &[])?;
+            line.send(PacketType::ResetAbilities, &[])?;
+            line.send(PacketType::GrabJobUniq, &[])?;
             return loop {
                 match line.next::<4>(Some(LOOK * 50))? {
-                    (Kind::JobAssignUniq, [handle, _, _, body]) => {
+                    (PacketType::JobAssignUniq, [handle, _, _, body]) => {
                         break complete(worker, &mut line, &handle, &body);
                     }
                     // The answer to an earlier one may come first: the second has nothing on its way behind it.
-                    (Kind::NoJob, _) if asked => asked = false,
-                    (Kind::NoJob, _) => break Ok(()),
+                    (PacketType::NoJob, _) if asked => asked = false,
+                    (PacketType::NoJob, _) => break Ok(()),
                     _ => {}
                 }
             };
         }
         match line.next::<4>(Some(LOOK)) {
-            Ok((Kind::JobAssignUniq, [handle, _, _, body])) => {
+            Ok((PacketType::JobAssignUniq, [handle, _, _, body])) => {
                 complete(worker, &mut line, &handle, &body)?;
-                line.send(Kind::GrabJobUniq, &[])?;
+                line.send(PacketType::GrabJobUniq, &[])?;
                 asked = true;
             }
-            Ok((Kind::NoJob, _)) => {
-                line.send(Kind::PreSleep, &[])?;
+            Ok((PacketType::NoJob, _)) => {
+                line.send(PacketType::PreSleep, &[])?;
                 asked = false;
             }
-            Ok((Kind::Noop, _)) => {
-                line.send(Kind::GrabJobUniq, &[])?;
+            Ok((PacketType::Noop, _)) => {
+                line.send(PacketType::GrabJobUniq, &[])?;
                 asked = true;
             }
             Ok(_) => {}
@@ -344,7 +344,7 @@
 
 fn complete(worker: &Worker, line: &mut Line, handle: &[u8], body: &[u8]) -> io::Result<()> {
     let result = worker.run(body);
-    line.send(Kind::WorkComplete, &[handle, &result])
+    line.send(PacketType::WorkComplete, &[handle, &result])
 }
 
 /// Connections of workers that sleep, and are never woken.
@@ -352,10 +352,10 @@
     let one = |nr: usize| {
         let mut line = Line::connect(at)?;
         able(&mut line, &format!("sleeper-{}", nr / 4))?;
-        line.send(Kind::PreSleep, &[])?;
+        line.send(PacketType::PreSleep, &[])?;
         // Its answer says that the connection was taken, and does not only wait to be.
-        line.send(Kind::EchoReq, &[b"here"])?;
-        while line.next::<1>(Some(LOOK * 100))?.0 != Kind::EchoRes {}
+        line.send(PacketType::EchoReq, &[b"here"])?;
+        while line.next::<1>(Some(LOOK * 100))?.0 != PacketType::EchoRes {}
         Ok(line)
     };
     (0..count)
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -13,7 +13,7 @@
 use calicolb_gearman::admin::LINE;
 use calicolb_gearman::book::Mail;
 use calicolb_gearman::fleet::Lost;
-use calicolb_gearman::packet::{self, From, HEAD, Kind, Read, write};
+use calicolb_gearman::packet::{self, From, HEAD, PacketType, Read, write};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::io::ErrorKind;
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn error(&mut self, ctx: &mut Context<'_>, token: ConnId, code: &str, text: &str) {
-        self.put(ctx, token, &write(From::Server, Kind::Error, &[code.as_bytes(), text.as_bytes()]));
+        self.put(ctx, token, &write(From::Server, PacketType::Error, &[code.as_bytes(), text.as_bytes()]));
     }
 
     /// The last word to a peer that is out of step.
@@ -245,7 +245,7 @@
                 false
             }
             Ok(Read::Whole(found, length)) => {
-                if !submits(found.kind) && self.book.owes(token) {
+                if !submits(found.packet_type) && self.book.owes(token) {
                     // Answers go out in order, and the one to a submission is known at the end of the turn.
                     self.blocked.insert(token);
                     return false;
@@ -265,7 +265,8 @@
             }
             Err(fault) => {
                 log_line!("a Gearman peer is out of step: {fault}");
-                let last = write(From::Server, Kind::Error, &[b"BAD_PACKET", fault.to_string().as_bytes()]);
+                let last =
+                    write(From::Server, PacketType::Error, &[b"BAD_PACKET", fault.to_string().as_bytes()]);
                 self.part_with(ctx, token, &last);
                 false
             }
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -23,7 +23,7 @@
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::{Book, End};
 use calicolb_gearman::fleet::{Fleet, HopNr, Offered};
-use calicolb_gearman::packet::{From, Kind, write};
+use calicolb_gearman::packet::{From, PacketType, write};
 use conns::Conn;
 use mio::net::TcpListener;
 use mio::{Interest, Token};
@@ -147,7 +147,8 @@
                 if conn.ending || conn.buffer.has_output() || conn.begun.is_none() {
                     return self.drop_conn(ctx, token);
                 }
-                let last = write(From::Server, Kind::Error, &[b"TOO_SLOW", b"a packet has not come whole"]);
+                let last =
+                    write(From::Server, PacketType::Error, &[b"TOO_SLOW", b"a packet has not come whole"]);
                 self.part_with(ctx, token, &last);
             }
         }
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -11,7 +11,7 @@
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::Submission;
 use calicolb_gearman::fleet::Work;
-use calicolb_gearman::packet::{From, Kind, Packet, write};
+use calicolb_gearman::packet::{From, Packet, PacketType, write};
 use std::hash::BuildHasher;
 use std::rc::Rc;
 
@@ -23,34 +23,37 @@
 
 impl Gearman {
     pub(super) fn packet(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
-        match packet.kind {
+        match packet.packet_type {
             kind if submits(kind) => self.submit(ctx, token, packet),
-            Kind::SubmitJobSched | Kind::SubmitJobEpoch | Kind::SubmitReduceJob | Kind::SubmitReduceJobBg => {
-                let text = format!("{} is not spoken here", packet.kind);
+            PacketType::SubmitJobSched
+            | PacketType::SubmitJobEpoch
+            | PacketType::SubmitReduceJob
+            | PacketType::SubmitReduceJobBg => {
+                let text = format!("{} is not spoken here", packet.packet_type);
                 self.error(ctx, token, "NOT_SUPPORTED", &text);
             }
-            Kind::GetStatus => {
+            PacketType::GetStatus => {
                 let [handle] = packet.fields();
                 let answer = self.book.status(handle);
                 self.put(ctx, token, &answer);
             }
-            Kind::GetStatusUnique => {
+            PacketType::GetStatusUnique => {
                 let [unique] = packet.fields();
                 let answer = self.book.status_unique(unique);
                 self.put(ctx, token, &answer);
             }
-            Kind::EchoReq => {
+            PacketType::EchoReq => {
                 let [bytes] = packet.fields();
-                self.put(ctx, token, &write(From::Server, Kind::EchoRes, &[bytes]));
+                self.put(ctx, token, &write(From::Server, PacketType::EchoRes, &[bytes]));
             }
-            Kind::OptionReq => match packet.fields() {
+            PacketType::OptionReq => match packet.fields() {
                 [b"exceptions"] => {
                     self.book.with_exceptions(token);
-                    self.put(ctx, token, &write(From::Server, Kind::OptionRes, &[b"exceptions"]));
+                    self.put(ctx, token, &write(From::Server, PacketType::OptionRes, &[b"exceptions"]));
                 }
                 [_] => self.error(ctx, token, "UNKNOWN_OPTION", "the one option is 'exceptions'"),
             },
-            Kind::SetClientId => {
+            PacketType::SetClientId => {
                 let [id] = packet.fields();
                 let named = name(id).is_some_and(|id| self.fleet.name(token, id, ctx.now));
                 if !named {
@@ -59,29 +62,32 @@
                     self.error(ctx, token, "BAD_CLIENT_ID", text);
                 }
             }
-            Kind::CanDo | Kind::CanDoTimeout | Kind::CantDo | Kind::ResetAbilities => {
+            PacketType::CanDo
+            | PacketType::CanDoTimeout
+            | PacketType::CantDo
+            | PacketType::ResetAbilities => {
                 self.ability(ctx, token, packet);
             }
-            Kind::PreSleep => match self.fleet.sleep(token, ctx.now) {
+            PacketType::PreSleep => match self.fleet.sleep(token, ctx.now) {
                 Ok(true) => self.wake(ctx, token),
                 Ok(false) => {}
                 Err(error) => self.error(ctx, token, "TOO_MANY", &error.to_string()),
             },
-            Kind::GrabJob | Kind::GrabJobUniq | Kind::GrabJobAll => {
-                match self.fleet.ask(token, packet.kind, ctx.now) {
+            PacketType::GrabJob | PacketType::GrabJobUniq | PacketType::GrabJobAll => {
+                match self.fleet.ask(token, packet.packet_type, ctx.now) {
                     // What the module sends in this turn may be for it.
                     Ok(true) => self.asking.push(token),
-                    Ok(false) => self.put(ctx, token, &write(From::Server, Kind::NoJob, &[])),
+                    Ok(false) => self.put(ctx, token, &write(From::Server, PacketType::NoJob, &[])),
                     Err(error) => self.error(ctx, token, "TOO_MANY", &error.to_string()),
                 }
             }
-            Kind::WorkComplete
-            | Kind::WorkFail
-            | Kind::WorkData
-            | Kind::WorkWarning
-            | Kind::WorkStatus
-            | Kind::WorkException => self.report(ctx, token, packet),
-            Kind::AllYours => {}
+            PacketType::WorkComplete
+            | PacketType::WorkFail
+            | PacketType::WorkData
+            | PacketType::WorkWarning
+            | PacketType::WorkStatus
+            | PacketType::WorkException => self.report(ctx, token, packet),
+            PacketType::AllYours => {}
             kind => {
                 self.error(ctx, token, "UNEXPECTED_PACKET", &format!("{kind} is for a job server to send"))
             }
@@ -90,16 +96,16 @@
 
     pub(super) fn ability(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
         let [first, second] = packet.fields();
-        let withdrawn = match (packet.kind, name(first)) {
-            (Kind::ResetAbilities, _) => self.fleet.reset(token),
+        let withdrawn = match (packet.packet_type, name(first)) {
+            (PacketType::ResetAbilities, _) => self.fleet.reset(token),
             (_, None) => return self.error(ctx, token, "BAD_FUNCTION", "a function is 1 to 256 characters"),
-            (Kind::CantDo, Some(function)) => self.fleet.cant_do(token, function),
+            (PacketType::CantDo, Some(function)) => self.fleet.cant_do(token, function),
             // Workers may do more than this site asks for; who announces it without end must not fill the memory.
             (_, Some(function)) if !self.config.functions.iter().any(|known| known.name == function) => {
                 return log_line!(debug: function, "a worker can do what no function of the operator file is");
             }
             (kind, Some(function)) => {
-                let limit = if kind == Kind::CanDoTimeout { number(second) } else { Some(0) };
+                let limit = if kind == PacketType::CanDoTimeout { number(second) } else { Some(0) };
                 let Some(limit) = limit else {
                     return self.error(ctx, token, "BAD_TIMEOUT", "the time is a number of seconds");
                 };
@@ -140,7 +146,7 @@
         } else {
             unique.to_vec()
         };
-        let (priority, background) = urgency(packet.kind);
+        let (priority, background) = urgency(packet.packet_type);
         let submission = Submission { conn: token, function: function.name.clone(), unique, background };
         if let Some(job) = self.book.same(&submission) {
             self.book.join(job, &submission);
@@ -215,22 +221,24 @@
                 return self.error(ctx, token, "JOB_NOT_FOUND", text);
             }
         };
-        if matches!(packet.kind, Kind::WorkComplete | Kind::WorkFail) {
+        if matches!(packet.packet_type, PacketType::WorkComplete | PacketType::WorkFail) {
             ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::Idle));
             self.fleet.done(token);
         }
         let Some(attempt) = attempt else { return };
         let Some(conn) = self.conns.get_mut(&token) else { return };
-        let part = match packet.kind {
-            Kind::WorkComplete => {
+        let part = match packet.packet_type {
+            PacketType::WorkComplete => {
                 let mut result = std::mem::take(&mut conn.parts);
                 result.extend_from_slice(rest);
                 return ctx.request_table.attempt_succeeded(ctx.now, attempt, result, None);
             }
-            Kind::WorkFail => return ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Error, None),
-            Kind::WorkData => PartialResult::Data(rest.to_vec()),
-            Kind::WorkWarning => PartialResult::Warning(rest.to_vec()),
-            Kind::WorkException => PartialResult::Exception(rest.to_vec()),
+            PacketType::WorkFail => {
+                return ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Error, None);
+            }
+            PacketType::WorkData => PartialResult::Data(rest.to_vec()),
+            PacketType::WorkWarning => PartialResult::Warning(rest.to_vec()),
+            PacketType::WorkException => PartialResult::Exception(rest.to_vec()),
             _ => {
                 let mut numbers = rest.split(|&byte| byte == 0);
                 let mut next = || numbers.next().and_then(number);
@@ -257,26 +265,26 @@
 }
 
 /// The packets that submit a job that is taken here.
-pub(super) fn submits(kind: Kind) -> bool {
+pub(super) fn submits(kind: PacketType) -> bool {
     matches!(
         kind,
-        Kind::SubmitJob
-            | Kind::SubmitJobHigh
-            | Kind::SubmitJobLow
-            | Kind::SubmitJobBg
-            | Kind::SubmitJobHighBg
-            | Kind::SubmitJobLowBg
+        PacketType::SubmitJob
+            | PacketType::SubmitJobHigh
+            | PacketType::SubmitJobLow
+            | PacketType::SubmitJobBg
+            | PacketType::SubmitJobHighBg
+            | PacketType::SubmitJobLowBg
     )
 }
 
 /// The priority of a submission, from low to high, and whether it is for the background.
-fn urgency(kind: Kind) -> (usize, bool) {
+fn urgency(kind: PacketType) -> (usize, bool) {
     match kind {
-        Kind::SubmitJobLow => (0, false),
-        Kind::SubmitJobHigh => (2, false),
-        Kind::SubmitJobLowBg => (0, true),
-        Kind::SubmitJobHighBg => (2, true),
-        Kind::SubmitJobBg => (1, true),
+        PacketType::SubmitJobLow => (0, false),
+        PacketType::SubmitJobHigh => (2, false),
+        PacketType::SubmitJobLowBg => (0, true),
+        PacketType::SubmitJobHighBg => (2, true),
+        PacketType::SubmitJobBg => (1, true),
         _ => (1, false),
     }
 }
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -109,7 +109,7 @@
         &mut self,
         gearman: &mut Gearman,
         (peer, token): (&mut TcpStream, ConnId),
-        words: &[(Kind, &[&[u8]])],
+        words: &[(PacketType, &[&[u8]])],
     ) {
         let bytes: Vec<u8> =
             words.iter().flat_map(|(kind, fields)| write(From::Peer, *kind, fields)).collect();
@@ -131,14 +131,14 @@
     let (mut worker, at) = table.connect(&mut gearman);
     rustix::net::sockopt::set_socket_send_buffer_size(&gearman.conns[&at].stream, room)
         .expect("it can be set");
-    let able: [(Kind, &[&[u8]]); 2] = [(Kind::CanDo, &[b"book"]), (Kind::PreSleep, &[])];
+    let able: [(PacketType, &[&[u8]]); 2] = [(PacketType::CanDo, &[b"book"]), (PacketType::PreSleep, &[])];
     table.say(&mut gearman, (&mut worker, at), &able);
     table.turn(&mut gearman);
     let (mut client, of) = table.connect(&mut gearman);
     let body = vec![b'x'; 60_000];
-    table.say(&mut gearman, (&mut client, of), &[(Kind::SubmitJob, &[b"book", b"", &body])]);
+    table.say(&mut gearman, (&mut client, of), &[(PacketType::SubmitJob, &[b"book", b"", &body])]);
     assert_eq!(table.turn(&mut gearman), [], "it is taken");
-    table.say(&mut gearman, (&mut worker, at), &[(Kind::GrabJob, &[])]);
+    table.say(&mut gearman, (&mut worker, at), &[(PacketType::GrabJob, &[])]);
     table.turn(&mut gearman);
     let whole = gearman.conns[&at].assigning.is_none();
     table.with(|ctx| gearman.drop_conn(ctx, at));
--- a/src/net/gearman/workers.rs
+++ b/src/net/gearman/workers.rs
@@ -5,17 +5,17 @@
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::request_table::AttemptId;
 use calicolb_gearman::ConnId;
-use calicolb_gearman::packet::{From, Kind, write};
+use calicolb_gearman::packet::{From, PacketType, write};
 
 impl Gearman {
     pub(super) fn wake(&mut self, ctx: &mut Context<'_>, token: ConnId) {
-        self.put(ctx, token, &write(From::Server, Kind::Noop, &[]));
+        self.put(ctx, token, &write(From::Server, PacketType::Noop, &[]));
     }
 
     /// Answers a connection that asks for work.
     pub(super) fn assign(&mut self, ctx: &mut Context<'_>, token: ConnId) {
         let Some((how, given, from)) = self.fleet.assign(token) else {
-            return self.put(ctx, token, &write(From::Server, Kind::NoJob, &[]));
+            return self.put(ctx, token, &write(From::Server, PacketType::NoJob, &[]));
         };
         ctx.deadlines.clear(Deadline::Connection(from, ConnectionTimer::OfferTimeout));
         let Some(payload) = self.offers.remove(&given.attempt) else {
@@ -28,13 +28,13 @@
         let unique = job.and_then(|job| self.book.unique(job)).unwrap_or(payload.name.as_bytes());
         let (handle, function) = (given.handle.as_bytes(), given.function.as_bytes());
         let bytes = match how {
-            Kind::GrabJobUniq => {
-                write(From::Server, Kind::JobAssignUniq, &[handle, function, unique, &payload.body])
+            PacketType::GrabJobUniq => {
+                write(From::Server, PacketType::JobAssignUniq, &[handle, function, unique, &payload.body])
             }
-            Kind::GrabJobAll => {
-                write(From::Server, Kind::JobAssignAll, &[handle, function, unique, b"", &payload.body])
+            PacketType::GrabJobAll => {
+                write(From::Server, PacketType::JobAssignAll, &[handle, function, unique, b"", &payload.body])
             }
-            _ => write(From::Server, Kind::JobAssign, &[handle, function, &payload.body]),
+            _ => write(From::Server, PacketType::JobAssign, &[handle, function, &payload.body]),
         };
         if let Some(conn) = self.conns.get_mut(&token) {
             conn.parts.clear();
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -38,7 +38,7 @@
 #[path = "../discovery/mod.rs"]
 mod discovery;
 
-use calicolb_gearman::packet::{From, Kind, Read as Found, read, write};
+use calicolb_gearman::packet::{From, PacketType, Read as Found, read, write};
 use rustix::net::{AddressFamily, SocketType};
 use std::collections::HashMap;
 use std::fs;
@@ -793,8 +793,12 @@
     text
 }
 
-fn kind_of(name: &str) -> Result<Kind, String> {
-    Kind::ALL.iter().copied().find(|kind| kind.name() == name).ok_or_else(|| format!("no packet is a {name}"))
+fn kind_of(name: &str) -> Result<PacketType, String> {
+    PacketType::ALL
+        .iter()
+        .copied()
+        .find(|kind| kind.name() == name)
+        .ok_or_else(|| format!("no packet is a {name}"))
 }
 
 /// The fields of a packet: words, and what stands behind the bar.
@@ -832,13 +836,18 @@
 }
 
 /// Compares a packet with what is wanted, and keeps what is named.
-fn fits(want: &str, kind: &Kind, data: &[u8], kept: &mut HashMap<String, Vec<u8>>) -> Result<(), String> {
+fn fits(
+    want: &str,
+    kind: &PacketType,
+    data: &[u8],
+    kept: &mut HashMap<String, Vec<u8>>,
+) -> Result<(), String> {
     let told = || format!("got {kind} {}", data.escape_ascii());
     if kind_of(want.split(' ').next().unwrap_or(""))? != *kind {
         return Err(told());
     }
     let want = fields(want);
-    let mut parts = data.splitn(kind.fields().max(1), |&byte| byte == 0);
+    let mut parts = data.splitn(kind.argument_count().max(1), |&byte| byte == 0);
     for field in &want {
         let part = parts.next().ok_or_else(told)?;
         if let Some(name) = field.strip_prefix('$') {
@@ -903,11 +912,11 @@
         }
     }
 
-    fn next_packet(&mut self) -> Result<(Kind, Vec<u8>), String> {
+    fn next_packet(&mut self) -> Result<(PacketType, Vec<u8>), String> {
         loop {
             match read(&self.held, From::Server, 1 << 20) {
                 Ok(Found::Whole(packet, length)) => {
-                    let found = (packet.kind, self.held[12..length].to_vec());
+                    let found = (packet.packet_type, self.held[12..length].to_vec());
                     self.held.drain(..length);
                     return Ok(found);
                 }
