--- a/crates/gearman/src/admin.rs
+++ b/crates/gearman/src/admin.rs
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// The answer to a line that is no command.
-pub fn read(line: &[u8]) -> Result<Command, Refusal> {
+pub fn parse(line: &[u8]) -> Result<Command, Refusal> {
     let Ok(text) = std::str::from_utf8(line) else { return refuse("UNKNOWN_COMMAND", "it is not text") };
     let words: Vec<&str> = text.split_ascii_whitespace().collect();
     match words[..] {
@@ -86,14 +86,14 @@
 
     #[test]
     fn commands_are_read_and_the_rest_is_told_what_is_wrong() {
-        assert_eq!(read(b"status"), Ok(Command::Status));
-        assert_eq!(read(b"  show unique   jobs "), Ok(Command::ShowUniqueJobs));
-        assert_eq!(read(b"maxqueue look 7"), Ok(Command::MaxQueue("look".to_owned(), Some(7))));
-        assert_eq!(read(b"maxqueue look -1"), Ok(Command::MaxQueue("look".to_owned(), None)));
-        assert_eq!(read(b"shutdown graceful"), Ok(Command::Shutdown { graceful: true }));
-        assert_eq!(read(b"cancel job H:a:1"), Ok(Command::CancelJob("H:a:1".to_owned())));
-        assert!(read(b"cancel job H:a:1").is_ok_and(|command| command.changes()));
-        let code = |line: &[u8]| read(line).expect_err("it is no command").code;
+        assert_eq!(parse(b"status"), Ok(Command::Status));
+        assert_eq!(parse(b"  show unique   jobs "), Ok(Command::ShowUniqueJobs));
+        assert_eq!(parse(b"maxqueue look 7"), Ok(Command::MaxQueue("look".to_owned(), Some(7))));
+        assert_eq!(parse(b"maxqueue look -1"), Ok(Command::MaxQueue("look".to_owned(), None)));
+        assert_eq!(parse(b"shutdown graceful"), Ok(Command::Shutdown { graceful: true }));
+        assert_eq!(parse(b"cancel job H:a:1"), Ok(Command::CancelJob("H:a:1".to_owned())));
+        assert!(parse(b"cancel job H:a:1").is_ok_and(|command| command.changes()));
+        let code = |line: &[u8]| parse(line).expect_err("it is no command").code;
         assert_eq!(code(b""), "UNKNOWN_COMMAND");
         assert_eq!(code(b"\xff"), "UNKNOWN_COMMAND");
         assert_eq!(code(b"maxqueue look many"), "INVALID_ARGS");
--- a/crates/gearman/src/book.rs
+++ b/crates/gearman/src/book.rs
@@ -2,7 +2,7 @@
 //! it, and whether it is taken at all, is decided elsewhere; the book says what clients are told of that.
 
 use crate::ConnId;
-use crate::packet::{From, PacketType, write};
+use crate::packet::{PacketType, Sender, encode};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// A job, as its host calls it.
@@ -198,12 +198,12 @@
                 job.tries += 1;
                 return Vec::new();
             }
-            Part::Data(data) => write(From::Server, PacketType::WorkData, &[handle, &data]),
-            Part::Warning(data) => write(From::Server, PacketType::WorkWarning, &[handle, &data]),
+            Part::Data(data) => encode(Sender::Server, PacketType::WorkData, &[handle, &data]),
+            Part::Warning(data) => encode(Sender::Server, PacketType::WorkWarning, &[handle, &data]),
             Part::Status(done, of) => {
                 job.progress = (done, of);
                 let (done, of) = (done.to_string(), of.to_string());
-                write(From::Server, PacketType::WorkStatus, &[handle, done.as_bytes(), of.as_bytes()])
+                encode(Sender::Server, PacketType::WorkStatus, &[handle, done.as_bytes(), of.as_bytes()])
             }
             Part::Exception(what) => {
                 job.exception = Some(what);
@@ -241,9 +241,9 @@
                 conn,
                 match &entry.end {
                     Some(End::Refused(come_back)) => {
-                        write(From::Server, PacketType::Error, &[b"BUSY", refusal(*come_back).as_bytes()])
+                        encode(Sender::Server, PacketType::Error, &[b"BUSY", refusal(*come_back).as_bytes()])
                     }
-                    _ => write(From::Server, PacketType::JobCreated, &[entry.handle.as_bytes()]),
+                    _ => encode(Sender::Server, PacketType::JobCreated, &[entry.handle.as_bytes()]),
                 },
             ));
         }
@@ -264,7 +264,7 @@
     fn tell(&self, job: &Job, conn: ConnId, end: &End, mail: &mut Vec<Mail>) {
         let handle = job.handle.as_bytes();
         if let End::Served(result) = end {
-            return mail.push((conn, write(From::Server, PacketType::WorkComplete, &[handle, result])));
+            return mail.push((conn, encode(Sender::Server, PacketType::WorkComplete, &[handle, result])));
         }
         if self.exceptions.contains(&conn) {
             let why = match (&job.exception, end) {
@@ -272,9 +272,9 @@
                 (None, End::Refused(come_back)) => refusal(*come_back).into_bytes(),
                 (None, _) => b"no worker gave a result, and it may have run".to_vec(),
             };
-            mail.push((conn, write(From::Server, PacketType::WorkException, &[handle, &why])));
+            mail.push((conn, encode(Sender::Server, PacketType::WorkException, &[handle, &why])));
         }
-        mail.push((conn, write(From::Server, PacketType::WorkFail, &[handle])));
+        mail.push((conn, encode(Sender::Server, PacketType::WorkFail, &[handle])));
     }
 
     fn remember(&mut self, handle: String, served: bool) {
@@ -328,7 +328,7 @@
         let (known, running, done, of) = self.look(handle);
         let numbers = [known, running, done, of].map(|number| number.to_string());
         let [known, running, done, of] = numbers.each_ref().map(|text| text.as_bytes());
-        write(From::Server, PacketType::StatusRes, &[handle, known, running, done, of])
+        encode(Sender::Server, PacketType::StatusRes, &[handle, known, running, done, of])
     }
 
     fn look(&self, handle: &[u8]) -> (u64, u64, u64, u64) {
@@ -353,7 +353,7 @@
         };
         let numbers = numbers.map(|number| number.to_string());
         let [known, running, done, of, waiting] = numbers.each_ref().map(|text| text.as_bytes());
-        write(From::Server, PacketType::StatusResUnique, &[unique, known, running, done, of, waiting])
+        encode(Sender::Server, PacketType::StatusResUnique, &[unique, known, running, done, of, waiting])
     }
 
     /// Jobs of a function that are open, and those that are with a worker.
@@ -393,15 +393,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::packet::{Read, read};
+    use crate::packet::{Parsed, parse};
 
     fn submission(conn: ConnId, unique: &str, background: bool) -> Submission {
         Submission { conn, function: "look".to_owned(), unique: unique.into(), background }
     }
 
     fn told(mail: &[Mail]) -> Vec<(ConnId, PacketType)> {
-        let kind = |bytes: &[u8]| match read(bytes, From::Server, 1 << 16) {
-            Ok(Read::Whole(packet, _)) => packet.packet_type,
+        let kind = |bytes: &[u8]| match parse(bytes, Sender::Server, 1 << 16) {
+            Ok(Parsed::Complete(packet, _)) => packet.packet_type,
             other => panic!("no packet: {other:?}"),
         };
         mail.iter().map(|(conn, bytes)| (*conn, kind(bytes))).collect()
--- a/crates/gearman/src/packet.rs
+++ b/crates/gearman/src/packet.rs
@@ -10,7 +10,7 @@
 
 /// Who sends a packet: the magic says it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum Sender {
     /// A client or a worker.
     Peer,
     /// The job server.
@@ -185,39 +185,39 @@
 
 /// What stands at the beginning of some bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Read<'a> {
+pub enum Parsed<'a> {
     /// Not enough to tell.
-    Partial,
+    Incomplete,
     /// A packet, and its length in bytes.
-    Whole(Packet<'a>, usize),
+    Complete(Packet<'a>, usize),
     /// A packet that cannot be used, and its length in bytes: what follows can be read.
-    Unusable(Fault, usize),
+    Invalid(Fault, usize),
 }
 
 /// Reads a packet from the beginning of these bytes. `limit`: how many bytes of arguments are taken at most.
 ///
 /// # Errors
 /// A fault after which nothing more can be read: the connection is out of step.
-pub fn read(bytes: &[u8], from: From, limit: usize) -> Result<Read<'_>, Fault> {
-    let magic = if from == From::Peer { REQUEST } else { RESPONSE };
+pub fn parse(bytes: &[u8], from: Sender, limit: usize) -> Result<Parsed<'_>, Fault> {
+    let magic = if from == Sender::Peer { REQUEST } else { RESPONSE };
     let seen = bytes.len().min(magic.len());
     if bytes[..seen] != magic[..seen] {
         return Err(Fault::Magic);
     }
     let word = |at: usize| Some(u32::from_be_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
-    let (Some(number), Some(size)) = (word(4), word(8)) else { return Ok(Read::Partial) };
+    let (Some(number), Some(size)) = (word(4), word(8)) else { return Ok(Parsed::Incomplete) };
     if size as usize > limit {
         return Err(Fault::Size { size, limit });
     }
     let length = HEAD + size as usize;
-    let Some(data) = bytes.get(HEAD..length) else { return Ok(Read::Partial) };
+    let Some(data) = bytes.get(HEAD..length) else { return Ok(Parsed::Incomplete) };
     let Some(kind) = PacketType::from_number(number) else {
-        return Ok(Read::Unusable(Fault::UnknownType(number), length));
+        return Ok(Parsed::Invalid(Fault::UnknownType(number), length));
     };
     let packet = Packet { packet_type: kind, data };
     Ok(match packet.check() {
-        Ok(()) => Read::Whole(packet, length),
-        Err(fault) => Read::Unusable(fault, length),
+        Ok(()) => Parsed::Complete(packet, length),
+        Err(fault) => Parsed::Invalid(fault, length),
     })
 }
 
@@ -233,17 +233,17 @@
     }
 
     /// Its arguments. A packet that was read whole has as many as its kind.
-    pub fn fields<const N: usize>(&self) -> [&'a [u8]; N] {
+    pub fn arguments<const N: usize>(&self) -> [&'a [u8]; N] {
         let mut parts = self.data.splitn(N, |&byte| byte == 0);
         std::array::from_fn(|_| parts.next().unwrap_or_default())
     }
 }
 
 /// Writes a packet.
-pub fn write(from: From, kind: PacketType, fields: &[&[u8]]) -> Vec<u8> {
+pub fn encode(from: Sender, kind: PacketType, fields: &[&[u8]]) -> Vec<u8> {
     let size = fields.iter().map(|field| field.len()).sum::<usize>() + fields.len().saturating_sub(1);
     let mut bytes = Vec::with_capacity(HEAD + size);
-    bytes.extend_from_slice(if from == From::Peer { &REQUEST } else { &RESPONSE });
+    bytes.extend_from_slice(if from == Sender::Peer { &REQUEST } else { &RESPONSE });
     bytes.extend_from_slice(&(kind as u32).to_be_bytes());
     bytes.extend_from_slice(&(size as u32).to_be_bytes());
     for (nr, field) in fields.iter().enumerate() {
@@ -261,29 +261,31 @@
 
     #[test]
     fn a_packet_is_whole_only_with_its_last_byte() {
-        let bytes = write(From::Peer, PacketType::SubmitJob, &[b"look", b"u1", b"a\0b"]);
+        let bytes = encode(Sender::Peer, PacketType::SubmitJob, &[b"look", b"u1", b"a\0b"]);
         for cut in 0..bytes.len() {
-            assert_eq!(read(&bytes[..cut], From::Peer, 100), Ok(Read::Partial), "cut at {cut}");
+            assert_eq!(parse(&bytes[..cut], Sender::Peer, 100), Ok(Parsed::Incomplete), "cut at {cut}");
         }
-        let Ok(Read::Whole(packet, length)) = read(&bytes, From::Peer, 100) else { panic!("it is whole") };
+        let Ok(Parsed::Complete(packet, length)) = parse(&bytes, Sender::Peer, 100) else {
+            panic!("it is whole")
+        };
         assert_eq!((packet.packet_type, length), (PacketType::SubmitJob, bytes.len()));
-        assert_eq!(packet.fields::<3>(), [&b"look"[..], b"u1", b"a\0b"]);
+        assert_eq!(packet.arguments::<3>(), [&b"look"[..], b"u1", b"a\0b"]);
     }
 
     #[test]
     fn what_is_out_of_step_ends_and_what_is_only_wrong_is_skipped() {
-        assert_eq!(read(b"\0RE?", From::Peer, 100), Err(Fault::Magic));
-        assert_eq!(read(b"\0RES", From::Peer, 100), Err(Fault::Magic));
+        assert_eq!(parse(b"\0RE?", Sender::Peer, 100), Err(Fault::Magic));
+        assert_eq!(parse(b"\0RES", Sender::Peer, 100), Err(Fault::Magic));
         let huge = [&REQUEST[..], &7_u32.to_be_bytes(), &u32::MAX.to_be_bytes()].concat();
-        assert_eq!(read(&huge, From::Peer, 100), Err(Fault::Size { size: u32::MAX, limit: 100 }));
+        assert_eq!(parse(&huge, Sender::Peer, 100), Err(Fault::Size { size: u32::MAX, limit: 100 }));
         let unknown = [&REQUEST[..], &99_u32.to_be_bytes(), &2_u32.to_be_bytes(), b"ab"].concat();
-        assert_eq!(read(&unknown, From::Peer, 100), Ok(Read::Unusable(Fault::UnknownType(99), 14)));
-        let few = write(From::Peer, PacketType::SubmitJob, &[b"look", b"u1"]);
+        assert_eq!(parse(&unknown, Sender::Peer, 100), Ok(Parsed::Invalid(Fault::UnknownType(99), 14)));
+        let few = encode(Sender::Peer, PacketType::SubmitJob, &[b"look", b"u1"]);
         let fault = Fault::Fields { kind: PacketType::SubmitJob, due: 3, found: 2 };
-        assert_eq!(read(&few, From::Peer, 100), Ok(Read::Unusable(fault, few.len())));
-        let many = write(From::Peer, PacketType::GrabJob, &[b"x"]);
+        assert_eq!(parse(&few, Sender::Peer, 100), Ok(Parsed::Invalid(fault, few.len())));
+        let many = encode(Sender::Peer, PacketType::GrabJob, &[b"x"]);
         let fault = Fault::Fields { kind: PacketType::GrabJob, due: 0, found: 1 };
-        assert_eq!(read(&many, From::Peer, 100), Ok(Read::Unusable(fault, many.len())));
+        assert_eq!(parse(&many, Sender::Peer, 100), Ok(Parsed::Invalid(fault, many.len())));
     }
 
     #[test]
--- a/crates/gearman/tests/properties.rs
+++ b/crates/gearman/tests/properties.rs
@@ -1,7 +1,7 @@
 //! What holds for any bytes and any order.
 
 use calicolb_gearman::fleet::{Fleet, Lost, Offered};
-use calicolb_gearman::packet::{From, PacketType, Read, read, write};
+use calicolb_gearman::packet::{PacketType, Parsed, Sender, encode, parse};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::HashSet;
@@ -35,13 +35,13 @@
         held.extend_from_slice(&stream[at..next]);
         at = next;
         loop {
-            match read(&held, From::Peer, LIMIT).expect("the stream is sound") {
-                Read::Whole(packet, length) => {
-                    heard.push((packet.packet_type, packet.fields::<1>()[0].to_vec()));
+            match parse(&held, Sender::Peer, LIMIT).expect("the stream is sound") {
+                Parsed::Complete(packet, length) => {
+                    heard.push((packet.packet_type, packet.arguments::<1>()[0].to_vec()));
                     held.drain(..length);
                 }
-                Read::Partial => break,
-                Read::Unusable(fault, _) => panic!("{fault}"),
+                Parsed::Incomplete => break,
+                Parsed::Invalid(fault, _) => panic!("{fault}"),
             }
         }
     }
@@ -56,7 +56,7 @@
         parts in vec(1_usize..64, 1..10),
     ) {
         let bytes = |(kind, fields): &(PacketType, Vec<Vec<u8>>)| {
-            write(From::Peer, *kind, &fields.iter().map(Vec::as_slice).collect::<Vec<_>>())
+            encode(Sender::Peer, *kind, &fields.iter().map(Vec::as_slice).collect::<Vec<_>>())
         };
         let stream: Vec<u8> = packets.iter().flat_map(bytes).collect();
         let whole = heard(&stream, &[stream.len()]);
@@ -68,9 +68,9 @@
 
     #[test]
     fn any_bytes_are_read_without_panic(bytes in vec(any::<u8>(), 0..200), size in 0_u32..64) {
-        let _ = read(&bytes, From::Peer, LIMIT);
+        let _ = parse(&bytes, Sender::Peer, LIMIT);
         let framed = [&b"\0REQ"[..], &[0, 0, 0, bytes.len() as u8 % 45], &size.to_be_bytes(), &bytes].concat();
-        if let Ok(Read::Whole(_, length) | Read::Unusable(_, length)) = read(&framed, From::Peer, LIMIT) {
+        if let Ok(Parsed::Complete(_, length) | Parsed::Invalid(_, length)) = parse(&framed, Sender::Peer, LIMIT) {
             prop_assert!(length <= framed.len());
         }
     }
--- a/crates/rig/src/workers.rs
+++ b/crates/rig/src/workers.rs
@@ -1,7 +1,7 @@
 //! Stand-in workers: they sleep for as long as a job's work says, slower while they are cold.
 
 use crate::ledger::Ledger;
-use calicolb_gearman::packet::{From, PacketType, Read as Found, read, write};
+use calicolb_gearman::packet::{PacketType, Parsed as Found, Sender, encode, parse};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -257,20 +257,20 @@
 
     /// Sends a packet.
     pub fn send(&mut self, kind: PacketType, fields: &[&[u8]]) -> io::Result<()> {
-        self.stream.write_all(&write(From::Peer, kind, fields))
+        self.stream.write_all(&encode(Sender::Peer, kind, fields))
     }
 
     /// Waits for a packet: its kind and its first `N` arguments, the last of which holds the rest.
     pub fn next<const N: usize>(&mut self, wait: Option<Duration>) -> io::Result<(PacketType, [Vec<u8>; N])> {
         self.stream.set_read_timeout(wait)?;
         loop {
-            match read(&self.held, From::Server, LIMIT) {
-                Ok(Found::Whole(packet, length)) => {
-                    let found = (packet.packet_type, packet.fields::<N>().map(<[u8]>::to_vec));
+            match parse(&self.held, Sender::Server, LIMIT) {
+                Ok(Found::Complete(packet, length)) => {
+                    let found = (packet.packet_type, packet.arguments::<N>().map(<[u8]>::to_vec));
                     self.held.drain(..length);
                     return Ok(found);
                 }
-                Ok(Found::Partial) => {}
+                Ok(Found::Incomplete) => {}
                 _ => return Err(io::ErrorKind::InvalidData.into()),
             }
             let mut part = [0; 8192];
--- a/src/net/gearman/admin.rs
+++ b/src/net/gearman/admin.rs
@@ -9,7 +9,7 @@
 impl Gearman {
     /// Carries out a line of text; gives its answer.
     pub(super) fn command(&mut self, ctx: &mut Context<'_>, line: &[u8]) -> String {
-        match admin::read(line) {
+        match admin::parse(line) {
             Ok(command) if command.changes() && !self.config.admin_changes => {
                 "ERR NOT_ALLOWED the operator file does not let this port change anything\n".to_owned()
             }
--- a/src/net/gearman/conns.rs
+++ b/src/net/gearman/conns.rs
@@ -13,7 +13,7 @@
 use calicolb_gearman::admin::LINE;
 use calicolb_gearman::book::Mail;
 use calicolb_gearman::fleet::Lost;
-use calicolb_gearman::packet::{self, From, HEAD, PacketType, Read, write};
+use calicolb_gearman::packet::{self, HEAD, PacketType, Parsed, Sender, encode};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::io::ErrorKind;
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn error(&mut self, ctx: &mut Context<'_>, token: ConnId, code: &str, text: &str) {
-        self.put(ctx, token, &write(From::Server, PacketType::Error, &[code.as_bytes(), text.as_bytes()]));
+        self.put(ctx, token, &encode(Sender::Server, PacketType::Error, &[code.as_bytes(), text.as_bytes()]));
     }
 
     /// The last word to a peer that is out of step.
@@ -238,13 +238,13 @@
         if first != 0 {
             return self.line(ctx, token);
         }
-        match packet::read(input, From::Peer, limit) {
-            Ok(Read::Partial) => {
+        match packet::parse(input, Sender::Peer, limit) {
+            Ok(Parsed::Incomplete) => {
                 conn.begun.get_or_insert(ctx.now);
                 conn.rest(ctx, token);
                 false
             }
-            Ok(Read::Whole(found, length)) => {
+            Ok(Parsed::Complete(found, length)) => {
                 if !submits(found.packet_type) && self.book.owes(token) {
                     // Answers go out in order, and the one to a submission is known at the end of the turn.
                     self.blocked.insert(token);
@@ -253,12 +253,12 @@
                 // A copy, for the buffer is needed for answers.
                 let bytes = input[..length].to_vec();
                 conn.heard(ctx.now, length);
-                if let Ok(Read::Whole(found, _)) = packet::read(&bytes, From::Peer, limit) {
+                if let Ok(Parsed::Complete(found, _)) = packet::parse(&bytes, Sender::Peer, limit) {
                     self.packet(ctx, token, found);
                 }
                 true
             }
-            Ok(Read::Unusable(fault, length)) => {
+            Ok(Parsed::Invalid(fault, length)) => {
                 conn.heard(ctx.now, length);
                 self.error(ctx, token, "BAD_PACKET", &fault.to_string());
                 true
@@ -266,7 +266,7 @@
             Err(fault) => {
                 log_line!("a Gearman peer is out of step: {fault}");
                 let last =
-                    write(From::Server, PacketType::Error, &[b"BAD_PACKET", fault.to_string().as_bytes()]);
+                    encode(Sender::Server, PacketType::Error, &[b"BAD_PACKET", fault.to_string().as_bytes()]);
                 self.part_with(ctx, token, &last);
                 false
             }
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -23,7 +23,7 @@
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::{Book, End};
 use calicolb_gearman::fleet::{Fleet, HopNr, Offered};
-use calicolb_gearman::packet::{From, PacketType, write};
+use calicolb_gearman::packet::{PacketType, Sender, encode};
 use conns::Conn;
 use mio::net::TcpListener;
 use mio::{Interest, Token};
@@ -148,7 +148,7 @@
                     return self.drop_conn(ctx, token);
                 }
                 let last =
-                    write(From::Server, PacketType::Error, &[b"TOO_SLOW", b"a packet has not come whole"]);
+                    encode(Sender::Server, PacketType::Error, &[b"TOO_SLOW", b"a packet has not come whole"]);
                 self.part_with(ctx, token, &last);
             }
         }
--- a/src/net/gearman/packets.rs
+++ b/src/net/gearman/packets.rs
@@ -11,7 +11,7 @@
 use calicolb_gearman::ConnId;
 use calicolb_gearman::book::Submission;
 use calicolb_gearman::fleet::Work;
-use calicolb_gearman::packet::{From, Packet, PacketType, write};
+use calicolb_gearman::packet::{Packet, PacketType, Sender, encode};
 use std::hash::BuildHasher;
 use std::rc::Rc;
 
@@ -33,28 +33,28 @@
                 self.error(ctx, token, "NOT_SUPPORTED", &text);
             }
             PacketType::GetStatus => {
-                let [handle] = packet.fields();
+                let [handle] = packet.arguments();
                 let answer = self.book.status(handle);
                 self.put(ctx, token, &answer);
             }
             PacketType::GetStatusUnique => {
-                let [unique] = packet.fields();
+                let [unique] = packet.arguments();
                 let answer = self.book.status_unique(unique);
                 self.put(ctx, token, &answer);
             }
             PacketType::EchoReq => {
-                let [bytes] = packet.fields();
-                self.put(ctx, token, &write(From::Server, PacketType::EchoRes, &[bytes]));
+                let [bytes] = packet.arguments();
+                self.put(ctx, token, &encode(Sender::Server, PacketType::EchoRes, &[bytes]));
             }
-            PacketType::OptionReq => match packet.fields() {
+            PacketType::OptionReq => match packet.arguments() {
                 [b"exceptions"] => {
                     self.book.with_exceptions(token);
-                    self.put(ctx, token, &write(From::Server, PacketType::OptionRes, &[b"exceptions"]));
+                    self.put(ctx, token, &encode(Sender::Server, PacketType::OptionRes, &[b"exceptions"]));
                 }
                 [_] => self.error(ctx, token, "UNKNOWN_OPTION", "the one option is 'exceptions'"),
             },
             PacketType::SetClientId => {
-                let [id] = packet.fields();
+                let [id] = packet.arguments();
                 let named = name(id).is_some_and(|id| self.fleet.name(token, id, ctx.now));
                 if !named {
                     let text =
@@ -77,7 +77,7 @@
                 match self.fleet.ask(token, packet.packet_type, ctx.now) {
                     // What the module sends in this turn may be for it.
                     Ok(true) => self.asking.push(token),
-                    Ok(false) => self.put(ctx, token, &write(From::Server, PacketType::NoJob, &[])),
+                    Ok(false) => self.put(ctx, token, &encode(Sender::Server, PacketType::NoJob, &[])),
                     Err(error) => self.error(ctx, token, "TOO_MANY", &error.to_string()),
                 }
             }
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn ability(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
-        let [first, second] = packet.fields();
+        let [first, second] = packet.arguments();
         let withdrawn = match (packet.packet_type, name(first)) {
             (PacketType::ResetAbilities, _) => self.fleet.reset(token),
             (_, None) => return self.error(ctx, token, "BAD_FUNCTION", "a function is 1 to 256 characters"),
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn submit(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
-        let [function, unique, workload] = packet.fields();
+        let [function, unique, workload] = packet.arguments();
         let declared = |known: &&Function| known.name.as_bytes() == function;
         let Some(function) = self.config.functions.iter().find(declared) else {
             let text =
@@ -211,7 +211,7 @@
     /// A worker tells of what it has at hand.
     pub(super) fn report(&mut self, ctx: &mut Context<'_>, token: ConnId, packet: Packet<'_>) {
         // Each has its handle first; FAIL has nothing else.
-        let [handle, rest] = packet.fields();
+        let [handle, rest] = packet.arguments();
         let assigning = self.conns.get(&token).is_none_or(|conn| conn.assigning.is_some());
         let attempt = match self.fleet.work(token, handle) {
             Work::Attempt(attempt) if !assigning => Some(attempt),
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -112,7 +112,7 @@
         words: &[(PacketType, &[&[u8]])],
     ) {
         let bytes: Vec<u8> =
-            words.iter().flat_map(|(kind, fields)| write(From::Peer, *kind, fields)).collect();
+            words.iter().flat_map(|(kind, fields)| encode(Sender::Peer, *kind, fields)).collect();
         peer.write_all(&bytes).expect("it is read");
         if let Some(conn) = gearman.conns.get_mut(&token) {
             conn.spoke = false;
--- a/src/net/gearman/workers.rs
+++ b/src/net/gearman/workers.rs
@@ -5,17 +5,17 @@
 use crate::net::core::deadlines::{ConnectionTimer, Deadline};
 use crate::net::core::request_table::AttemptId;
 use calicolb_gearman::ConnId;
-use calicolb_gearman::packet::{From, PacketType, write};
+use calicolb_gearman::packet::{PacketType, Sender, encode};
 
 impl Gearman {
     pub(super) fn wake(&mut self, ctx: &mut Context<'_>, token: ConnId) {
-        self.put(ctx, token, &write(From::Server, PacketType::Noop, &[]));
+        self.put(ctx, token, &encode(Sender::Server, PacketType::Noop, &[]));
     }
 
     /// Answers a connection that asks for work.
     pub(super) fn assign(&mut self, ctx: &mut Context<'_>, token: ConnId) {
         let Some((how, given, from)) = self.fleet.assign(token) else {
-            return self.put(ctx, token, &write(From::Server, PacketType::NoJob, &[]));
+            return self.put(ctx, token, &encode(Sender::Server, PacketType::NoJob, &[]));
         };
         ctx.deadlines.clear(Deadline::Connection(from, ConnectionTimer::OfferTimeout));
         let Some(payload) = self.offers.remove(&given.attempt) else {
@@ -29,12 +29,14 @@
         let (handle, function) = (given.handle.as_bytes(), given.function.as_bytes());
         let bytes = match how {
             PacketType::GrabJobUniq => {
-                write(From::Server, PacketType::JobAssignUniq, &[handle, function, unique, &payload.body])
+                encode(Sender::Server, PacketType::JobAssignUniq, &[handle, function, unique, &payload.body])
             }
-            PacketType::GrabJobAll => {
-                write(From::Server, PacketType::JobAssignAll, &[handle, function, unique, b"", &payload.body])
-            }
-            _ => write(From::Server, PacketType::JobAssign, &[handle, function, &payload.body]),
+            PacketType::GrabJobAll => encode(
+                Sender::Server,
+                PacketType::JobAssignAll,
+                &[handle, function, unique, b"", &payload.body],
+            ),
+            _ => encode(Sender::Server, PacketType::JobAssign, &[handle, function, &payload.body]),
         };
         if let Some(conn) = self.conns.get_mut(&token) {
             conn.parts.clear();
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -38,7 +38,7 @@
 #[path = "../discovery/mod.rs"]
 mod discovery;
 
-use calicolb_gearman::packet::{From, PacketType, Read as Found, read, write};
+use calicolb_gearman::packet::{PacketType, Parsed as Found, Sender, encode, parse};
 use rustix::net::{AddressFamily, SocketType};
 use std::collections::HashMap;
 use std::fs;
@@ -832,7 +832,7 @@
     let fields: Vec<Vec<u8>> =
         fields(&text).iter().map(|field| if field == "~" { Vec::new() } else { plain(field) }).collect();
     let fields: Vec<&[u8]> = fields.iter().map(Vec::as_slice).collect();
-    Ok(write(From::Peer, kind, &fields))
+    Ok(encode(Sender::Peer, kind, &fields))
 }
 
 /// Compares a packet with what is wanted, and keeps what is named.
@@ -914,13 +914,13 @@
 
     fn next_packet(&mut self) -> Result<(PacketType, Vec<u8>), String> {
         loop {
-            match read(&self.held, From::Server, 1 << 20) {
-                Ok(Found::Whole(packet, length)) => {
+            match parse(&self.held, Sender::Server, 1 << 20) {
+                Ok(Found::Complete(packet, length)) => {
                     let found = (packet.packet_type, self.held[12..length].to_vec());
                     self.held.drain(..length);
                     return Ok(found);
                 }
-                Ok(Found::Partial) => self.more()?,
+                Ok(Found::Incomplete) => self.more()?,
                 other => return Err(format!("no packet: {other:?}")),
             }
         }
