--- a/crates/gearman/src/lib.rs
+++ b/crates/gearman/src/lib.rs
@@ -1,16 +1,18 @@
 //! The Gearman protocol without I/O and without a clock.
 //!
-//! * [`packet`]: bytes to packets and back, as published for the binary protocol.
-//! * [`admin`]: the text commands on the same port.
-//! * [`fleet`]: workers that pull. Which connection is woken for a job, and which job a connection gets that asks.
-//! * [`book`]: jobs as clients see them. Which submissions are one job, who waits for it, and how it ended.
+//! * [`packet`]: the codec of the binary protocol.
+//! * [`admin`]: the text commands of the administrative protocol, which shares the port.
+//! * [`worker_table`]: the workers, which pull their jobs. It chooses the connection that is woken for a job, and the job
+//!   that an asking connection gets.
+//! * [`job_table`]: the jobs as clients see them. It merges submissions of the same job, and tracks the clients that wait
+//!   for a job and how the job ended.
 //!
-//! Which worker runs a job, whether it is tried again and what is refused is decided elsewhere.
+//! The caller decides which worker runs a job, whether a job is retried, and which jobs are refused.
 
 pub mod admin;
-pub mod book;
-pub mod fleet;
+pub mod job_table;
 pub mod packet;
+pub mod worker_table;
 
-/// A connection, as its host numbers it.
-pub type ConnId = usize;
+/// The number that the caller gave a connection.
+pub type ConnectionId = usize;
--- a/src/net/gearman/mod.rs
+++ b/src/net/gearman/mod.rs
@@ -1,13 +1,13 @@
-//! Gearman: one listener for clients, workers and operators. Here bytes are moved; which connection of a worker gets a
-//! attempt is the fleet's to say, which submissions are one job the book's, and all else the module's. See
-//! `docs/gearman.md`.
+//! The Gearman protocol: one listener for clients, workers and operators. These modules move bytes and translate packets
+//! into calls of the request table. The worker table chooses the connection of a worker that gets an attempt, the job
+//! table merges submissions of the same job, and the decision module decides everything else.
 
-mod admin;
-mod conns;
-mod packets;
+mod admin_commands;
+mod assignments;
+mod connections;
+mod packet_handlers;
 #[cfg(test)]
 mod tests;
-mod workers;
 
 use crate::config::{Function, GearmanConfig, PriorityClass};
 use crate::log::log_line;
@@ -20,11 +20,11 @@
 use calicolb::api::{Class, Ending, ListKind, Member, Micros, Report, WorkerId, WorkerStatus};
 use calicolb::settings_update::SettingsError;
 use calicolb::wire::Names;
-use calicolb_gearman::ConnId;
-use calicolb_gearman::book::{Book, End};
-use calicolb_gearman::fleet::{Fleet, HopNr, Offered};
+use calicolb_gearman::ConnectionId;
+use calicolb_gearman::job_table::{JobEnd, JobTable};
 use calicolb_gearman::packet::{PacketType, Sender, encode};
-use conns::Conn;
+use calicolb_gearman::worker_table::{OfferOutcome, WorkerNumber, WorkerTable};
+use connections::Connection;
 use mio::net::TcpListener;
 use mio::{Interest, Token};
 use std::collections::hash_map::RandomState;
@@ -33,231 +33,256 @@
 use std::io;
 use std::rc::Rc;
 
-const MILLI: Micros = 1_000;
-/// A worker that was woken asks within this time, or has not taken what was offered to it.
-const GRAB: Micros = 500 * MILLI;
-/// Whose next hops the roster calls these.
-const SOURCE: WorkerSource = WorkerSource::SelfRegistered("gearman");
+const MILLISECOND: Micros = 1_000;
+/// The time within which a woken worker must ask for a job. After it the attempt counts as not accepted.
+const GRAB_TIMEOUT: Micros = 500 * MILLISECOND;
+/// The source under which the worker registry holds the workers of this protocol.
+const WORKER_SOURCE: WorkerSource = WorkerSource::SelfRegistered("gearman");
 
-/// See the head of this file.
+/// The Gearman protocol with its listener, connections, jobs and workers.
 pub struct Gearman {
     config: GearmanConfig,
     listener: TcpListener,
-    /// The number of the listener.
-    token: usize,
+    listener_token: usize,
     listening: bool,
-    conns: HashMap<ConnId, Conn>,
-    most: usize,
-    fleet: Fleet<AttemptId>,
-    book: Book,
-    /// What this process is told apart by from the one before: a handle must not mean another job after a restart.
-    boot: String,
-    /// What is offered to workers and not yet assigned.
-    offers: HashMap<AttemptId, Payload>,
-    /// Connections that ask for work, in their order.
-    asking: Vec<ConnId>,
-    /// Connections whose next packets wait until they are told of their submissions.
-    blocked: HashSet<ConnId>,
-    hops: HashMap<WorkerId, HopNr>,
-    /// What the module was last told of a hop: here, lanes, what it refuses, since when.
-    told: HashMap<HopNr, (bool, u32, u64, Micros)>,
-    /// Clients are sent away.
-    parting: bool,
-    hash: [RandomState; 2],
+    connections: HashMap<ConnectionId, Connection>,
+    max_connections: usize,
+    worker_table: WorkerTable<AttemptId>,
+    job_table: JobTable,
+    /// A part of each handle that differs between processes, so that a handle does not mean another job after a restart.
+    process_tag: String,
+    /// The payloads of the attempts that are offered to workers and not yet assigned.
+    offered_payloads: HashMap<AttemptId, Payload>,
+    /// Connections that ask for a job, in the order in which they asked.
+    asking: Vec<ConnectionId>,
+    /// Connections whose next packets wait until their submissions are confirmed or refused.
+    awaiting_confirmation: HashSet<ConnectionId>,
+    worker_numbers: HashMap<WorkerId, WorkerNumber>,
+    /// The state of each worker as last reported to the decision module: connected, lanes, refused skills, ready since.
+    reported_states: HashMap<WorkerNumber, (bool, u32, u64, Micros)>,
+    /// Whether new submissions are refused and idle clients are disconnected.
+    draining: bool,
+    /// The keys of the two hash functions that make a unique id from a workload.
+    hash_keys: [RandomState; 2],
 }
 
 impl Gearman {
     /// Opens the listener.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// Fails if the configured address cannot be bound.
     pub fn new(ctx: &mut Context<'_>, config: GearmanConfig) -> io::Result<Gearman> {
         let listener = TcpListener::bind(config.listen).map_err(|error| {
-            io::Error::new(error.kind(), format!("gearman on {}: {error}", config.listen))
+            io::Error::new(
+                error.kind(),
+                format!("failed to listen for Gearman on {}: {error}", config.listen),
+            )
         })?;
-        let hash = [RandomState::new(), RandomState::new()];
+        let hash_keys = [RandomState::new(), RandomState::new()];
         Ok(Gearman {
             listener,
-            token: ctx.next_token(),
+            listener_token: ctx.next_token(),
             listening: false,
-            conns: HashMap::new(),
-            most: 0,
-            fleet: Fleet::default(),
-            book: Book::new(config.max_remembered_jobs),
-            boot: format!("{:08x}", hash[0].hash_one(ctx.now) as u32),
-            offers: HashMap::new(),
+            connections: HashMap::new(),
+            max_connections: 0,
+            worker_table: WorkerTable::default(),
+            job_table: JobTable::new(config.max_remembered_jobs),
+            process_tag: format!("{:08x}", hash_keys[0].hash_one(ctx.now) as u32),
+            offered_payloads: HashMap::new(),
             asking: Vec::new(),
-            blocked: HashSet::new(),
-            hops: HashMap::new(),
-            told: HashMap::new(),
-            parting: false,
-            hash,
+            awaiting_confirmation: HashSet::new(),
+            worker_numbers: HashMap::new(),
+            reported_states: HashMap::new(),
+            draining: false,
+            hash_keys,
             config,
         })
     }
 }
 
 impl ReleaseIdle for Gearman {
-    /// Closes a connection that is at its end, else a client that waits for nothing and has said nothing for longest.
+    /// Closes a connection that has received its last answer. If there is none, closes the idle client connection that
+    /// has sent nothing yet, or else has been idle longest.
     fn release_idle(&mut self, ctx: &mut Context<'_>) -> bool {
-        let order = |(&token, conn): (&ConnId, &Conn)| {
-            let rests = conn.ending || !(self.fleet.knows(token) || self.book.awaits(token));
-            rests.then_some((!conn.ending, conn.spoke, conn.since, token))
+        let close_order = |(&token, connection): (&ConnectionId, &Connection)| {
+            let may_close = connection.closing
+                || !(self.worker_table.is_worker(token) || self.job_table.has_waiting_client(token));
+            may_close.then_some((
+                !connection.closing,
+                connection.has_sent_message,
+                connection.last_active,
+                token,
+            ))
         };
-        let first = self.conns.iter().filter_map(order).min();
+        let first = self.connections.iter().filter_map(close_order).min();
         let Some((.., token)) = first else { return false };
-        self.drop_conn(ctx, token);
+        self.remove_connection(ctx, token);
         true
     }
 }
 
 impl Protocol for Gearman {
     fn owns_token(&self, token: usize) -> bool {
-        token == self.token || self.conns.contains_key(&token)
+        token == self.listener_token || self.connections.contains_key(&token)
     }
 
     fn on_ready(&mut self, ctx: &mut Context<'_>, token: usize) {
-        if token == self.token {
-            return self.accept(ctx);
+        if token == self.listener_token {
+            return self.accept_connections(ctx);
         }
         if self.flush(ctx, token) {
-            self.read(ctx, token);
+            self.receive(ctx, token);
         }
     }
 
-    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, alarm: ConnectionTimer) {
-        match alarm {
-            ConnectionTimer::Accept => self.accept(ctx),
+    fn on_deadline(&mut self, ctx: &mut Context<'_>, token: usize, timer: ConnectionTimer) {
+        match timer {
+            ConnectionTimer::Accept => self.accept_connections(ctx),
             ConnectionTimer::ContinueRead => self.on_ready(ctx, token),
             ConnectionTimer::OfferTimeout => {
-                if let Some(attempt) = self.fleet.expire(token) {
-                    log_line!(request = attempt.request, "a worker was woken and did not ask");
-                    self.offers.remove(&attempt);
+                if let Some(attempt) = self.worker_table.expire_offer(token) {
+                    log_line!(request = attempt.request, "a woken worker did not ask for its job in time");
+                    self.offered_payloads.remove(&attempt);
                     ctx.request_table.connection_broken(ctx.now, attempt);
                 }
             }
             ConnectionTimer::Idle => {
-                // The worker's own limit is over.
-                if let Some(attempt) = self.fleet.running(token) {
+                // The time limit that the worker registered for the function has passed.
+                if let Some(attempt) = self.worker_table.running_attempt(token) {
                     ctx.request_table.attempt_timed_out(ctx.now, attempt);
                 }
             }
             ConnectionTimer::Timeout => {
-                let Some(conn) = self.conns.get(&token) else { return };
-                if conn.ending || conn.buffer.has_output() || conn.begun.is_none() {
-                    return self.drop_conn(ctx, token);
+                let Some(connection) = self.connections.get(&token) else { return };
+                if connection.closing
+                    || connection.buffer.has_output()
+                    || connection.message_started.is_none()
+                {
+                    return self.remove_connection(ctx, token);
                 }
-                let last =
+                let error =
                     encode(Sender::Server, PacketType::Error, &[b"TOO_SLOW", b"a packet has not come whole"]);
-                self.part_with(ctx, token, &last);
+                self.close_after(ctx, token, &error);
             }
         }
     }
 
     fn owns_client(&self, client: ClientId) -> bool {
-        self.book.has(client)
+        self.job_table.contains(client)
     }
 
     fn send_answer(&mut self, ctx: &mut Context<'_>, client: ClientId, answer: Answer) {
         let end = match answer {
-            Answer::Served(result) => End::Served(result),
-            Answer::Busy { retry_after: come_back } => End::Refused(come_back),
-            Answer::Failed => End::Failed,
+            Answer::Served(result) => JobEnd::Served(result),
+            Answer::Busy { retry_after } => JobEnd::Refused(retry_after),
+            Answer::Failed => JobEnd::Failed,
         };
-        let mail = self.book.end(client, end);
-        self.mail(ctx, mail);
+        let packets = self.job_table.end_job(client, end);
+        self.send_packets(ctx, packets);
     }
 
     fn send_partial_result(&mut self, ctx: &mut Context<'_>, client: ClientId, part: PartialResult) {
-        use calicolb_gearman::book::Part as Told;
-        let part = match part {
-            PartialResult::Started => Told::Started,
-            PartialResult::Data(data) => Told::Data(data),
-            PartialResult::Warning(data) => Told::Warning(data),
-            PartialResult::Progress(done, of) => Told::Status(done, of),
-            PartialResult::Exception(what) => Told::Exception(what),
+        use calicolb_gearman::job_table::JobUpdate as Update;
+        let update = match part {
+            PartialResult::Started => Update::Started,
+            PartialResult::Data(data) => Update::Data(data),
+            PartialResult::Warning(data) => Update::Warning(data),
+            PartialResult::Progress(done, total) => Update::Status(done, total),
+            PartialResult::Exception(exception) => Update::Exception(exception),
         };
-        let mail = self.book.relay(client, part);
-        self.mail(ctx, mail);
+        let packets = self.job_table.update_job(client, update);
+        self.send_packets(ctx, packets);
     }
 
-    fn owns_worker(&self, hop: WorkerId) -> bool {
-        self.hops.contains_key(&hop)
+    fn owns_worker(&self, worker: WorkerId) -> bool {
+        self.worker_numbers.contains_key(&worker)
     }
 
     fn send_attempt(
         &mut self,
         ctx: &mut Context<'_>,
         attempt: AttemptId,
-        hop: WorkerId,
+        worker: WorkerId,
         payload: &Payload,
-        _wait: Micros,
+        _timeout: Micros,
     ) {
-        let Some(&nr) = self.hops.get(&hop) else {
+        let Some(&number) = self.worker_numbers.get(&worker) else {
             return ctx.request_table.connection_broken(ctx.now, attempt);
         };
-        let fits = |function: &&Function| {
-            let as_http =
+        let accepts_payload = |function: &&Function| {
+            let as_http_job =
                 function.takes_http_jobs && function.priority_classes[1].class.0 as u32 == payload.skill;
-            function.skill == payload.skill || as_http
+            function.skill == payload.skill || as_http_job
         };
-        let functions: Vec<&str> =
-            self.config.functions.iter().filter(fits).map(|function| function.name.as_str()).collect();
-        let handle = self.handle(attempt);
-        let offered = self.fleet.offer(nr, attempt, &functions, &handle);
-        let (Offered::Wake(token) | Offered::Awaited(token) | Offered::Asked(token)) = offered else {
+        let functions: Vec<&str> = self
+            .config
+            .functions
+            .iter()
+            .filter(accepts_payload)
+            .map(|function| function.name.as_str())
+            .collect();
+        let handle = self.attempt_handle(attempt);
+        let outcome = self.worker_table.offer(number, attempt, &functions, &handle);
+        let (OfferOutcome::Wake(token) | OfferOutcome::AwaitGrab(token) | OfferOutcome::AssignNow(token)) =
+            outcome
+        else {
             return ctx.request_table.attempt_failed(ctx.now, attempt, Ending::Full, None);
         };
-        self.offers.insert(attempt, Rc::clone(payload));
-        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + GRAB);
-        if matches!(offered, Offered::Wake(_)) {
-            self.wake(ctx, token);
+        self.offered_payloads.insert(attempt, Rc::clone(payload));
+        ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::OfferTimeout), ctx.now + GRAB_TIMEOUT);
+        if matches!(outcome, OfferOutcome::Wake(_)) {
+            self.wake_connection(ctx, token);
         }
     }
 
-    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, _hop: WorkerId, _name: &str) {
-        let conn = self.fleet.give_up(attempt);
-        if self.offers.remove(&attempt).is_some() {
-            if let Some(token) = conn {
+    fn cancel(&mut self, ctx: &mut Context<'_>, attempt: AttemptId, _worker: WorkerId, _name: &str) {
+        let connection = self.worker_table.cancel(attempt);
+        if self.offered_payloads.remove(&attempt).is_some() {
+            if let Some(token) = connection {
                 ctx.deadlines.clear(Deadline::Connection(token, ConnectionTimer::OfferTimeout));
             }
             return ctx.request_table.cancel_delivered(ctx.now, attempt);
         }
-        // It was handed out, and there are no words for it: the worker runs on, and what it tells later meets nothing.
+        // The attempt was assigned, and the protocol has no packet that cancels a job. The worker keeps running it, and its
+        // later reports are ignored.
         ctx.request_table.cancel_undeliverable(ctx.now, attempt);
     }
 
     fn release_attempt(&mut self, _ctx: &mut Context<'_>, _attempt: AttemptId) {}
 
-    fn probe(&mut self, ctx: &mut Context<'_>, hop: WorkerId) {
-        // What a worker could say of its load is known here.
-        let free = self.hops.get(&hop).map(|&nr| self.fleet.free(nr) as f64);
-        let ending = if free.is_some() { Ending::Ok } else { Ending::Unreachable };
+    fn probe(&mut self, ctx: &mut Context<'_>, worker: WorkerId) {
+        // The worker table knows the free lanes, so the probe is answered without asking the worker.
+        let free_lanes =
+            self.worker_numbers.get(&worker).map(|&number| self.worker_table.free_lanes(number) as f64);
+        let ending = if free_lanes.is_some() { Ending::Ok } else { Ending::Unreachable };
         ctx.request_table.probe_finished(
-            hop,
+            worker,
             ending,
             0,
-            Some(Report { free_slots: free, ..Report::default() }),
+            Some(Report { free_slots: free_lanes, ..Report::default() }),
         );
     }
 
-    fn close_idle(&mut self, _ctx: &mut Context<'_>, _hop: WorkerId) {}
+    fn close_idle(&mut self, _ctx: &mut Context<'_>, _worker: WorkerId) {}
 
-    /// Tells of workers that came, went, or can do other things now.
+    /// Reports the workers that have connected, disconnected or changed their lanes or functions.
     fn on_events_gathered(&mut self, ctx: &mut Context<'_>) {
         let mut members = Vec::new();
-        for change in self.fleet.changes() {
-            let worker = calicolb::wire::worker_id(&format!("gearman worker {}", change.nr));
-            self.hops.insert(worker, change.nr);
-            // Without a lane there is nothing that it could take.
-            let can = |name: &str| change.lanes > 0 && change.functions.contains(name);
-            let refuses = self.refuses(can);
-            let now = (change.here, change.lanes.max(1) as u32, refuses, change.since);
-            if self.told.insert(change.nr, now) == Some(now) {
+        for change in self.worker_table.take_changes() {
+            let worker = calicolb::wire::worker_id(&format!("gearman worker {}", change.number));
+            self.worker_numbers.insert(worker, change.number);
+            // A worker without lanes cannot take any job.
+            let can_run = |name: &str| change.lanes > 0 && change.functions.contains(name);
+            let refuses = self.refused_skills(can_run);
+            let state = (change.connected, change.lanes.max(1) as u32, refuses, change.ready_since);
+            if self.reported_states.insert(change.number, state) == Some(state) {
                 continue;
             }
-            log_line!(debug: worker = change.name, lanes = change.lanes, here = change.here, "a worker has changed");
-            let standing = match (change.here, change.functions.is_empty()) {
+            log_line!(
+                debug: worker = change.name, lanes = change.lanes, here = change.connected,
+                "the state of a worker has changed"
+            );
+            let status = match (change.connected, change.functions.is_empty()) {
                 (false, _) => WorkerStatus::Gone,
                 (true, true) => WorkerStatus::Draining,
                 (true, false) => WorkerStatus::On,
@@ -266,68 +291,72 @@
                 worker,
                 zone: self.config.zone,
                 kind: self.config.kind,
-                status: standing,
+                status,
                 weight: 1.0,
-                started: Some(change.since),
-                lanes: Some(now.1),
+                started: Some(change.ready_since),
+                lanes: Some(state.1),
                 refuses,
                 ..Member::default()
             });
         }
         if !members.is_empty() {
-            ctx.request_table.update_workers(SOURCE, ListKind::Changes, members);
+            ctx.request_table.update_workers(WORKER_SOURCE, ListKind::Changes, members);
         }
     }
 
     fn on_commands_done(&mut self, ctx: &mut Context<'_>) {
         for token in std::mem::take(&mut self.asking) {
-            self.assign(ctx, token);
+            self.answer_grab(ctx, token);
         }
-        let mail = self.book.settle();
-        self.mail(ctx, mail);
-        for token in std::mem::take(&mut self.blocked) {
+        let packets = self.job_table.confirm_submissions();
+        self.send_packets(ctx, packets);
+        for token in std::mem::take(&mut self.awaiting_confirmation) {
             ctx.deadlines.set(Deadline::Connection(token, ConnectionTimer::ContinueRead), ctx.now);
         }
     }
 
     fn listen(&mut self, ctx: &mut Context<'_>) -> io::Result<()> {
         if !self.listening {
-            ctx.registry.register(&mut self.listener, Token(self.token), Interest::READABLE)?;
+            ctx.registry.register(&mut self.listener, Token(self.listener_token), Interest::READABLE)?;
             log_line!("{} speaks Gearman on {}", self.config.name, self.listener.local_addr()?);
         }
         self.listening = true;
         Ok(())
     }
 
-    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, shares: DescriptorLimits) {
-        // Workers come in like clients.
-        self.most = shares.clients + shares.workers;
-        while self.conns.len() > self.most && self.release_idle(ctx) {}
+    fn set_descriptor_limits(&mut self, ctx: &mut Context<'_>, limits: DescriptorLimits) {
+        // Workers open their connections themselves as clients do, so both numbers bound the accepted connections.
+        self.max_connections = limits.clients + limits.workers;
+        while self.connections.len() > self.max_connections && self.release_idle(ctx) {}
     }
 
     fn begin_drain(&mut self, ctx: &mut Context<'_>) {
-        self.parting = true;
-        let rests = |token: &&ConnId| !(self.fleet.knows(**token) || self.book.awaits(**token));
-        let resting: Vec<ConnId> = self.conns.keys().filter(rests).copied().collect();
-        resting.into_iter().for_each(|token| self.drop_conn(ctx, token));
+        self.draining = true;
+        let is_idle = |token: &&ConnectionId| {
+            !(self.worker_table.is_worker(**token) || self.job_table.has_waiting_client(**token))
+        };
+        let idle: Vec<ConnectionId> = self.connections.keys().filter(is_idle).copied().collect();
+        idle.into_iter().for_each(|token| self.remove_connection(ctx, token));
     }
 
     fn resume(&mut self) {
-        self.parting = false;
+        self.draining = false;
     }
 
     fn check_settings(&self, names: &Names, classes: &[Class]) -> Result<(), SettingsError> {
         for function in &self.config.functions {
-            let effect = |grade: &PriorityClass| classes.get(grade.class.0).map(|class| class.effect);
-            for grade in &function.priority_classes {
-                let Some(class) = self.config.classes.get(grade.class.0) else { continue };
+            let effect = |priority: &PriorityClass| classes.get(priority.class.0).map(|class| class.effect);
+            for priority in &function.priority_classes {
+                let Some(class) = self.config.classes.get(priority.class.0) else { continue };
                 if names.class(class).is_err() {
-                    let why = format!("is the class of the function '{}', and cannot go", function.name);
-                    return Err(SettingsError::new(format!("request_classes.{class}"), why));
+                    let reason =
+                        format!("is the class of the function '{}' and cannot be removed", function.name);
+                    return Err(SettingsError::new(format!("request_classes.{class}"), reason));
                 }
-                if effect(grade) != effect(&function.priority_classes[1]) {
-                    let why = format!("differs from that of the other classes of '{}'", function.name);
-                    return Err(SettingsError::new(format!("request_classes.{class}.effect"), why));
+                if effect(priority) != effect(&function.priority_classes[1]) {
+                    let reason =
+                        format!("differs from that of the other classes of the function '{}'", function.name);
+                    return Err(SettingsError::new(format!("request_classes.{class}.effect"), reason));
                 }
             }
         }
@@ -336,30 +365,31 @@
 
     fn apply_settings(&mut self, classes: &[Class]) {
         for function in &mut self.config.functions {
-            // A background job that was given no time of its own has its class's.
-            let as_class = function.background_timeout == function.priority_classes[1].client_timeout;
-            for grade in &mut function.priority_classes {
-                grade.client_timeout =
-                    classes.get(grade.class.0).map_or(grade.client_timeout, |class| class.deadline);
+            // A background timeout that equals the client timeout was not configured: it follows the class's deadline.
+            let follows_class = function.background_timeout == function.priority_classes[1].client_timeout;
+            for priority in &mut function.priority_classes {
+                priority.client_timeout =
+                    classes.get(priority.class.0).map_or(priority.client_timeout, |class| class.deadline);
             }
-            if as_class {
+            if follows_class {
                 function.background_timeout = function.priority_classes[1].client_timeout;
             }
         }
     }
 
     fn is_idle(&self, _now: Micros) -> bool {
-        self.conns.values().all(|conn| !conn.buffer.has_output())
+        self.connections.values().all(|connection| !connection.buffer.has_output())
     }
 
     fn metrics(&self) -> Vec<(&'static str, u64)> {
-        let lanes = self.told.values().filter(|told| told.0).map(|told| u64::from(told.1)).sum();
+        let lanes =
+            self.reported_states.values().filter(|state| state.0).map(|state| u64::from(state.1)).sum();
         vec![
-            ("gearman.connections", self.conns.len() as u64),
-            ("gearman.workers", self.told.values().filter(|told| told.0).count() as u64),
+            ("gearman.connections", self.connections.len() as u64),
+            ("gearman.workers", self.reported_states.values().filter(|state| state.0).count() as u64),
             ("gearman.lanes", lanes),
-            ("gearman.jobs", self.book.len() as u64),
-            ("gearman.offered", self.offers.len() as u64),
+            ("gearman.jobs", self.job_table.len() as u64),
+            ("gearman.offered", self.offered_payloads.len() as u64),
         ]
     }
 }
--- a/src/net/gearman/tests.rs
+++ b/src/net/gearman/tests.rs
@@ -1,4 +1,5 @@
-//! What sockets of the usual size do not show: a worker that goes while its job is being written.
+//! Tests that need control over a socket's buffer size or over the settings: a worker that disconnects while its
+//! assignment is being written, and settings updates.
 
 use super::*;
 use crate::config::PriorityClass;
@@ -13,33 +14,35 @@
 
 const SECOND: Micros = 1_000_000;
 
-struct Table {
+/// The parts of an event loop that the protocol uses, with a clock that the test sets.
+struct TestLoop {
     poll: Poll,
     names: Names,
     deadlines: Deadlines,
-    desk: RequestTable<Payload>,
-    tokens: usize,
+    request_table: RequestTable<Payload>,
+    last_token: usize,
     now: Micros,
 }
 
-impl Table {
-    fn new() -> (Table, Gearman) {
+impl TestLoop {
+    fn new() -> (TestLoop, Gearman) {
         let info = r#"{"azs":["a"],"kinds":["k"],"ceilings":{"cancelling":true,"most_tries":4},
             "request_classes":[{"name":"book","aim_us":900000,"deadline_us":9000000,"effect":"non_idempotent"}]}"#;
-        let (settings, names) = wire::parse_settings(info).expect("the settings are sound");
+        let (settings, names) = wire::parse_settings(info).expect("failed to parse the settings of the test");
         let now = 50 * SECOND;
-        let desk = RequestTable::new(settings, 1, now, 100);
-        let poll = Poll::new().expect("a poll can be had");
-        let mut table = Table { poll, names, deadlines: Deadlines::default(), desk, tokens: 100, now };
-        let grades = [PriorityClass { class: ClassIx(0), client_timeout: 9 * SECOND }; 3];
-        let (name, background) = ("book".to_owned(), SECOND);
+        let request_table = RequestTable::new(settings, 1, now, 100);
+        let poll = Poll::new().expect("failed to create a poll");
+        let mut test_loop =
+            TestLoop { poll, names, deadlines: Deadlines::default(), request_table, last_token: 100, now };
+        let priority_classes = [PriorityClass { class: ClassIx(0), client_timeout: 9 * SECOND }; 3];
+        let (name, background_timeout) = ("book".to_owned(), SECOND);
         let config = GearmanConfig {
-            listen: "127.0.0.1:0".parse().expect("it is an address"),
+            listen: "127.0.0.1:0".parse().expect("failed to parse the listen address"),
             functions: vec![Function {
                 name,
                 skill: 1,
-                priority_classes: grades,
-                background_timeout: background,
+                priority_classes,
+                background_timeout,
                 takes_http_jobs: false,
             }],
             classes: vec!["book".to_owned()],
@@ -50,17 +53,19 @@
             max_workload_bytes: 64 * 1024,
             name: "t".to_owned(),
         };
-        let gearman = table.with(|ctx| Gearman::new(ctx, config)).expect("a port is free");
-        (table, gearman)
+        let gearman = test_loop
+            .with_context(|ctx| Gearman::new(ctx, config))
+            .expect("failed to listen on a free port of 127.0.0.1");
+        (test_loop, gearman)
     }
 
-    fn with<T>(&mut self, run: impl FnOnce(&mut Context<'_>) -> T) -> T {
+    fn with_context<T>(&mut self, run: impl FnOnce(&mut Context<'_>) -> T) -> T {
         run(&mut Context {
             registry: self.poll.registry(),
             names: &self.names,
             deadlines: &mut self.deadlines,
-            request_table: &mut self.desk,
-            last_token: &mut self.tokens,
+            request_table: &mut self.request_table,
+            last_token: &mut self.last_token,
             unmatched_callbacks: &mut Vec::new(),
             peer_outbox: &mut Vec::new(),
             protocol_requests: &mut Vec::new(),
@@ -68,114 +73,139 @@
         })
     }
 
-    /// A turn of the loop without its sockets; gives the answers.
-    fn turn(&mut self, gearman: &mut Gearman) -> Vec<Answer> {
+    /// Runs an iteration of the event loop without polling sockets. Returns the answers to clients.
+    fn run_iteration(&mut self, gearman: &mut Gearman) -> Vec<Answer> {
         self.now += 1_000;
-        self.with(|ctx| gearman.on_events_gathered(ctx));
+        self.with_context(|ctx| gearman.on_events_gathered(ctx));
         let mut answers = Vec::new();
-        for work in self.desk.process_events(self.now, &mut self.deadlines) {
-            match work {
-                Command::SendAttempt { attempt, worker: hop, payload, timeout: wait } => {
-                    self.with(|ctx| gearman.send_attempt(ctx, attempt, hop, &payload, wait));
+        for command in self.request_table.process_events(self.now, &mut self.deadlines) {
+            match command {
+                Command::SendAttempt { attempt, worker, payload, timeout } => {
+                    self.with_context(|ctx| gearman.send_attempt(ctx, attempt, worker, &payload, timeout));
                 }
                 Command::SendAnswer { client, answer } => {
                     answers.push(answer.clone());
-                    self.with(|ctx| gearman.send_answer(ctx, client, answer));
+                    self.with_context(|ctx| gearman.send_answer(ctx, client, answer));
                 }
                 _ => {}
             }
         }
-        self.with(|ctx| gearman.on_commands_done(ctx));
+        self.with_context(|ctx| gearman.on_commands_done(ctx));
         answers
     }
 
-    /// Connects, and gives both ends: the number of the one here.
-    fn connect(&mut self, gearman: &mut Gearman) -> (TcpStream, ConnId) {
-        let at = gearman.listener.local_addr().expect("it is bound");
-        let peer = TcpStream::connect(at).expect("it listens");
-        let before = gearman.conns.len();
-        let until = Instant::now() + Duration::from_secs(10);
-        while gearman.conns.len() == before {
-            assert!(Instant::now() < until, "nobody connects");
-            let token = gearman.token;
-            gearman.most = 10;
-            self.with(|ctx| gearman.on_ready(ctx, token));
+    /// Connects to the listener. Returns the peer's socket and the token of the accepted connection.
+    fn connect(&mut self, gearman: &mut Gearman) -> (TcpStream, ConnectionId) {
+        let address = gearman.listener.local_addr().expect("the listener has no address");
+        let peer = TcpStream::connect(address).expect("failed to connect to the listener");
+        let connections_before = gearman.connections.len();
+        let test_deadline = Instant::now() + Duration::from_secs(10);
+        while gearman.connections.len() == connections_before {
+            assert!(Instant::now() < test_deadline, "no connection was accepted within 10 s");
+            let token = gearman.listener_token;
+            gearman.max_connections = 10;
+            self.with_context(|ctx| gearman.on_ready(ctx, token));
         }
-        (peer, gearman.conns.keys().copied().max().expect("there is one"))
+        (peer, gearman.connections.keys().copied().max().expect("no connection is open"))
     }
 
-    /// Says something, and waits until it is heard.
-    fn say(
+    /// Sends packets from a peer, and waits until one has been processed.
+    fn send_and_process(
         &mut self,
         gearman: &mut Gearman,
-        (peer, token): (&mut TcpStream, ConnId),
-        words: &[(PacketType, &[&[u8]])],
+        (peer, token): (&mut TcpStream, ConnectionId),
+        packets: &[(PacketType, &[&[u8]])],
     ) {
-        let bytes: Vec<u8> =
-            words.iter().flat_map(|(kind, fields)| encode(Sender::Peer, *kind, fields)).collect();
-        peer.write_all(&bytes).expect("it is read");
-        if let Some(conn) = gearman.conns.get_mut(&token) {
-            conn.spoke = false;
+        let bytes: Vec<u8> = packets
+            .iter()
+            .flat_map(|(packet_type, arguments)| encode(Sender::Peer, *packet_type, arguments))
+            .collect();
+        peer.write_all(&bytes).expect("failed to send the packets");
+        if let Some(connection) = gearman.connections.get_mut(&token) {
+            connection.has_sent_message = false;
         }
-        let until = Instant::now() + Duration::from_secs(10);
-        while gearman.conns.get(&token).is_some_and(|conn| !conn.spoke) {
-            assert!(Instant::now() < until, "it is not heard");
-            self.with(|ctx| gearman.on_ready(ctx, token));
+        let test_deadline = Instant::now() + Duration::from_secs(10);
+        while gearman.connections.get(&token).is_some_and(|connection| !connection.has_sent_message) {
+            assert!(Instant::now() < test_deadline, "no packet was processed within 10 s");
+            self.with_context(|ctx| gearman.on_ready(ctx, token));
         }
     }
 }
 
-/// A job of 60,000 bytes is assigned over a connection that holds no more than `room`; then its worker goes.
-fn lost(room: usize) -> (bool, Vec<Answer>) {
-    let (mut table, mut gearman) = Table::new();
-    let (mut worker, at) = table.connect(&mut gearman);
-    rustix::net::sockopt::set_socket_send_buffer_size(&gearman.conns[&at].stream, room)
-        .expect("it can be set");
-    let able: [(PacketType, &[&[u8]]); 2] = [(PacketType::CanDo, &[b"book"]), (PacketType::PreSleep, &[])];
-    table.say(&mut gearman, (&mut worker, at), &able);
-    table.turn(&mut gearman);
-    let (mut client, of) = table.connect(&mut gearman);
-    let body = vec![b'x'; 60_000];
-    table.say(&mut gearman, (&mut client, of), &[(PacketType::SubmitJob, &[b"book", b"", &body])]);
-    assert_eq!(table.turn(&mut gearman), [], "it is taken");
-    table.say(&mut gearman, (&mut worker, at), &[(PacketType::GrabJob, &[])]);
-    table.turn(&mut gearman);
-    let whole = gearman.conns[&at].assigning.is_none();
-    table.with(|ctx| gearman.drop_conn(ctx, at));
-    let mut answers = table.turn(&mut gearman);
+/// Assigns a job of 60,000 bytes over a connection with a send buffer of this size, then closes the connection. Returns
+/// whether the assignment was completely written, and the answers to the client.
+fn close_worker_during_assignment(send_buffer_size: usize) -> (bool, Vec<Answer>) {
+    let (mut test_loop, mut gearman) = TestLoop::new();
+    let (mut worker, worker_token) = test_loop.connect(&mut gearman);
+    rustix::net::sockopt::set_socket_send_buffer_size(
+        &gearman.connections[&worker_token].stream,
+        send_buffer_size,
+    )
+    .expect("failed to set the size of the send buffer");
+    let registration: [(PacketType, &[&[u8]]); 2] =
+        [(PacketType::CanDo, &[b"book"]), (PacketType::PreSleep, &[])];
+    test_loop.send_and_process(&mut gearman, (&mut worker, worker_token), &registration);
+    test_loop.run_iteration(&mut gearman);
+    let (mut client, client_token) = test_loop.connect(&mut gearman);
+    let workload = vec![b'x'; 60_000];
+    test_loop.send_and_process(
+        &mut gearman,
+        (&mut client, client_token),
+        &[(PacketType::SubmitJob, &[b"book", b"", &workload])],
+    );
+    assert_eq!(test_loop.run_iteration(&mut gearman), [], "the job was answered before it was assigned");
+    test_loop.send_and_process(&mut gearman, (&mut worker, worker_token), &[(PacketType::GrabJob, &[])]);
+    test_loop.run_iteration(&mut gearman);
+    let is_written = gearman.connections[&worker_token].unwritten_assignment.is_none();
+    test_loop.with_context(|ctx| gearman.remove_connection(ctx, worker_token));
+    let mut answers = test_loop.run_iteration(&mut gearman);
     for _ in 0..10 {
-        answers.extend(table.turn(&mut gearman));
+        answers.extend(test_loop.run_iteration(&mut gearman));
     }
-    (whole, answers)
+    (is_written, answers)
 }
 
 #[test]
-fn the_last_byte_of_an_assignment_decides_what_its_workers_leaving_means() {
-    // Not written: it never ran, and to submit it again is harmless ...
-    let (whole, answers) = lost(4_096);
-    assert!(!whole && matches!(answers[..], [Answer::Busy { .. }]), "{answers:?}");
-    // ... written: it may have run, and must not run twice.
-    assert_eq!(lost(1 << 20), (true, vec![Answer::Failed]));
+fn a_worker_that_closes_before_its_assignment_is_written_refuses_the_job_and_after_it_fails_the_job() {
+    // The assignment was not completely written, so the job has not run and can safely be submitted again.
+    let (is_written, answers) = close_worker_during_assignment(4_096);
+    assert!(!is_written && matches!(answers[..], [Answer::Busy { .. }]), "{answers:?}");
+    // The assignment was completely written, so the job may have run and must not run again.
+    assert_eq!(close_worker_during_assignment(1 << 20), (true, vec![Answer::Failed]));
 }
 
 #[test]
-fn functions_go_by_the_classes_that_are_in_force_and_keep_theirs() {
-    let (table, mut gearman) = Table::new();
-    let class = |deadline, effect| Class { deadline, effect, ..table.desk.settings().classes[0].clone() };
+fn functions_follow_updated_classes_and_reject_settings_without_their_class_or_with_differing_effects() {
+    let (test_loop, mut gearman) = TestLoop::new();
+    let class = |deadline, effect| Class {
+        deadline,
+        effect,
+        ..test_loop.request_table.settings().classes[0].clone()
+    };
     let book = class(7 * SECOND, Effect::Unsafe);
-    assert_eq!(gearman.check_settings(&table.names, std::slice::from_ref(&book)), Ok(()));
+    assert_eq!(gearman.check_settings(&test_loop.names, std::slice::from_ref(&book)), Ok(()));
     gearman.apply_settings(std::slice::from_ref(&book));
     assert!(
-        gearman.config.functions[0].priority_classes.iter().all(|grade| grade.client_timeout == 7 * SECOND)
+        gearman.config.functions[0]
+            .priority_classes
+            .iter()
+            .all(|priority| priority.client_timeout == 7 * SECOND)
+    );
+    assert_eq!(
+        gearman.config.functions[0].background_timeout, SECOND,
+        "the configured background timeout does not follow the class"
     );
-    assert_eq!(gearman.config.functions[0].background_timeout, SECOND, "it was given a time of its own");
-    // Without its class a function cannot be; nor where its classes differ in what a repeat does.
-    let other = Names::new(vec!["look".to_owned()], vec![], vec![], vec![]);
-    let fault = gearman.check_settings(&other, std::slice::from_ref(&book)).expect_err("its class has gone");
-    assert_eq!(fault.key, "request_classes.book");
+    // The settings must contain the class of each function, and all classes of a function must have the same effect.
+    let other_names = Names::new(vec!["look".to_owned()], vec![], vec![], vec![]);
+    let error = gearman
+        .check_settings(&other_names, std::slice::from_ref(&book))
+        .expect_err("settings without the class 'book' were accepted");
+    assert_eq!(error.key, "request_classes.book");
     gearman.config.functions[0].priority_classes[0].class = ClassIx(1);
     gearman.config.classes.push("look".to_owned());
-    let both = Names::new(vec!["book".to_owned(), "look".to_owned()], vec![], vec![], vec![]);
-    let fault = gearman.check_settings(&both, &[book, class(SECOND, Effect::Safe)]).expect_err("they differ");
-    assert_eq!(fault.key, "request_classes.look.effect");
+    let both_names = Names::new(vec!["book".to_owned(), "look".to_owned()], vec![], vec![], vec![]);
+    let error = gearman
+        .check_settings(&both_names, &[book, class(SECOND, Effect::Safe)])
+        .expect_err("classes with different effects were accepted");
+    assert_eq!(error.key, "request_classes.look.effect");
 }
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -519,7 +519,7 @@
         expect g1 JOB_CREATED $job
         pull w1 JOB_ASSIGN $job look | body
         send w1 times 400 WORK_DATA $job | #60000
-        expect program a Gearman peer does not take what it is sent
+        expect program closing a Gearman connection that does not read
         send w1 WORK_COMPLETE $job | unheard
         send w1 GRAB_JOB
         expect w1 NO_JOB
