--- a/crates/agreed/examples/figures.rs
+++ b/crates/consensus/examples/figures.rs
@@ -1,8 +1,8 @@
-//! Prints what agreement costs: `cargo run --release -p calicolb-agreed --example figures [FOLDER]`. The folder is
+//! Prints what agreement costs: `cargo run --release -p calicolb-consensus --example figures [FOLDER]`. The folder is
 //! where the stores are put whose syncs are timed; a temporary one by default.
 
-use calicolb_agreed::store::{FileStore, MemoryStore, Platter, Store};
-use calicolb_agreed::{Answer, Change, Digest, Document, Fault, Outcome, Version, Voter, bounds, size};
+use calicolb_consensus::store::{FileStore, MemoryStore, Platter, Store};
+use calicolb_consensus::{Answer, Change, Digest, Document, Fault, Outcome, Version, Voter, bounds, size};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::error::Error;
--- a/crates/agreed/tests/bounds.rs
+++ b/crates/consensus/tests/bounds.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use calicolb_agreed::{
+use calicolb_consensus::{
     Answer, Change, Digest, Document, Outcome, Refused, Ticket, Version, Voter, bounds, size,
 };
 use fastrand::Rng;
--- a/crates/agreed/tests/changes.rs
+++ b/crates/consensus/tests/changes.rs
@@ -1,6 +1,6 @@
 //! Changes, deltas and digests.
 
-use calicolb_agreed::{Change, Delta, Digest, Document, Mismatch, NotADigest, Version};
+use calicolb_consensus::{Change, Delta, Digest, Document, Mismatch, NotADigest, Version};
 use serde_json::{Value, json};
 
 fn document(pairs: &[(&str, Value)]) -> Document {
--- a/crates/agreed/tests/contract/mod.rs
+++ b/crates/consensus/tests/contract/mod.rs
@@ -1,7 +1,7 @@
 //! What every store of a voter has to keep, as claims that any implementation can be put to. A claim returns what
 //! broke it, so that broken implementations can be shown to break it.
 
-use calicolb_agreed::store::{Store, StoreError};
+use calicolb_consensus::store::{Store, StoreError};
 
 /// One kind of store with the disk under it.
 pub trait Rig {
--- a/crates/agreed/tests/failures.rs
+++ b/crates/consensus/tests/failures.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use calicolb_agreed::store::{FileStore, MemoryStore, StoreError};
-use calicolb_agreed::{Outcome, Refused, StartError, Voter, bounds};
+use calicolb_consensus::store::{FileStore, MemoryStore, StoreError};
+use calicolb_consensus::{Outcome, Refused, StartError, Voter, bounds};
 use serde_json::{Value, json};
 use support::{Five, IDS, anything, set};
 
@@ -140,7 +140,7 @@
 #[test]
 fn voters_are_numbered_from_one_without_doubles() {
     let start = |id: u64, ids: &[u64]| {
-        let store = calicolb_agreed::store::Platter::default().open().unwrap();
+        let store = calicolb_consensus::store::Platter::default().open().unwrap();
         Voter::new(id, ids, store, 1).map(drop)
     };
     for (id, ids) in [(1, &[1, 2][..]), (4, &[1, 2, 3]), (1, &[1, 1, 2]), (1, &[0, 1, 2]), (1, &[1, 2, 10])] {
--- a/crates/agreed/tests/five.rs
+++ b/crates/consensus/tests/five.rs
@@ -1,7 +1,7 @@
 //! Five voters in a loop without faults: changes are agreed everywhere, faulty ones refused, late ones void.
 
-use calicolb_agreed::store::{MemoryStore, Platter};
-use calicolb_agreed::{
+use calicolb_consensus::store::{MemoryStore, Platter};
+use calicolb_consensus::{
     Answer, Change, Document, Fault, InForce, Learner, Message, Outcome, Refused, Rules, Taken, Tighter,
     Voter, bounds,
 };
@@ -138,7 +138,7 @@
 
 struct Plain;
 
-impl calicolb_agreed::Check for Plain {
+impl calicolb_consensus::Check for Plain {
     fn check(&self, whole: &Document) -> Result<(), Fault> {
         anything(whole)
     }
--- a/crates/agreed/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -2,7 +2,7 @@
 //! agreed, or is the stated tightening of it; it never goes back; it ends level once messages flow. The cases are the
 //! same in every run.
 
-use calicolb_agreed::{
+use calicolb_consensus::{
     Ask, Change, Check, Delta, Document, Fault, InForce, Learner, Message, Rules, Taken, Tighter, Version,
     tightened,
 };
--- a/crates/agreed/tests/net/claims.rs
+++ b/crates/consensus/tests/net/claims.rs
@@ -1,7 +1,7 @@
 //! What is claimed, checked at every step by somebody who sees all control machines and learners at once.
 
 use super::parts::{Control, Usable};
-use calicolb_agreed::{Answer, Digest, Document, InForce, Outcome, Rules, Ticket, Tighter, Version};
+use calicolb_consensus::{Answer, Digest, Document, InForce, Outcome, Rules, Ticket, Tighter, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/agreed/tests/net/parts.rs
+++ b/crates/consensus/tests/net/parts.rs
@@ -1,7 +1,7 @@
 //! The parts under test behind two narrow traits, and the same parts with one defect each.
 
-use calicolb_agreed::store::{MemoryStore, Platter, Store, StoreError};
-use calicolb_agreed::{
+use calicolb_consensus::store::{MemoryStore, Platter, Store, StoreError};
+use calicolb_consensus::{
     Answer, Ask, Change, Check, Delta, Digest, Document, Fault, InForce, Learner, Message, Outcome, Refused,
     Rules, Taken, Ticket, Tighter, Version, Voter,
 };
--- a/crates/agreed/tests/net/plays.rs
+++ b/crates/consensus/tests/net/plays.rs
@@ -4,7 +4,7 @@
 use super::claims::{Broken, DEATH, LEVEL, MINORITY};
 use super::parts::{Defect, IDS};
 use super::world::{CALM, Weather, World, set};
-use calicolb_agreed::{Outcome, bounds};
+use calicolb_consensus::{Outcome, bounds};
 
 /// Ticks of a storm.
 const STORM: u64 = 250;
--- a/crates/agreed/tests/net/world.rs
+++ b/crates/consensus/tests/net/world.rs
@@ -3,8 +3,8 @@
 
 use super::claims::{Broken, Ledger};
 use super::parts::{Control, Defect, Ear, Hearing, IDS, Part};
-use calicolb_agreed::store::Platter;
-use calicolb_agreed::{Answer, Ask, Change, Digest, Document, Message, Outcome, Refused, Ticket};
+use calicolb_consensus::store::Platter;
+use calicolb_consensus::{Answer, Ask, Change, Digest, Document, Message, Outcome, Refused, Ticket};
 use fastrand::Rng;
 use serde_json::json;
 use std::cmp::Reverse;
--- a/crates/agreed/tests/network.rs
+++ b/crates/consensus/tests/network.rs
@@ -30,7 +30,7 @@
 fn sound<T>(name: &str, short: u64, play: impl Fn(u64) -> Result<T, Broken>) -> Vec<T> {
     let played = seeds(short).map(|seed| {
         play(seed).unwrap_or_else(|Broken { claim, how }| {
-            panic!("'{claim}': {how}; again: AGREED_SEED={seed} cargo test -p calicolb-agreed --test network {name}")
+            panic!("'{claim}': {how}; again: AGREED_SEED={seed} cargo test -p calicolb-consensus --test network {name}")
         })
     });
     played.collect()
--- a/crates/agreed/tests/second_process.rs
+++ b/crates/consensus/tests/second_process.rs
@@ -1,7 +1,7 @@
 //! A store in use is closed to another process. Alone in its program: while a test starts a process, that process has
 //! every file of the tests beside it for a moment, their locks too.
 
-use calicolb_agreed::store::{FileStore, StoreError};
+use calicolb_consensus::store::{FileStore, StoreError};
 use std::path::Path;
 use std::process::Command;
 
--- a/crates/agreed/tests/stores.rs
+++ b/crates/consensus/tests/stores.rs
@@ -2,7 +2,7 @@
 
 mod contract;
 
-use calicolb_agreed::store::{
+use calicolb_consensus::store::{
     FileMedium, Journal, Medium, MemoryMedium, MemoryStore, Platter, Store, StoreError,
 };
 use contract::{Rig, claims, uphold};
--- a/crates/agreed/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! Five voters on a network without faults, some of which may be away.
 #![allow(dead_code)] // Each test program uses a part of it.
 
-use calicolb_agreed::store::{MemoryStore, Platter};
-use calicolb_agreed::{Change, Document, Fault, Outcome, Refused, Voter};
+use calicolb_consensus::store::{MemoryStore, Platter};
+use calicolb_consensus::{Change, Document, Fault, Outcome, Refused, Voter};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
--- a/crates/hollow/src/agreed.rs
+++ b/crates/hollow/src/agreed.rs
@@ -6,8 +6,8 @@
 use crate::plan::{MILLI, Plan, SECOND};
 use calicolb::api::Settings;
 use calicolb::wire::{self, Names};
-use calicolb_agreed::store::{MemoryStore, Platter};
-use calicolb_agreed::{
+use calicolb_consensus::store::{MemoryStore, Platter};
+use calicolb_consensus::{
     Answer, Change, Check, Digest, Document, Fault, Outcome, Refused, Rules, Ticket, Tighter, Voter, VoterId,
 };
 use serde_json::{Map, Value, json};
@@ -271,7 +271,7 @@
                 ..ControlLine::default()
             }]),
             Answer::Deltas(deltas) => {
-                let line = |delta: calicolb_agreed::Delta| ControlLine {
+                let line = |delta: calicolb_consensus::Delta| ControlLine {
                     seq: delta.seq,
                     majority,
                     digest: delta.digest.to_string(),
--- a/crates/hollow/src/learners.rs
+++ b/crates/hollow/src/learners.rs
@@ -1,6 +1,6 @@
 //! How a scheduler learns the agreed configuration: one watch at one of the control machines, and a call that tells which
 //! version is in force. By the rules of the program's own learner; what counts of what is heard is
-//! [`calicolb_agreed::Learner`]'s to say.
+//! [`calicolb_consensus::Learner`]'s to say.
 
 use crate::Micros;
 use crate::agreed::{self, Lines, Shared};
@@ -9,7 +9,7 @@
 use calicolb::api::Settings;
 use calicolb::settings_update;
 use calicolb::wire::Names;
-use calicolb_agreed::{Change, Delta, Digest, InForce, Learner, Message, Taken, Version};
+use calicolb_consensus::{Change, Delta, Digest, InForce, Learner, Message, Taken, Version};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
--- a/crates/hollow/src/world/agreement.rs
+++ b/crates/hollow/src/world/agreement.rs
@@ -5,7 +5,7 @@
 use crate::learners::{Ask, Study};
 use crate::ledger::Agreed;
 use calicolb::wire;
-use calicolb_agreed::{Change, Digest, Document, Version, VoterId};
+use calicolb_consensus::{Change, Digest, Document, Version, VoterId};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -4,7 +4,7 @@
 use super::document;
 use super::operator::parse_kdl;
 use super::settings_reader::{DiagnosticCollector, SettingsReader, suggest_name};
-use calicolb_agreed::{Check, Document};
+use calicolb_consensus::{Check, Document};
 use kdl::KdlDocument;
 use miette::{IntoDiagnostic, Report, WrapErr};
 use std::net::SocketAddr;
--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -6,7 +6,7 @@
 use crate::config::agreed::SharedSettingsCheck;
 use crate::net::http::framing::{Request, query_parameter};
 use calicolb::api::Micros;
-use calicolb_agreed::{Answer, Change, Digest, Outcome, Refused};
+use calicolb_consensus::{Answer, Change, Digest, Outcome, Refused};
 use std::collections::BTreeMap;
 
 const JSON_HEADER: (&str, &str) = ("Content-Type", "application/json");
--- a/src/net/control/learners.rs
+++ b/src/net/control/learners.rs
@@ -1,7 +1,7 @@
 //! The learners as a control machine knows them: their watches, and the version that each has in force.
 
 use calicolb::api::Micros;
-use calicolb_agreed::Digest;
+use calicolb_consensus::Digest;
 use std::collections::BTreeMap;
 
 /// How long the version of a learner is remembered after its last watch ended or its last report came, in microseconds.
--- a/src/net/control/messages.rs
+++ b/src/net/control/messages.rs
@@ -1,6 +1,6 @@
 //! The JSON bodies of the control machines' HTTP interface, used by servers and clients.
 
-use calicolb_agreed::Document;
+use calicolb_consensus::Document;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -1,4 +1,4 @@
-//! A control machine: one of the machines that agree on the settings of all schedulers. [`calicolb_agreed`] implements the
+//! A control machine: one of the machines that agree on the settings of all schedulers. [`calicolb_consensus`] implements the
 //! agreement; this module provides its sockets and its clock. `inbound` accepts connections from learners, operators and
 //! other control machines, `link` connects to one other control machine, `messages` defines the JSON bodies, `learners`
 //! records the watches, `answers` handles each request, and `machine` is the event loop.
@@ -17,7 +17,7 @@
 /// The largest request body, in bytes, that is accepted from anyone but another control machine: a change of many keys.
 const MAX_BODY_BYTES: usize = 256 * 1024;
 /// The largest message between control machines, in bytes: everything that a machine lacks after a long absence.
-const MAX_PEER_MESSAGE_BYTES: usize = calicolb_agreed::bounds::MESSAGE_BYTES;
+const MAX_PEER_MESSAGE_BYTES: usize = calicolb_consensus::bounds::MESSAGE_BYTES;
 
 /// What the connections of a control machine need in one iteration of its event loop.
 struct IoContext<'a> {
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -1,5 +1,5 @@
 //! Client of the control machines: learns the agreed configuration over a watch at one of them, and reports
-//! which version is in force here. It opens connections but accepts none. [`calicolb_agreed::Learner`]
+//! which version is in force here. It opens connections but accepts none. [`calicolb_consensus::Learner`]
 //! decides which messages count; the event loop applies a new version between two iterations.
 
 use crate::config::agreed::{SchedulerRules, with_local_settings};
@@ -13,7 +13,7 @@
 use crate::net::http::framing;
 use crate::net::platform::call::{Call, WatchInput, WatchRead, read_status, read_watch};
 use calicolb::api::Micros;
-use calicolb_agreed::{Change, Delta, InForce, Learner, Message, Taken, Version};
+use calicolb_consensus::{Change, Delta, InForce, Learner, Message, Taken, Version};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::hash::{DefaultHasher, Hash, Hasher};
