--- a/crates/consensus/examples/figures.rs
+++ b/crates/consensus/examples/figures.rs
@@ -2,7 +2,7 @@
 //! where the stores are put whose syncs are timed; a temporary one by default.
 
 use calicolb_consensus::store::{FileStore, MemoryStore, Platter, Store};
-use calicolb_consensus::{Answer, Change, Digest, Document, Fault, Outcome, Version, Voter, bounds, size};
+use calicolb_consensus::{Answer, Change, Digest, Document, Fault, Outcome, Version, Voter, limits, size};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -236,7 +236,7 @@
     }
     row("ticks from the start until all five have a majority (100 seeds): least, most", span(&first));
     row("ticks from a leader's death until all four have a majority (100 seeds)", span(&next));
-    row("ticks after which a voter that is cut off says so, at most", bounds::LAPSE_TICKS);
+    row("ticks after which a voter that is cut off says so, at most", limits::MAJORITY_LOSS_TICKS);
     Ok(())
 }
 
--- a/crates/consensus/src/document.rs
+++ b/crates/consensus/src/document.rs
@@ -1,6 +1,6 @@
 //! The document: a flat, ordered map from dotted keys to JSON values, opaque to this package.
 
-use crate::bounds;
+use crate::limits;
 use crate::change::Change;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 
 impl Fault {
     pub(crate) fn new(key: &str, why: impl Into<String>) -> Fault {
-        Fault { key: key.chars().take(bounds::KEY_BYTES).collect(), why: why.into() }
+        Fault { key: key.chars().take(limits::MAX_KEY_BYTES).collect(), why: why.into() }
     }
 }
 
@@ -105,38 +105,38 @@
 
 /// Whether a change is within the bounds of this package, whatever it does.
 pub(crate) fn change_within_bounds(change: &Change) -> Result<(), Fault> {
-    if let Some(key) = change.unset.iter().find(|key| key.len() > bounds::KEY_BYTES) {
+    if let Some(key) = change.unset.iter().find(|key| key.len() > limits::MAX_KEY_BYTES) {
         return Err(Fault::new(
             key,
-            format!("a key has {} bytes at most, not {}", bounds::KEY_BYTES, key.len()),
+            format!("a key has {} bytes at most, not {}", limits::MAX_KEY_BYTES, key.len()),
         ));
     }
     let bytes = change.bytes();
-    if bytes > bounds::CHANGE_BYTES {
-        return Err(Fault::new("", format!("a change of {bytes} bytes, {} at most", bounds::CHANGE_BYTES)));
+    if bytes > limits::MAX_CHANGE_BYTES {
+        return Err(Fault::new("", format!("a change of {bytes} bytes, {} at most", limits::MAX_CHANGE_BYTES)));
     }
     Ok(())
 }
 
 /// Whether a document is within the bounds of this package.
 pub(crate) fn within_bounds(document: &Document) -> Result<(), Fault> {
-    if document.len() > bounds::KEYS {
-        return Err(Fault::new("", format!("{} keys, {} at most", document.len(), bounds::KEYS)));
+    if document.len() > limits::MAX_KEYS {
+        return Err(Fault::new("", format!("{} keys, {} at most", document.len(), limits::MAX_KEYS)));
     }
     for (key, value) in document {
-        if key.is_empty() || key.len() > bounds::KEY_BYTES {
+        if key.is_empty() || key.len() > limits::MAX_KEY_BYTES {
             return Err(Fault::new(
                 key,
-                format!("a key has 1 to {} bytes, not {}", bounds::KEY_BYTES, key.len()),
+                format!("a key has 1 to {} bytes, not {}", limits::MAX_KEY_BYTES, key.len()),
             ));
         }
-        if depth(value) > bounds::DEPTH {
-            return Err(Fault::new(key, format!("nested more than {} deep", bounds::DEPTH)));
+        if depth(value) > limits::MAX_NESTING_DEPTH {
+            return Err(Fault::new(key, format!("nested more than {} deep", limits::MAX_NESTING_DEPTH)));
         }
     }
     let bytes = size(document);
-    if bytes > bounds::DOCUMENT_BYTES {
-        return Err(Fault::new("", format!("{bytes} bytes, {} at most", bounds::DOCUMENT_BYTES)));
+    if bytes > limits::MAX_DOCUMENT_BYTES {
+        return Err(Fault::new("", format!("{bytes} bytes, {} at most", limits::MAX_DOCUMENT_BYTES)));
     }
     Ok(())
 }
--- a/crates/consensus/src/envelope.rs
+++ b/crates/consensus/src/envelope.rs
@@ -1,7 +1,7 @@
 //! What goes between voters: a message of the consensus crate, and what makes a session of messages that may get
 //! lost, doubled or out of order.
 
-use crate::bounds;
+use crate::limits;
 use crate::replica::{Entry, Snapshot};
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
@@ -40,7 +40,7 @@
 impl Envelope {
     /// From bytes, when they are a message that a sound voter may send from `from` to `to`.
     pub(crate) fn decode(bytes: &[u8], from: u64, to: u64) -> Option<Envelope> {
-        if bytes.len() > bounds::MESSAGE_BYTES {
+        if bytes.len() > limits::MAX_MESSAGE_BYTES {
             return None;
         }
         let envelope: Envelope = serde_json::from_slice(bytes).ok()?;
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
-        serde_json::to_vec(self).ok().filter(|bytes| bytes.len() <= bounds::MESSAGE_BYTES)
+        serde_json::to_vec(self).ok().filter(|bytes| bytes.len() <= limits::MAX_MESSAGE_BYTES)
     }
 
     /// Whether it is part of the log's session; heartbeats aren't.
@@ -62,7 +62,7 @@
 /// Whether a message holds nothing that the consensus crate would stumble over.
 fn is_plausible(body: &Message<Entry>) -> bool {
     let ballot = |ballot: &omnipaxos::ballot_leader_election::Ballot| {
-        ballot.n < bounds::BALLOT && ballot.pid <= bounds::VOTERS as u64 && ballot.config_id <= 1
+        ballot.n < limits::BALLOT_NUMBER_LIMIT && ballot.pid <= limits::MAX_VOTERS as u64 && ballot.config_id <= 1
     };
     let index = |index: usize| index < usize::MAX / 4;
     let paxos = match body {
@@ -88,7 +88,7 @@
         }
         PaxosMsg::AcceptSync(m) => ballot(&m.n) && index(m.decided_idx) && is_plausible_sync(&m.log_sync),
         PaxosMsg::AcceptDecide(m) => {
-            ballot(&m.n) && index(m.decided_idx) && m.entries.len() <= bounds::UNDECIDED * 2
+            ballot(&m.n) && index(m.decided_idx) && m.entries.len() <= limits::MAX_UNDECIDED_ENTRIES * 2
         }
         PaxosMsg::Accepted(m) => ballot(&m.n) && index(m.accepted_idx),
         PaxosMsg::NotAccepted(m) => ballot(&m.n),
--- a/crates/consensus/src/history.rs
+++ b/crates/consensus/src/history.rs
@@ -1,6 +1,6 @@
 //! What was decided, as far as this voter has taken it in, and the deltas it keeps for learners.
 
-use crate::bounds;
+use crate::limits;
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
 use crate::log_storage::Image;
@@ -65,7 +65,7 @@
         let bytes = delta.change.bytes();
         self.delta_bytes += bytes;
         self.deltas.push_back((delta, bytes));
-        while self.deltas.len() > bounds::DELTAS || self.delta_bytes > bounds::DELTA_BYTES {
+        while self.deltas.len() > limits::MAX_DELTAS || self.delta_bytes > limits::MAX_DELTA_BYTES {
             let Some((_, bytes)) = self.deltas.pop_front() else { break };
             self.delta_bytes -= bytes;
         }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -8,7 +8,7 @@
 //! The document is opaque here: the program supplies the [`Check`] of a whole document, and for each key which
 //! direction tightens ([`Rules`]). See `docs/agreed.md`.
 
-pub mod bounds;
+pub mod limits;
 mod change;
 mod digest;
 mod document;
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -4,7 +4,7 @@
 //! staged, and the voter commits it before anything that depends on it leaves. When that fails the voter says
 //! nothing more.
 
-use crate::bounds;
+use crate::limits;
 use crate::replica::{Entry, Replica, Snapshot};
 use crate::store::{Store, StoreError};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -155,7 +155,7 @@
 
     pub(crate) fn is_long(&self, bound: usize) -> bool {
         let decided = self.image.decided - self.image.compacted.min(self.image.decided);
-        decided >= bound || (decided > 0 && self.image.log_bytes >= bounds::LOG_BYTES)
+        decided >= bound || (decided > 0 && self.image.log_bytes >= limits::MAX_LOG_BYTES)
     }
 
     /// Bytes that the store takes up.
--- a/crates/consensus/src/outcome.rs
+++ b/crates/consensus/src/outcome.rs
@@ -1,6 +1,6 @@
 //! What a voter tells its host.
 
-use crate::bounds;
+use crate::limits;
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
 use crate::document::Fault;
@@ -65,8 +65,8 @@
 /// Why a voter can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Voters are 3 to [`bounds::VOTERS`], numbered from 1 to there without doubles, this one among them.
-    #[error("voters are 3 to {} different numbers from 1, this one among them", bounds::VOTERS)]
+    /// Voters are 3 to [`limits::MAX_VOTERS`], numbered from 1 to there without doubles, this one among them.
+    #[error("voters are 3 to {} different numbers from 1, this one among them", limits::MAX_VOTERS)]
     Voters,
     /// The store.
     #[error(transparent)]
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -1,6 +1,6 @@
 //! The proposals of a voter: one on its way, the others wait for it.
 
-use crate::bounds;
+use crate::limits;
 use crate::change::Change;
 use crate::outcome::{Outcome, Ticket};
 use crate::replica::Mark;
@@ -24,7 +24,7 @@
 
 impl Proposals {
     pub(crate) fn is_full(&self) -> bool {
-        self.queue.len() >= bounds::PROPOSALS
+        self.queue.len() >= limits::MAX_PROPOSALS
     }
 
     pub(crate) fn push(&mut self, change: Change, tick: u64) -> Ticket {
@@ -48,7 +48,7 @@
     /// Whether the first one is on its way on this version for so long that it may have got lost.
     pub(crate) fn is_due_again(&self, seq: u64, tick: u64) -> bool {
         let sent = self.queue.front().and_then(|first| first.sent);
-        sent.is_some_and(|(base, at)| base == seq && tick - at >= bounds::RETRY_TICKS)
+        sent.is_some_and(|(base, at)| base == seq && tick - at >= limits::PROPOSAL_RETRY_TICKS)
     }
 
     pub(crate) fn mark_sent(&mut self, seq: u64, tick: u64) {
@@ -70,7 +70,7 @@
 
     /// Gives up what was made too long ago.
     pub(crate) fn give_up(&mut self, tick: u64) {
-        while let Some(first) = self.queue.front().filter(|first| tick - first.since >= bounds::GIVE_UP_TICKS)
+        while let Some(first) = self.queue.front().filter(|first| tick - first.since >= limits::PROPOSAL_TIMEOUT_TICKS)
         {
             let sent = first.sent.is_some();
             self.settle(Outcome::Unknown { sent });
--- a/crates/consensus/src/sessions.rs
+++ b/crates/consensus/src/sessions.rs
@@ -6,7 +6,7 @@
 //! Only answers count as evidence: an answer to a round of heartbeats proves that both directions worked after the
 //! round began, by this voter's own ticks, however long the answer was on its way.
 
-use crate::bounds::CONTACT_TICKS;
+use crate::limits::CONTACT_TIMEOUT_TICKS;
 use crate::envelope::Envelope;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -71,7 +71,7 @@
             && self.rounds.back().is_none_or(|(round, _)| *round != request.round)
         {
             self.rounds.push_back((request.round, self.tick));
-            if self.rounds.len() as u64 > CONTACT_TICKS {
+            if self.rounds.len() as u64 > CONTACT_TIMEOUT_TICKS {
                 self.rounds.pop_front();
             }
         }
@@ -129,7 +129,7 @@
         let tick = self.tick;
         let evidence =
             self.peers.iter().filter_map(|(id, peer)| peer.evidence.map(|evidence| (*id, evidence)));
-        evidence.filter(move |(_, evidence)| tick - evidence.tick <= CONTACT_TICKS)
+        evidence.filter(move |(_, evidence)| tick - evidence.tick <= CONTACT_TIMEOUT_TICKS)
     }
 
     /// Whether a majority follows this voter, as its answers of late say.
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,6 +1,6 @@
 //! One of the control machines that decide together.
 
-use crate::bounds;
+use crate::limits;
 use crate::change::{Change, Version};
 use crate::digest::Digest;
 use crate::document::{Check, Document, Fault, change_within_bounds, within_bounds};
@@ -46,7 +46,7 @@
         let mut nodes = voters.to_vec();
         nodes.sort_unstable();
         nodes.dedup();
-        let within = nodes.iter().all(|node| (1..=bounds::VOTERS as u64).contains(node));
+        let within = nodes.iter().all(|node| (1..=limits::MAX_VOTERS as u64).contains(node));
         if nodes.len() != voters.len() || nodes.len() < 3 || !within || !nodes.contains(&id) {
             return Err(StartError::Voters);
         }
@@ -56,8 +56,8 @@
         let cluster = ClusterConfig { configuration_id: 1, nodes, flexible_quorum: None };
         let server = ServerConfig {
             pid: id,
-            election_tick_timeout: bounds::ROUND_TICKS,
-            resend_message_tick_timeout: bounds::RESEND_TICKS,
+            election_tick_timeout: limits::HEARTBEAT_ROUND_TICKS,
+            resend_message_tick_timeout: limits::ELECTION_RESEND_TICKS,
             buffer_size: 64,
             leader_priority: u32::try_from((seed ^ id.wrapping_mul(0x9e37_79b9)) % 1_000).unwrap_or(0),
             ..ServerConfig::default()
@@ -75,7 +75,7 @@
             history,
             proposals: Proposals::default(),
             outgoing: VecDeque::new(),
-            log_bound: bounds::LOG,
+            log_bound: limits::MAX_DECIDED_LOG_ENTRIES,
             surpassed_since: None,
         };
         voter.step(&[]);
@@ -88,9 +88,9 @@
         self.id
     }
 
-    /// Folds the log into a snapshot whenever it has this many decided entries, 1 to [`bounds::LOG`].
+    /// Folds the log into a snapshot whenever it has this many decided entries, 1 to [`limits::MAX_DECIDED_LOG_ENTRIES`].
     pub fn set_log_bound(&mut self, entries: usize) {
-        self.log_bound = entries.clamp(1, bounds::LOG);
+        self.log_bound = entries.clamp(1, limits::MAX_DECIDED_LOG_ENTRIES);
     }
 
     /// To be called at a steady pace, say every 100 ms. When the host was held up for longer, it tells the ticks that
@@ -185,7 +185,7 @@
     }
 
     /// Whether this voter is in touch with a majority and has all that its leader had when last heard. It turns
-    /// false at most [`bounds::LAPSE_TICKS`] after the voter was cut off.
+    /// false at most [`limits::MAJORITY_LOSS_TICKS`] after the voter was cut off.
     #[must_use]
     pub fn has_majority(&self) -> bool {
         if self.stopped {
@@ -248,7 +248,7 @@
     /// A leader takes a forwarded proposal only within the bounds.
     fn takes_forwarded(&self, entries: &[Entry]) -> bool {
         let bytes: usize = entries.iter().map(|entry| entry.change.bytes()).sum();
-        self.leads() && self.undecided() < bounds::UNDECIDED && bytes <= bounds::CHANGE_BYTES
+        self.leads() && self.undecided() < limits::MAX_UNDECIDED_ENTRIES && bytes <= limits::MAX_CHANGE_BYTES
     }
 
     /// A voter that promised more than this leader's ballot, to one that went away before a majority did, waits for
@@ -261,7 +261,7 @@
             self.surpassed_since = None;
             return;
         }
-        if self.tick - *self.surpassed_since.get_or_insert(self.tick) >= bounds::SURPASSED_TICKS {
+        if self.tick - *self.surpassed_since.get_or_insert(self.tick) >= limits::HIGHER_BALLOT_DELAY_TICKS {
             self.surpassed_since = None;
             self.guarded(&[], OmniPaxos::try_become_leader);
         }
@@ -326,7 +326,7 @@
                 self.outgoing.push_back((to, bytes));
             }
         }
-        while self.outgoing.len() > bounds::OUTGOING {
+        while self.outgoing.len() > limits::MAX_OUTGOING_MESSAGES {
             self.outgoing.pop_front();
         }
     }
@@ -349,7 +349,7 @@
 
     /// Sends the first proposal, unless too many entries wait for a decision.
     fn send(&mut self, base: u64) {
-        let Some(first) = self.proposals.first().filter(|_| self.undecided() < bounds::UNDECIDED) else {
+        let Some(first) = self.proposals.first().filter(|_| self.undecided() < limits::MAX_UNDECIDED_ENTRIES) else {
             return;
         };
         let entry = Entry { id: self.proposal_id(first.ticket), base, change: first.change.clone() };
--- a/crates/consensus/tests/failures.rs
+++ b/crates/consensus/tests/failures.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use calicolb_consensus::store::{FileStore, MemoryStore, StoreError};
-use calicolb_consensus::{Outcome, Refused, StartError, Voter, bounds};
+use calicolb_consensus::{Outcome, Refused, StartError, Voter, limits};
 use serde_json::{Value, json};
 use support::{Five, IDS, anything, set};
 
@@ -62,7 +62,7 @@
     let leader = five.voters[&1].leader().unwrap();
     let one = leader % 5 + 1;
     for further in [0, 1] {
-        for _ in 0..bounds::LAPSE_TICKS {
+        for _ in 0..limits::MAJORITY_LOSS_TICKS {
             tick_but(&mut five, one, |from, bytes, voter| {
                 let mut envelope: Value = serde_json::from_slice(&bytes).unwrap();
                 envelope["d"] = json!(envelope["d"].as_u64().unwrap() + further);
--- a/crates/consensus/tests/five.rs
+++ b/crates/consensus/tests/five.rs
@@ -3,7 +3,7 @@
 use calicolb_consensus::store::{MemoryStore, Platter};
 use calicolb_consensus::{
     Answer, Change, Document, Fault, InForce, Learner, Message, Outcome, Refused, Rules, Taken, Tighter,
-    Voter, bounds,
+    Voter, limits,
 };
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -186,7 +186,7 @@
     let mut alone = Voter::new(1, &IDS, Platter::default().open().unwrap(), 7).unwrap();
     assert_eq!(alone.propose(set("k", 1), &anything), Err(Refused::NoMajority));
     let mut five = Five::ready();
-    for _ in 0..bounds::PROPOSALS {
+    for _ in 0..limits::MAX_PROPOSALS {
         five.voters[2].propose(set("k", 1), &anything).unwrap();
     }
     assert_eq!(five.voters[2].propose(set("k", 1), &anything), Err(Refused::TooMany));
--- a/crates/consensus/tests/bounds.rs
+++ b/crates/consensus/tests/limits.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use calicolb_consensus::{
-    Answer, Change, Digest, Document, Outcome, Refused, Ticket, Version, Voter, bounds, size,
+    Answer, Change, Digest, Document, Outcome, Refused, Ticket, Version, Voter, limits, size,
 };
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -28,19 +28,19 @@
 fn a_document_has_its_bounds() {
     let mut five = Five::ready();
     let keys = |count: usize| set((0..count).map(|i| (format!("k{i}"), json!(i))));
-    assert_eq!(five.refusal(keys(bounds::KEYS + 1)).why, "4097 keys, 4096 at most");
-    five.change(1, keys(bounds::KEYS));
+    assert_eq!(five.refusal(keys(limits::MAX_KEYS + 1)).why, "4097 keys, 4096 at most");
+    five.change(1, keys(limits::MAX_KEYS));
     assert_eq!(five.refusal(set([("one.more".into(), json!(1))])).why, "4097 keys, 4096 at most");
     let all =
         Change { unset: five.voters[&1].agreed().document.keys().cloned().collect(), ..Change::default() };
     five.change(2, all);
     let key = |bytes| set([("k".repeat(bytes), json!(1))]);
-    assert_eq!(five.refusal(key(bounds::KEY_BYTES + 1)).why, "a key has 1 to 256 bytes, not 257");
+    assert_eq!(five.refusal(key(limits::MAX_KEY_BYTES + 1)).why, "a key has 1 to 256 bytes, not 257");
     assert_eq!(five.refusal(key(0)).why, "a key has 1 to 256 bytes, not 0");
-    five.change(3, key(bounds::KEY_BYTES));
-    assert_eq!(five.refusal(set([("n".into(), nested(bounds::DEPTH + 1))])).why, "nested more than 16 deep");
-    five.change(4, set([("n".into(), nested(bounds::DEPTH))]));
-    let long = Change { unset: ["k".repeat(bounds::KEY_BYTES + 1)].into(), ..Change::default() };
+    five.change(3, key(limits::MAX_KEY_BYTES));
+    assert_eq!(five.refusal(set([("n".into(), nested(limits::MAX_NESTING_DEPTH + 1))])).why, "nested more than 16 deep");
+    five.change(4, set([("n".into(), nested(limits::MAX_NESTING_DEPTH))]));
+    let long = Change { unset: ["k".repeat(limits::MAX_KEY_BYTES + 1)].into(), ..Change::default() };
     assert_eq!(five.refusal(long).why, "a key has 256 bytes at most, not 257");
     let many = (0..3_000).map(|i| format!("{i:0>200}")).collect();
     let many = five.refusal(Change { unset: many, ..Change::default() });
@@ -52,18 +52,18 @@
 #[test]
 fn the_largest_document_goes_round_and_comes_back_from_a_snapshot() {
     let mut five = Five::ready();
-    let too_large = of_bytes(bounds::DOCUMENT_BYTES + 1);
+    let too_large = of_bytes(limits::MAX_DOCUMENT_BYTES + 1);
     assert_eq!(
         five.refusal(Change { set: too_large, ..Change::default() }).why,
         "262145 bytes, 262144 at most"
     );
     five.voters.values_mut().for_each(|voter| voter.set_log_bound(1));
     five.voters.remove(&5);
-    five.change(1, Change { set: of_bytes(bounds::DOCUMENT_BYTES), ..Change::default() });
+    five.change(1, Change { set: of_bytes(limits::MAX_DOCUMENT_BYTES), ..Change::default() });
     five.start(5);
     five.until(|five| five.voters[&5].agreed().seq == 1 && five.voters[&5].has_majority());
     assert_eq!(five.voters[&5].agreed(), five.voters[&1].agreed());
-    assert!(five.largest <= 2 * bounds::DOCUMENT_BYTES, "{} bytes", five.largest);
+    assert!(five.largest <= 2 * limits::MAX_DOCUMENT_BYTES, "{} bytes", five.largest);
 }
 
 #[test]
@@ -85,7 +85,7 @@
 #[test]
 fn the_log_and_the_deltas_have_their_bounds() {
     let mut five = Five::ready();
-    let changes = bounds::DELTAS + 4;
+    let changes = limits::MAX_DELTAS + 4;
     let mut digests = vec![Version::default().digest];
     let mut longest = 0;
     for i in 0..changes {
@@ -93,7 +93,7 @@
         digests.push(five.voters[&1].agreed().digest);
         longest = longest.max(five.voters[&1].log_entries());
     }
-    assert!(longest <= bounds::LOG + 1, "{longest} entries");
+    assert!(longest <= limits::MAX_DECIDED_LOG_ENTRIES + 1, "{longest} entries");
     assert!(five.voters[&1].log_entries() < 10, "folded at its bound");
     let voter = &five.voters[&1];
     let ask = |seq: usize| voter.since(seq as u64, digests[seq]);
@@ -112,7 +112,7 @@
     while let Ok(ticket) = one.propose(set([("k".into(), json!(1))]), &anything) {
         tickets.push(ticket);
     }
-    assert_eq!(tickets.len(), bounds::PROPOSALS);
+    assert_eq!(tickets.len(), limits::MAX_PROPOSALS);
     let mut told: Vec<(Ticket, Outcome)> = Vec::new();
     for _ in 0..2_000 {
         one.tick();
@@ -122,7 +122,7 @@
     let expected: Vec<_> =
         tickets.iter().map(|t| (*t, Outcome::Unknown { sent: *t == tickets[0] })).collect();
     assert_eq!(told, expected, "the first was sent, the others surely not");
-    assert!(one.outgoing().len() <= bounds::OUTGOING);
+    assert!(one.outgoing().len() <= limits::MAX_OUTGOING_MESSAGES);
     assert_eq!(one.propose(Change::default(), &anything), Err(Refused::NoMajority));
 }
 
@@ -142,7 +142,7 @@
         envelope["c"] = json!(first + i);
         leads.receive(from, envelope.to_string().as_bytes());
     }
-    assert_eq!(leads.log_entries() - before, bounds::UNDECIDED);
+    assert_eq!(leads.log_entries() - before, limits::MAX_UNDECIDED_ENTRIES);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let mut five = Five::ready();
     let before = five.voters[&1].agreed().clone();
     let voter = five.voters.get_mut(&1).unwrap();
-    let mut large = vec![b' '; bounds::MESSAGE_BYTES];
+    let mut large = vec![b' '; limits::MAX_MESSAGE_BYTES];
     large.push(b'{');
     for bytes in [&b""[..], b"{}", b"null", b"[1,2]", &large] {
         voter.receive(2, bytes);
--- a/crates/consensus/tests/net/plays.rs
+++ b/crates/consensus/tests/net/plays.rs
@@ -4,7 +4,7 @@
 use super::claims::{Broken, DEATH, LEVEL, MINORITY};
 use super::parts::{Defect, IDS};
 use super::world::{CALM, Weather, World, set};
-use calicolb_consensus::{Outcome, bounds};
+use calicolb_consensus::{Outcome, limits};
 
 /// Ticks of a storm.
 const STORM: u64 = 250;
@@ -168,12 +168,12 @@
     // Whatever was on its way has arrived.
     world.run(1)?;
     let before = few.iter().map(|id| world.part(*id).unwrap().agreed().seq).max().unwrap_or(0);
-    world.run(bounds::LAPSE_TICKS)?;
+    world.run(limits::MAJORITY_LOSS_TICKS)?;
     for id in few {
         if world.part(*id).unwrap().has_majority() {
             return broken(
                 MINORITY,
-                format!("{id} says it has a majority {} ticks later", bounds::LAPSE_TICKS),
+                format!("{id} says it has a majority {} ticks later", limits::MAJORITY_LOSS_TICKS),
             );
         }
         if world.propose(*id, set("few", 2)).is_ok() {
@@ -181,7 +181,7 @@
         }
     }
     let decides = |world: &World| many.iter().find(|id| world.part(**id).unwrap().has_majority()).copied();
-    if world.run_until(bounds::LAPSE_TICKS, |world| decides(world).is_some())?.is_none() {
+    if world.run_until(limits::MAJORITY_LOSS_TICKS, |world| decides(world).is_some())?.is_none() {
         return broken(MINORITY, "the majority says that it is none");
     }
     let at = decides(&world).unwrap_or(many[0]);
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -29,7 +29,7 @@
 const CLOSE_TIMEOUT: Micros = SECOND;
 /// The largest number of connections that may hold more input than a change of settings needs. Each other control machine
 /// has one connection for peer messages.
-const MAX_LARGE_INPUTS: usize = calicolb_consensus::bounds::VOTERS;
+const MAX_LARGE_INPUTS: usize = calicolb_consensus::limits::MAX_VOTERS;
 /// The largest amount of pending output for one learner, in bytes: a few complete versions. The watch of a learner that reads
 /// nothing is closed at this limit, and the learner opens a new one.
 const MAX_WATCH_OUTPUT_BYTES: usize = 4 * MAX_BODY_BYTES;
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -17,7 +17,7 @@
 /// The largest request body, in bytes, that is accepted from anyone but another control machine: a change of many keys.
 const MAX_BODY_BYTES: usize = 256 * 1024;
 /// The largest message between control machines, in bytes: everything that a machine lacks after a long absence.
-const MAX_PEER_MESSAGE_BYTES: usize = calicolb_consensus::bounds::MESSAGE_BYTES;
+const MAX_PEER_MESSAGE_BYTES: usize = calicolb_consensus::limits::MAX_MESSAGE_BYTES;
 
 /// What the connections of a control machine need in one iteration of its event loop.
 struct IoContext<'a> {
