--- a/crates/consensus/examples/figures.rs
+++ b/crates/consensus/examples/figures.rs
@@ -1,8 +1,10 @@
 //! Prints what agreement costs: `cargo run --release -p calicolb-consensus --example figures [FOLDER]`. The folder is
 //! where the stores are put whose syncs are timed; a temporary one by default.
 
-use calicolb_consensus::store::{FileStore, MemoryStore, Platter, Store};
-use calicolb_consensus::{Answer, Change, Digest, Document, Fault, Outcome, Version, Voter, limits, size};
+use calicolb_consensus::store::{FileStore, MemoryDisk, MemoryStore, Store};
+use calicolb_consensus::{
+    CatchUp, Change, Digest, Document, Outcome, ValidationError, Version, Voter, limits, size,
+};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -15,7 +17,7 @@
 
 type Outcomes<T> = Result<T, Box<dyn Error>>;
 
-fn anything(_: &Document) -> Result<(), Fault> {
+fn anything(_: &Document) -> Result<(), ValidationError> {
     Ok(())
 }
 
@@ -41,8 +43,10 @@
 
     fn deliver(&mut self) {
         loop {
-            let taken =
-                self.voters.iter_mut().flat_map(|(id, v)| v.outgoing().into_iter().map(move |m| (*id, m)));
+            let taken = self
+                .voters
+                .iter_mut()
+                .flat_map(|(id, v)| v.take_outgoing().into_iter().map(move |m| (*id, m)));
             let messages: Vec<_> = taken.collect();
             if messages.is_empty() {
                 return;
@@ -78,9 +82,9 @@
         let voter = self.voters.get_mut(&at).ok_or("no such voter")?;
         voter.propose(change, &anything)?;
         self.deliver();
-        let told = self.voters.get_mut(&at).map(|voter| voter.settled(&anything)).unwrap_or_default();
+        let told = self.voters.get_mut(&at).map(|voter| voter.take_outcomes(&anything)).unwrap_or_default();
         match told.first() {
-            Some((_, Outcome::Agreed { seq, .. })) => Ok(*seq),
+            Some((_, Outcome::Decided { seq, .. })) => Ok(*seq),
             other => Err(format!("{other:?}").into()),
         }
     }
@@ -114,7 +118,7 @@
 }
 
 fn memory(_: u64) -> Outcomes<MemoryStore> {
-    Ok(Platter::default().open()?)
+    Ok(MemoryDisk::default().open()?)
 }
 
 fn mean(times: &[Duration]) -> f64 {
@@ -197,13 +201,14 @@
         );
         row(&format!("a change of one key at the {name}: bytes, all five"), five.bytes / 100);
     }
-    let digest = five.voters[&other].agreed().digest;
-    let seq = five.voters[&other].agreed().seq;
+    let digest = five.voters[&other].decided_version().digest;
+    let seq = five.voters[&other].decided_version().seq;
     let start = Instant::now();
-    let level = five.voters[&other].since(seq, digest) == Answer::Level;
+    let level = five.voters[&other].changes_since(seq, digest) == CatchUp::UpToDate;
     row("microseconds to answer a learner that is level", start.elapsed().as_micros());
     let start = Instant::now();
-    let whole = matches!(five.voters[&other].since(0, Digest::of(&Document::new())), Answer::Whole(_));
+    let whole =
+        matches!(five.voters[&other].changes_since(0, Digest::of(&Document::new())), CatchUp::FullVersion(_));
     row("microseconds to answer a learner that has nothing", start.elapsed().as_micros());
     if level && whole { Ok(()) } else { Err("answers".into()) }
 }
@@ -266,11 +271,11 @@
     );
     drop(five);
     std::fs::remove_dir_all(folder)?;
-    let platters: Vec<Platter> = IDS.iter().map(|_| Platter::default()).collect();
+    let platters: Vec<MemoryDisk> = IDS.iter().map(|_| MemoryDisk::default()).collect();
     let mut five = Five::new(|id| Ok(platters[id as usize - 1].open()?), 1)?;
     five.change(1, Change { set: letter(), ..Change::default() })?;
     let leader = five.leader().ok_or("no leader")?;
-    let before: Vec<u64> = platters.iter().map(Platter::syncs).collect();
+    let before: Vec<u64> = platters.iter().map(MemoryDisk::syncs).collect();
     for i in 0..100 {
         five.change(leader, one(i))?;
     }
--- a/crates/consensus/src/document.rs
+++ b/crates/consensus/src/document.rs
@@ -1,7 +1,7 @@
 //! The document: a flat, ordered map from dotted keys to JSON values, opaque to this package.
 
-use crate::limits;
 use crate::change::Change;
+use crate::limits;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -10,17 +10,18 @@
 
 /// Why a document isn't usable.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
-#[error("{key}: {why}")]
-pub struct Fault {
+#[error("{key}: {reason}")]
+pub struct ValidationError {
     /// The key at fault.
     pub key: String,
     /// What is wrong with it.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
-impl Fault {
-    pub(crate) fn new(key: &str, why: impl Into<String>) -> Fault {
-        Fault { key: key.chars().take(limits::MAX_KEY_BYTES).collect(), why: why.into() }
+impl ValidationError {
+    pub(crate) fn new(key: &str, reason: impl Into<String>) -> ValidationError {
+        ValidationError { key: key.chars().take(limits::MAX_KEY_BYTES).collect(), reason: reason.into() }
     }
 }
 
@@ -30,11 +31,11 @@
     ///
     /// # Errors
     /// The key at fault and the reason.
-    fn check(&self, whole: &Document) -> Result<(), Fault>;
+    fn check(&self, whole: &Document) -> Result<(), ValidationError>;
 }
 
-impl<F: Fn(&Document) -> Result<(), Fault>> Check for F {
-    fn check(&self, whole: &Document) -> Result<(), Fault> {
+impl<F: Fn(&Document) -> Result<(), ValidationError>> Check for F {
+    fn check(&self, whole: &Document) -> Result<(), ValidationError> {
         self(whole)
     }
 }
@@ -104,39 +105,51 @@
 }
 
 /// Whether a change is within the bounds of this package, whatever it does.
-pub(crate) fn change_within_bounds(change: &Change) -> Result<(), Fault> {
+pub(crate) fn change_within_bounds(change: &Change) -> Result<(), ValidationError> {
     if let Some(key) = change.unset.iter().find(|key| key.len() > limits::MAX_KEY_BYTES) {
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             key,
             format!("a key has {} bytes at most, not {}", limits::MAX_KEY_BYTES, key.len()),
         ));
     }
     let bytes = change.bytes();
     if bytes > limits::MAX_CHANGE_BYTES {
-        return Err(Fault::new("", format!("a change of {bytes} bytes, {} at most", limits::MAX_CHANGE_BYTES)));
+        return Err(ValidationError::new(
+            "",
+            format!("a change of {bytes} bytes, {} at most", limits::MAX_CHANGE_BYTES),
+        ));
     }
     Ok(())
 }
 
 /// Whether a document is within the bounds of this package.
-pub(crate) fn within_bounds(document: &Document) -> Result<(), Fault> {
+pub(crate) fn within_bounds(document: &Document) -> Result<(), ValidationError> {
     if document.len() > limits::MAX_KEYS {
-        return Err(Fault::new("", format!("{} keys, {} at most", document.len(), limits::MAX_KEYS)));
+        return Err(ValidationError::new(
+            "",
+            format!("{} keys, {} at most", document.len(), limits::MAX_KEYS),
+        ));
     }
     for (key, value) in document {
         if key.is_empty() || key.len() > limits::MAX_KEY_BYTES {
-            return Err(Fault::new(
+            return Err(ValidationError::new(
                 key,
                 format!("a key has 1 to {} bytes, not {}", limits::MAX_KEY_BYTES, key.len()),
             ));
         }
         if depth(value) > limits::MAX_NESTING_DEPTH {
-            return Err(Fault::new(key, format!("nested more than {} deep", limits::MAX_NESTING_DEPTH)));
+            return Err(ValidationError::new(
+                key,
+                format!("nested more than {} deep", limits::MAX_NESTING_DEPTH),
+            ));
         }
     }
     let bytes = size(document);
     if bytes > limits::MAX_DOCUMENT_BYTES {
-        return Err(Fault::new("", format!("{bytes} bytes, {} at most", limits::MAX_DOCUMENT_BYTES)));
+        return Err(ValidationError::new(
+            "",
+            format!("{bytes} bytes, {} at most", limits::MAX_DOCUMENT_BYTES),
+        ));
     }
     Ok(())
 }
--- a/crates/consensus/src/envelope.rs
+++ b/crates/consensus/src/envelope.rs
@@ -62,7 +62,9 @@
 /// Whether a message holds nothing that the consensus crate would stumble over.
 fn is_plausible(body: &Message<Entry>) -> bool {
     let ballot = |ballot: &omnipaxos::ballot_leader_election::Ballot| {
-        ballot.n < limits::BALLOT_NUMBER_LIMIT && ballot.pid <= limits::MAX_VOTERS as u64 && ballot.config_id <= 1
+        ballot.n < limits::BALLOT_NUMBER_LIMIT
+            && ballot.pid <= limits::MAX_VOTERS as u64
+            && ballot.config_id <= 1
     };
     let index = |index: usize| index < usize::MAX / 4;
     let paxos = match body {
--- a/crates/consensus/src/history.rs
+++ b/crates/consensus/src/history.rs
@@ -1,10 +1,10 @@
 //! What was decided, as far as this voter has taken it in, and the deltas it keeps for learners.
 
-use crate::limits;
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
+use crate::limits;
 use crate::log_storage::Image;
-use crate::outcome::Answer;
+use crate::outcome::CatchUp;
 use crate::replica::{Entry, Replica};
 use std::collections::VecDeque;
 
@@ -71,13 +71,13 @@
         }
     }
 
-    pub(crate) fn since(&self, seq: u64, digest: Digest) -> Answer {
+    pub(crate) fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp {
         let version = self.version();
         if seq > version.seq {
-            return Answer::Ahead;
+            return CatchUp::Ahead;
         }
         if (seq, digest) == (version.seq, version.digest) {
-            return Answer::Level;
+            return CatchUp::UpToDate;
         }
         let lacking = usize::try_from(version.seq - seq).unwrap_or(usize::MAX);
         let whole = crate::document::size(&version.document);
@@ -88,9 +88,9 @@
                 if deltas.clone().next().is_some_and(|(delta, _)| delta.from_digest == digest)
                     && deltas.clone().map(|(_, bytes)| bytes).sum::<usize>() <= whole =>
             {
-                Answer::Deltas(deltas.map(|(delta, _)| delta.clone()).collect())
+                CatchUp::Deltas(deltas.map(|(delta, _)| delta.clone()).collect())
             }
-            _ => Answer::Whole(version.clone()),
+            _ => CatchUp::FullVersion(version.clone()),
         }
     }
 }
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -7,8 +7,8 @@
 
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
-use crate::document::{Check, Document, Fault};
-use crate::tighten::{Tighter, tightened};
+use crate::document::{Check, Document, ValidationError};
+use crate::tighten::{TighteningDirection, tightened};
 use std::sync::Arc;
 
 /// Shortest pause between two questions, in microseconds.
@@ -19,14 +19,14 @@
 /// Supplied by the program: what is usable, and what tightens.
 pub trait Rules: Check {
     /// Which direction tightens a key.
-    fn tighter(&self, key: &str) -> Tighter;
+    fn tightening_direction(&self, key: &str) -> TighteningDirection;
 }
 
 /// What a control machine tells.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Message {
+pub enum VersionMessage {
     /// A whole version.
-    Whole {
+    Full {
         /// The version.
         version: Version,
         /// Whether the machine that tells it has a majority.
@@ -40,7 +40,7 @@
         majority: bool,
     },
     /// Nothing new: this is the machine's version.
-    Here {
+    Current {
         /// Of the machine's version.
         seq: u64,
         /// Whether the machine that tells it has a majority.
@@ -50,9 +50,9 @@
 
 /// What a message did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum UpdateOutcome {
     /// Nothing: it is old or known.
-    Nothing,
+    Unchanged,
     /// A version came into force, wholly.
     InForce,
     /// A version is held; of it only what tightens is in force.
@@ -60,7 +60,7 @@
     /// Something in between is missing, or doesn't fit: to be asked for.
     Gap,
     /// The version isn't usable here; the one in force stays.
-    Refused(Fault),
+    Invalid(ValidationError),
 }
 
 /// What to ask a control machine for: the changes since this version.
@@ -74,7 +74,7 @@
 
 /// What is in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct InForce {
+pub struct VersionInForce {
     /// Of the last version that came into force wholly; 0 for none yet.
     pub seq: u64,
     /// Of that version.
@@ -85,10 +85,10 @@
     pub tightened_to: Option<u64>,
 }
 
-impl InForce {
-    fn wholly(version: &Version) -> InForce {
+impl VersionInForce {
+    fn wholly(version: &Version) -> VersionInForce {
         let document = Arc::clone(&version.document);
-        InForce { seq: version.seq, digest: version.digest, document, tightened_to: None }
+        VersionInForce { seq: version.seq, digest: version.digest, document, tightened_to: None }
     }
 }
 
@@ -97,13 +97,13 @@
     silence_us: u64,
     rules: Box<dyn Rules + Send>,
     held: Version,
-    in_force: Arc<InForce>,
+    in_force: Arc<VersionInForce>,
     /// The latest version heard of.
     known: u64,
     gap: bool,
     heard_at: Option<u64>,
     asked: Option<(u64, u64)>,
-    fault: Option<Fault>,
+    fault: Option<ValidationError>,
 }
 
 impl Learner {
@@ -111,31 +111,31 @@
     /// a majority for `silence_us`.
     #[must_use]
     pub fn new(silence_us: u64, rules: Box<dyn Rules + Send>) -> Learner {
-        Learner::with(silence_us, rules, Version::default())
+        Learner::with_version(silence_us, rules, Version::default())
     }
 
     /// A learner that begins with a version that was in force before.
     #[must_use]
-    pub fn with(silence_us: u64, rules: Box<dyn Rules + Send>, version: Version) -> Learner {
-        let in_force = Arc::new(InForce::wholly(&version));
+    pub fn with_version(silence_us: u64, rules: Box<dyn Rules + Send>, version: Version) -> Learner {
+        let in_force = Arc::new(VersionInForce::wholly(&version));
         let known = version.seq;
         let (gap, heard_at, asked, fault) = (false, None, None, None);
         Learner { silence_us, rules, held: version, in_force, known, gap, heard_at, asked, fault }
     }
 
     /// Takes in what a control machine tells.
-    pub fn hear(&mut self, now: u64, message: Message) -> Taken {
-        let (Message::Whole { majority, .. }
-        | Message::Delta { majority, .. }
-        | Message::Here { majority, .. }) = &message;
+    pub fn receive(&mut self, now: u64, message: VersionMessage) -> UpdateOutcome {
+        let (VersionMessage::Full { majority, .. }
+        | VersionMessage::Delta { majority, .. }
+        | VersionMessage::Current { majority, .. }) = &message;
         let majority = *majority;
         if majority {
             self.heard_at = Some(self.heard_at.unwrap_or(0).max(now));
         }
         let told = match message {
-            Message::Whole { version, .. } => {
+            VersionMessage::Full { version, .. } => {
                 if !version.is_sound() {
-                    return Taken::Gap;
+                    return UpdateOutcome::Gap;
                 }
                 if version.seq > self.held.seq {
                     self.hold(version, majority)
@@ -143,7 +143,7 @@
                     self.confirm(version.seq, Some(version.digest), majority)
                 }
             }
-            Message::Delta { delta, .. } => {
+            VersionMessage::Delta { delta, .. } => {
                 self.known = self.known.max(delta.seq);
                 if delta.seq <= self.held.seq {
                     self.confirm(delta.seq, Some(delta.digest), majority)
@@ -152,17 +152,17 @@
                         Ok(version) => self.hold(version, majority),
                         Err(_) => {
                             self.gap = true;
-                            Taken::Gap
+                            UpdateOutcome::Gap
                         }
                     }
                 }
             }
-            Message::Here { seq, .. } => {
+            VersionMessage::Current { seq, .. } => {
                 self.known = self.known.max(seq);
-                if seq > self.held.seq { Taken::Gap } else { self.confirm(seq, None, majority) }
+                if seq > self.held.seq { UpdateOutcome::Gap } else { self.confirm(seq, None, majority) }
             }
         };
-        if matches!(told, Taken::InForce | Taken::Tightened) {
+        if matches!(told, UpdateOutcome::InForce | UpdateOutcome::Tightened) {
             self.asked = None;
         }
         told
@@ -170,20 +170,20 @@
 
     /// What is in force.
     #[must_use]
-    pub fn in_force(&self, _now: u64) -> Arc<InForce> {
+    pub fn in_force(&self, _now: u64) -> Arc<VersionInForce> {
         Arc::clone(&self.in_force)
     }
 
     /// Whether a later version may be in force elsewhere: nothing was heard of late from a control machine with a
     /// majority, or what was heard isn't wholly in force.
     #[must_use]
-    pub fn behind(&self, now: u64) -> bool {
+    pub fn is_behind(&self, now: u64) -> bool {
         self.is_silent(now) || !self.is_level()
     }
 
     /// What to ask for, when there is something to ask for and it is time.
-    pub fn wants(&mut self, now: u64) -> Option<Ask> {
-        if !self.behind(now) {
+    pub fn next_request(&mut self, now: u64) -> Option<Ask> {
+        if !self.is_behind(now) {
             return None;
         }
         let pause = match self.asked {
@@ -192,18 +192,18 @@
             None => ASK_FIRST_US,
         };
         self.asked = Some((now, pause));
-        Some(self.holds())
+        Some(self.held_version())
     }
 
     /// The version held, as a control machine is asked for what followed it.
     #[must_use]
-    pub fn holds(&self) -> Ask {
+    pub fn held_version(&self) -> Ask {
         Ask { seq: self.held.seq, digest: self.held.digest }
     }
 
     /// Why the version held isn't in force, when it isn't usable here.
     #[must_use]
-    pub fn fault(&self) -> Option<&Fault> {
+    pub fn fault(&self) -> Option<&ValidationError> {
         self.fault.as_ref()
     }
 
@@ -216,7 +216,7 @@
         in_force && !self.gap && self.known <= self.held.seq
     }
 
-    fn hold(&mut self, version: Version, majority: bool) -> Taken {
+    fn hold(&mut self, version: Version, majority: bool) -> UpdateOutcome {
         self.known = self.known.max(version.seq);
         self.held = version;
         self.gap = false;
@@ -224,12 +224,12 @@
     }
 
     /// A machine told a version that isn't newer than the one held.
-    fn confirm(&mut self, seq: u64, digest: Option<Digest>, majority: bool) -> Taken {
+    fn confirm(&mut self, seq: u64, digest: Option<Digest>, majority: bool) -> UpdateOutcome {
         if seq < self.held.seq || !majority || self.is_level() {
-            return Taken::Nothing;
+            return UpdateOutcome::Unchanged;
         }
         if digest.is_some_and(|digest| digest != self.held.digest) {
-            return Taken::Nothing;
+            return UpdateOutcome::Unchanged;
         }
         if self.known <= self.held.seq {
             self.gap = false;
@@ -237,20 +237,26 @@
         self.enforce(true)
     }
 
-    fn enforce(&mut self, majority: bool) -> Taken {
+    fn enforce(&mut self, majority: bool) -> UpdateOutcome {
         let next = if majority {
-            InForce::wholly(&self.held)
+            VersionInForce::wholly(&self.held)
         } else {
             let rules = &self.rules;
-            let document = tightened(&self.in_force.document, &self.held.document, &|key| rules.tighter(key));
+            let document = tightened(&self.in_force.document, &self.held.document, &|key| {
+                rules.tightening_direction(key)
+            });
             let document = Arc::new(document);
-            InForce { document, tightened_to: Some(self.held.seq), ..InForce::clone(&self.in_force) }
+            VersionInForce {
+                document,
+                tightened_to: Some(self.held.seq),
+                ..VersionInForce::clone(&self.in_force)
+            }
         };
         self.fault = self.rules.check(&next.document).err();
         if let Some(fault) = &self.fault {
-            return Taken::Refused(fault.clone());
+            return UpdateOutcome::Invalid(fault.clone());
         }
         self.in_force = Arc::new(next);
-        if majority { Taken::InForce } else { Taken::Tightened }
+        if majority { UpdateOutcome::InForce } else { UpdateOutcome::Tightened }
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -8,13 +8,13 @@
 //! The document is opaque here: the program supplies the [`Check`] of a whole document, and for each key which
 //! direction tightens ([`Rules`]). See `docs/agreed.md`.
 
-pub mod limits;
 mod change;
 mod digest;
 mod document;
 mod envelope;
 mod history;
 mod learner;
+pub mod limits;
 mod log_storage;
 mod outcome;
 mod proposals;
@@ -26,9 +26,9 @@
 
 pub use change::{Change, Delta, Mismatch, Version};
 pub use digest::{Digest, NotADigest};
-pub use document::{Check, Document, Fault, size};
-pub use learner::{Ask, InForce, Learner, Message, Rules, Taken};
-pub use outcome::{Answer, Outcome, Refused, StartError, Ticket, VoterId};
+pub use document::{Check, Document, ValidationError, size};
+pub use learner::{Ask, Learner, Rules, UpdateOutcome, VersionInForce, VersionMessage};
+pub use outcome::{CatchUp, Outcome, ProposeError, StartError, Ticket, VoterId};
 pub use store::Store;
-pub use tighten::{Tighter, tightened};
+pub use tighten::{TighteningDirection, tightened};
 pub use voter::Voter;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -23,7 +23,8 @@
 /// Bytes of the deltas that a voter keeps for learners.
 pub const MAX_DELTA_BYTES: usize = 4 * 1024 * 1024;
 /// Bytes of a message between voters: a log within its bounds, a snapshot and their frame.
-pub const MAX_MESSAGE_BYTES: usize = MAX_LOG_BYTES + MAX_UNDECIDED_ENTRIES * MAX_CHANGE_BYTES + 4 * MAX_DOCUMENT_BYTES;
+pub const MAX_MESSAGE_BYTES: usize =
+    MAX_LOG_BYTES + MAX_UNDECIDED_ENTRIES * MAX_CHANGE_BYTES + 4 * MAX_DOCUMENT_BYTES;
 /// Messages that a voter holds for its host, at most; the oldest are dropped first, as a network would.
 pub const MAX_OUTGOING_MESSAGES: usize = 1_024;
 /// Control machines, at most.
--- a/crates/consensus/src/outcome.rs
+++ b/crates/consensus/src/outcome.rs
@@ -1,9 +1,9 @@
 //! What a voter tells its host.
 
-use crate::limits;
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
-use crate::document::Fault;
+use crate::document::ValidationError;
+use crate::limits;
 use crate::store::StoreError;
 
 /// Number of a voter, from 1.
@@ -15,16 +15,16 @@
 
 /// Why a change isn't proposed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum ProposeError {
     /// The document with the change in it isn't usable.
     #[error("{0}")]
-    Faulty(Fault),
+    Invalid(ValidationError),
     /// This voter isn't in touch with a majority.
     #[error("no majority")]
     NoMajority,
     /// As many proposals as a voter holds are on their way.
     #[error("too many proposals on their way")]
-    TooMany,
+    TooManyProposals,
     /// This voter's store failed; it takes part in nothing until it is started anew.
     #[error("the store failed")]
     Stopped,
@@ -34,14 +34,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// Decided: it is this version.
-    Agreed {
+    Decided {
         /// Of the version.
         seq: u64,
         /// Of the version.
         digest: Digest,
     },
     /// Another change was decided before it, and on that one it isn't usable. Nothing changed.
-    Void(Fault),
+    Invalidated(ValidationError),
     /// Not decided in time. It may still be, when it had been sent.
     Unknown {
         /// Whether it had been sent; otherwise it surely is never decided.
@@ -51,13 +51,13 @@
 
 /// What a learner lacks.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum CatchUp {
     /// Nothing.
-    Level,
+    UpToDate,
     /// These, in order.
     Deltas(Vec<Delta>),
     /// The whole: it is further behind than the deltas at hand, or on none of the versions they lead through.
-    Whole(Version),
+    FullVersion(Version),
     /// The asker has a later version than this voter.
     Ahead,
 }
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -1,7 +1,7 @@
 //! The proposals of a voter: one on its way, the others wait for it.
 
-use crate::limits;
 use crate::change::Change;
+use crate::limits;
 use crate::outcome::{Outcome, Ticket};
 use crate::replica::Mark;
 use std::collections::VecDeque;
@@ -65,12 +65,13 @@
     }
 
     pub(crate) fn agree(&mut self, mark: Mark) {
-        self.settle(Outcome::Agreed { seq: mark.seq, digest: mark.digest });
+        self.settle(Outcome::Decided { seq: mark.seq, digest: mark.digest });
     }
 
     /// Gives up what was made too long ago.
     pub(crate) fn give_up(&mut self, tick: u64) {
-        while let Some(first) = self.queue.front().filter(|first| tick - first.since >= limits::PROPOSAL_TIMEOUT_TICKS)
+        while let Some(first) =
+            self.queue.front().filter(|first| tick - first.since >= limits::PROPOSAL_TIMEOUT_TICKS)
         {
             let sent = first.sent.is_some();
             self.settle(Outcome::Unknown { sent });
--- a/crates/consensus/src/sessions.rs
+++ b/crates/consensus/src/sessions.rs
@@ -6,8 +6,8 @@
 //! Only answers count as evidence: an answer to a round of heartbeats proves that both directions worked after the
 //! round began, by this voter's own ticks, however long the answer was on its way.
 
-use crate::limits::CONTACT_TIMEOUT_TICKS;
 use crate::envelope::Envelope;
+use crate::limits::CONTACT_TIMEOUT_TICKS;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
--- a/crates/consensus/src/store/memory.rs
+++ b/crates/consensus/src/store/memory.rs
@@ -17,9 +17,9 @@
 
 /// What a journal in memory is written on; it outlives the store, as a disk outlives a process.
 #[derive(Debug, Clone, Default)]
-pub struct Platter(Arc<Mutex<Inner>>);
+pub struct MemoryDisk(Arc<Mutex<Inner>>);
 
-impl Platter {
+impl MemoryDisk {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -70,16 +70,16 @@
     }
 }
 
-/// A [`Platter`] in use.
+/// A [`MemoryDisk`] in use.
 #[derive(Debug)]
-pub struct MemoryMedium(Platter);
+pub struct MemoryMedium(MemoryDisk);
 
 impl MemoryMedium {
     /// Takes a platter into use.
     ///
     /// # Errors
     /// When it is in use.
-    pub fn open(platter: &Platter) -> Result<MemoryMedium, StoreError> {
+    pub fn open(platter: &MemoryDisk) -> Result<MemoryMedium, StoreError> {
         let mut inner = platter.inner();
         if inner.in_use {
             return Err(StoreError::Locked);
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Store`] is a journal of batches: what [`Store::append`] returned from is there after a crash, whole and in
 //! order; what it didn't return from is there whole or not at all. [`Journal`] makes one of any [`Medium`]:
-//! [`FileMedium`] is a folder on a disk, [`MemoryMedium`] a [`Platter`] in memory whose faults can be set.
+//! [`FileMedium`] is a folder on a disk, [`MemoryMedium`] a [`MemoryDisk`] in memory whose faults can be set.
 
 mod file;
 mod journal;
@@ -10,7 +10,7 @@
 
 pub use file::FileMedium;
 pub use journal::{Journal, Medium};
-pub use memory::{MemoryMedium, Platter};
+pub use memory::{MemoryDisk, MemoryMedium};
 
 use std::io;
 
--- a/crates/consensus/src/tighten.rs
+++ b/crates/consensus/src/tighten.rs
@@ -6,7 +6,7 @@
 
 /// Which direction tightens a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tighter {
+pub enum TighteningDirection {
     /// A smaller number (or `false`) is tighter.
     Less,
     /// A greater number (or `true`) is tighter.
@@ -18,14 +18,18 @@
 /// `from`, with those keys of `to` that tighten it. A key that only one of them has, and values that aren't two
 /// numbers or two booleans, stay as they are in `from`.
 #[must_use]
-pub fn tightened(from: &Document, to: &Document, tighter: &dyn Fn(&str) -> Tighter) -> Document {
+pub fn tightened(
+    from: &Document,
+    to: &Document,
+    tightening_direction: &dyn Fn(&str) -> TighteningDirection,
+) -> Document {
     let mut whole = from.clone();
     for (key, value) in &mut whole {
         let Some(new) = to.get(key) else { continue };
-        let wanted = match tighter(key) {
-            Tighter::Less => Ordering::Less,
-            Tighter::Greater => Ordering::Greater,
-            Tighter::Unknown => continue,
+        let wanted = match tightening_direction(key) {
+            TighteningDirection::Less => Ordering::Less,
+            TighteningDirection::Greater => Ordering::Greater,
+            TighteningDirection::Unknown => continue,
         };
         if compare(new, value) == Some(wanted) {
             *value = new.clone();
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,13 +1,13 @@
 //! One of the control machines that decide together.
 
-use crate::limits;
 use crate::change::{Change, Version};
 use crate::digest::Digest;
-use crate::document::{Check, Document, Fault, change_within_bounds, within_bounds};
+use crate::document::{Check, Document, ValidationError, change_within_bounds, within_bounds};
 use crate::envelope::Envelope;
 use crate::history::History;
+use crate::limits;
 use crate::log_storage::{LogStorage, Shared};
-use crate::outcome::{Answer, Outcome, Refused, StartError, Ticket, VoterId};
+use crate::outcome::{CatchUp, Outcome, ProposeError, StartError, Ticket, VoterId};
 use crate::proposals::Proposals;
 use crate::replica::{Entry, ProposalId, Snapshot};
 use crate::sessions::{Own, Sessions, Verdict};
@@ -21,7 +21,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// One of the control machines. Every call that may write returns after the store did; messages that depend on it
-/// are in [`Voter::outgoing`] only then.
+/// are in [`Voter::take_outgoing`] only then.
 pub struct Voter<S: Store> {
     id: VoterId,
     omni: OmniPaxos<Entry, Shared<S>>,
@@ -89,26 +89,26 @@
     }
 
     /// Folds the log into a snapshot whenever it has this many decided entries, 1 to [`limits::MAX_DECIDED_LOG_ENTRIES`].
-    pub fn set_log_bound(&mut self, entries: usize) {
+    pub fn set_max_log_entries(&mut self, entries: usize) {
         self.log_bound = entries.clamp(1, limits::MAX_DECIDED_LOG_ENTRIES);
     }
 
     /// To be called at a steady pace, say every 100 ms. When the host was held up for longer, it tells the ticks that
-    /// it missed by [`Voter::missed`] before it does anything else.
+    /// it missed by [`Voter::skip_ticks`] before it does anything else.
     pub fn tick(&mut self) {
         self.tick += 1;
         self.sessions.pass(1);
         self.guarded(&[], OmniPaxos::tick);
         self.pass_promises();
         self.proposals.give_up(self.tick);
-        let seq = self.agreed().seq;
+        let seq = self.decided_version().seq;
         if self.proposals.is_due_again(seq, self.tick) && self.has_majority() {
             self.send(seq);
         }
     }
 
     /// Ticks that the host missed: what was heard before counts as that much older.
-    pub fn missed(&mut self, ticks: u64) {
+    pub fn skip_ticks(&mut self, ticks: u64) {
         self.tick = self.tick.saturating_add(ticks);
         self.sessions.pass(ticks);
     }
@@ -147,25 +147,25 @@
     }
 
     /// Messages to send, with their receivers. Each may get lost.
-    pub fn outgoing(&mut self) -> Vec<(VoterId, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(VoterId, Vec<u8>)> {
         self.outgoing.drain(..).collect()
     }
 
-    /// Proposes a change. What becomes of it is told by [`Voter::settled`].
+    /// Proposes a change. What becomes of it is told by [`Voter::take_outcomes`].
     ///
     /// # Errors
     /// Why not; nothing has changed then.
-    pub fn propose(&mut self, change: Change, check: &dyn Check) -> Result<Ticket, Refused> {
+    pub fn propose(&mut self, change: Change, check: &dyn Check) -> Result<Ticket, ProposeError> {
         if self.stopped {
-            return Err(Refused::Stopped);
+            return Err(ProposeError::Stopped);
         }
         if !self.has_majority() {
-            return Err(Refused::NoMajority);
+            return Err(ProposeError::NoMajority);
         }
         if self.proposals.is_full() {
-            return Err(Refused::TooMany);
+            return Err(ProposeError::TooManyProposals);
         }
-        usable(&change, &self.agreed().document, check).map_err(Refused::Faulty)?;
+        usable(&change, &self.decided_version().document, check).map_err(ProposeError::Invalid)?;
         let ticket = self.proposals.push(change, self.tick);
         self.send_next(check);
         Ok(ticket)
@@ -173,14 +173,14 @@
 
     /// What became of proposals since the last call. To be called after each message and tick: it is here that a
     /// change that was overtaken by another is checked on the version that is there now, and sent again or void.
-    pub fn settled(&mut self, check: &dyn Check) -> Vec<(Ticket, Outcome)> {
+    pub fn take_outcomes(&mut self, check: &dyn Check) -> Vec<(Ticket, Outcome)> {
         self.send_next(check);
         self.proposals.take_settled()
     }
 
     /// The latest version that this voter knows to be decided.
     #[must_use]
-    pub fn agreed(&self) -> &Version {
+    pub fn decided_version(&self) -> &Version {
         self.history.version()
     }
 
@@ -224,8 +224,8 @@
 
     /// What a learner lacks that has this version.
     #[must_use]
-    pub fn since(&self, seq: u64, digest: Digest) -> Answer {
-        self.history.since(seq, digest)
+    pub fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp {
+        self.history.changes_since(seq, digest)
     }
 
     /// Makes the snapshot of a message whole when it holds only the entries since this voter's decided ones, and
@@ -342,14 +342,15 @@
             let Some(first) = self.proposals.unsent(version.seq) else { return };
             match usable(&first.change, &version.document, check) {
                 Ok(()) => return self.send(version.seq),
-                Err(fault) => self.proposals.settle(Outcome::Void(fault)),
+                Err(fault) => self.proposals.settle(Outcome::Invalidated(fault)),
             }
         }
     }
 
     /// Sends the first proposal, unless too many entries wait for a decision.
     fn send(&mut self, base: u64) {
-        let Some(first) = self.proposals.first().filter(|_| self.undecided() < limits::MAX_UNDECIDED_ENTRIES) else {
+        let Some(first) = self.proposals.first().filter(|_| self.undecided() < limits::MAX_UNDECIDED_ENTRIES)
+        else {
             return;
         };
         let entry = Entry { id: self.proposal_id(first.ticket), base, change: first.change.clone() };
@@ -361,7 +362,7 @@
     }
 }
 
-fn usable(change: &Change, document: &Document, check: &dyn Check) -> Result<(), Fault> {
+fn usable(change: &Change, document: &Document, check: &dyn Check) -> Result<(), ValidationError> {
     change_within_bounds(change)?;
     let whole = change.on(document);
     within_bounds(&whole)?;
--- a/crates/consensus/tests/failures.rs
+++ b/crates/consensus/tests/failures.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use calicolb_consensus::store::{FileStore, MemoryStore, StoreError};
-use calicolb_consensus::{Outcome, Refused, StartError, Voter, limits};
+use calicolb_consensus::{Outcome, ProposeError, StartError, Voter, limits};
 use serde_json::{Value, json};
 use support::{Five, IDS, anything, set};
 
@@ -19,11 +19,11 @@
         let voter = five.voters.get_mut(&id).unwrap();
         assert!(voter.is_stopped() && !voter.has_majority());
         (0..100).for_each(|_| voter.tick());
-        assert!(voter.outgoing().is_empty(), "it says something");
-        assert_eq!(voter.propose(set([("k".to_owned(), json!(0))]), &anything), Err(Refused::Stopped));
+        assert!(voter.take_outgoing().is_empty(), "it says something");
+        assert_eq!(voter.propose(set([("k".to_owned(), json!(0))]), &anything), Err(ProposeError::Stopped));
         if id == leader {
             // Its own proposal: it can't know.
-            let told = voter.settled(&anything);
+            let told = voter.take_outcomes(&anything);
             assert_eq!(told.last(), Some(&(ticket.unwrap(), Outcome::Unknown { sent: true })));
         }
         five.platters[&id].fail_syncs(false);
@@ -37,9 +37,9 @@
         five.platters[&id].crash(0);
         five.start(id);
     }
-    five.until(|five| five.voters.values().all(|v| v.has_majority() && v.agreed().seq >= seq));
-    let agreed = five.voters[&1].agreed().clone();
-    assert!(five.voters.values().all(|voter| *voter.agreed() == agreed));
+    five.until(|five| five.voters.values().all(|v| v.has_majority() && v.decided_version().seq >= seq));
+    let agreed = five.voters[&1].decided_version().clone();
+    assert!(five.voters.values().all(|voter| *voter.decided_version() == agreed));
 }
 
 /// Ticks all, and hands what is for one of them to `hand` in place of the voter.
@@ -47,7 +47,7 @@
     five.voters.values_mut().for_each(Voter::tick);
     for _ in 0..8 {
         let taken =
-            five.voters.iter_mut().flat_map(|(id, v)| v.outgoing().into_iter().map(move |m| (*id, m)));
+            five.voters.iter_mut().flat_map(|(id, v)| v.take_outgoing().into_iter().map(move |m| (*id, m)));
         let messages: Vec<_> = taken.collect();
         for (from, (to, bytes)) in messages {
             let voter = five.voters.get_mut(&to).unwrap();
@@ -121,7 +121,7 @@
     }
     assert!(promised > 0, "no promise was seen");
     assert!(five.voters[&one].has_majority(), "left out, after {promised} promises");
-    assert!(five.voters.values().all(|voter| voter.agreed().seq == 1));
+    assert!(five.voters.values().all(|voter| voter.decided_version().seq == 1));
 }
 
 #[test]
@@ -140,7 +140,7 @@
 #[test]
 fn voters_are_numbered_from_one_without_doubles() {
     let start = |id: u64, ids: &[u64]| {
-        let store = calicolb_consensus::store::Platter::default().open().unwrap();
+        let store = calicolb_consensus::store::MemoryDisk::default().open().unwrap();
         Voter::new(id, ids, store, 1).map(drop)
     };
     for (id, ids) in [(1, &[1, 2][..]), (4, &[1, 2, 3]), (1, &[1, 1, 2]), (1, &[0, 1, 2]), (1, &[1, 2, 10])] {
@@ -165,7 +165,7 @@
             for _ in 0..8 {
                 for at in 0..5 {
                     let from = voters[at].id();
-                    for (to, bytes) in voters[at].outgoing() {
+                    for (to, bytes) in voters[at].take_outgoing() {
                         voters[to as usize - 1].receive(from, &bytes);
                     }
                 }
@@ -173,18 +173,18 @@
             if told.is_empty() {
                 let _ = voters[round].propose(set([(format!("k{round}"), json!(round))]), &anything);
             }
-            told.extend(voters[round].settled(&anything));
+            told.extend(voters[round].take_outcomes(&anything));
         }
-        assert!(told.iter().any(|(_, outcome)| matches!(outcome, Outcome::Agreed { .. })), "{told:?}");
-        let version = voters[0].agreed().clone();
-        assert!(voters.iter().all(|voter| *voter.agreed() == version));
+        assert!(told.iter().any(|(_, outcome)| matches!(outcome, Outcome::Decided { .. })), "{told:?}");
+        let version = voters[0].decided_version().clone();
+        assert!(voters.iter().all(|voter| *voter.decided_version() == version));
         assert!(
             version.document.len() == round + 1 && agreed.as_ref().is_none_or(|before| version.seq > *before)
         );
         agreed = Some(version.seq);
         drop(voters);
         voters = start();
-        assert!(voters.iter().all(|voter| *voter.agreed() == version), "all of it is there at once");
+        assert!(voters.iter().all(|voter| *voter.decided_version() == version), "all of it is there at once");
     }
     drop(voters);
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -3,8 +3,8 @@
 //! same in every run.
 
 use calicolb_consensus::{
-    Ask, Change, Check, Delta, Document, Fault, InForce, Learner, Message, Rules, Taken, Tighter, Version,
-    tightened,
+    Ask, Change, Check, Delta, Document, Learner, Rules, TighteningDirection, UpdateOutcome, ValidationError,
+    Version, VersionInForce, VersionMessage, tightened,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
@@ -16,17 +16,17 @@
 struct Limits;
 
 impl Check for Limits {
-    fn check(&self, _: &Document) -> Result<(), Fault> {
+    fn check(&self, _: &Document) -> Result<(), ValidationError> {
         Ok(())
     }
 }
 
 impl Rules for Limits {
-    fn tighter(&self, key: &str) -> Tighter {
+    fn tightening_direction(&self, key: &str) -> TighteningDirection {
         match key.as_bytes()[0] {
-            b'l' => Tighter::Less,
-            b'g' => Tighter::Greater,
-            _ => Tighter::Unknown,
+            b'l' => TighteningDirection::Less,
+            b'g' => TighteningDirection::Greater,
+            _ => TighteningDirection::Unknown,
         }
     }
 }
@@ -57,13 +57,13 @@
     majority: bool,
 }
 
-fn message(chain: &Chain, told: &Told) -> Message {
+fn message(chain: &Chain, told: &Told) -> VersionMessage {
     let at = told.at.index(chain.versions.len());
     let majority = told.majority;
     match told.form {
-        0 => Message::Whole { version: chain.versions[at].clone(), majority },
-        1 if at > 0 => Message::Delta { delta: chain.deltas[at - 1].clone(), majority },
-        _ => Message::Here { seq: at as u64, majority },
+        0 => VersionMessage::Full { version: chain.versions[at].clone(), majority },
+        1 if at > 0 => VersionMessage::Delta { delta: chain.deltas[at - 1].clone(), majority },
+        _ => VersionMessage::Current { seq: at as u64, majority },
     }
 }
 
@@ -85,7 +85,7 @@
     /// Hears the same, and has no defect.
     sound: Learner,
     defect: Defect,
-    force: Option<Arc<InForce>>,
+    force: Option<Arc<VersionInForce>>,
 }
 
 impl Subject {
@@ -94,61 +94,61 @@
         Subject { learner, sound, defect, force: None }
     }
 
-    fn hear(&mut self, now: u64, mut message: Message) {
-        self.sound.hear(now, message.clone());
-        let (Message::Whole { majority, .. }
-        | Message::Delta { majority, .. }
-        | Message::Here { majority, .. }) = &mut message;
+    fn receive(&mut self, now: u64, mut message: VersionMessage) {
+        self.sound.receive(now, message.clone());
+        let (VersionMessage::Full { majority, .. }
+        | VersionMessage::Delta { majority, .. }
+        | VersionMessage::Current { majority, .. }) = &mut message;
         match self.defect {
             Defect::WidensAtOnce | Defect::TrustsAll => *majority = true,
             Defect::IgnoresTightening if !*majority => return,
             _ => {}
         }
         match (&message, self.defect) {
-            (Message::Delta { delta, majority: true }, Defect::AnyDelta) => {
+            (VersionMessage::Delta { delta, majority: true }, Defect::AnyDelta) => {
                 let in_force = self.in_force(now);
                 if delta.seq > in_force.seq {
                     let document = Arc::new(delta.change.on(&in_force.document));
                     let (seq, digest) = (delta.seq, delta.digest);
-                    self.force = Some(Arc::new(InForce { seq, digest, document, tightened_to: None }));
+                    self.force = Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
                 }
             }
-            (Message::Whole { version, majority: true }, Defect::GoesBack)
+            (VersionMessage::Full { version, majority: true }, Defect::GoesBack)
                 if version.seq < self.in_force(now).seq =>
             {
                 let Version { seq, digest, document } = version.clone();
-                self.force = Some(Arc::new(InForce { seq, digest, document, tightened_to: None }));
+                self.force = Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
             }
-            (Message::Whole { .. }, Defect::NeverTakesWhole) => return,
+            (VersionMessage::Full { .. }, Defect::NeverTakesWhole) => return,
             _ => {}
         }
-        self.learner.hear(now, message);
+        self.learner.receive(now, message);
     }
 
-    fn in_force(&self, now: u64) -> Arc<InForce> {
+    fn in_force(&self, now: u64) -> Arc<VersionInForce> {
         self.force.clone().unwrap_or_else(|| self.learner.in_force(now))
     }
 
-    fn behind(&self, now: u64) -> bool {
+    fn is_behind(&self, now: u64) -> bool {
         match self.defect {
             Defect::NeverBehind => false,
-            Defect::WidensAtOnce => self.sound.behind(now),
-            _ => self.learner.behind(now),
+            Defect::WidensAtOnce => self.sound.is_behind(now),
+            _ => self.learner.is_behind(now),
         }
     }
 }
 
 /// Each value was in force in the version below or is a tighter one of a version in between.
-fn is_tightened(chain: &Chain, now: &InForce, to: u64) -> bool {
+fn is_tightened(chain: &Chain, now: &VersionInForce, to: u64) -> bool {
     let base = &chain.versions[now.seq as usize].document;
     let between = &chain.versions[now.seq as usize..=to as usize];
     let number = |value: &Value| value.as_i64().unwrap_or(0);
     base.keys().eq(now.document.keys())
         && now.document.iter().all(|(key, value)| {
-            let tighter = match Limits.tighter(key) {
-                Tighter::Less => number(value) < number(&base[key]),
-                Tighter::Greater => number(value) > number(&base[key]),
-                Tighter::Unknown => false,
+            let tighter = match Limits.tightening_direction(key) {
+                TighteningDirection::Less => number(value) < number(&base[key]),
+                TighteningDirection::Greater => number(value) > number(&base[key]),
+                TighteningDirection::Unknown => false,
             };
             *value == base[key] || (tighter && between.iter().any(|v| v.document.get(key) == Some(value)))
         })
@@ -161,7 +161,7 @@
         now += 50_000;
         let before = subject.in_force(now);
         let message = message(chain, told);
-        subject.hear(now, message.clone());
+        subject.receive(now, message.clone());
         let after = subject.in_force(now);
         if told.majority {
             heard = Some(now);
@@ -174,33 +174,38 @@
         }
         prop_assert!(after.seq >= before.seq, "went back");
         prop_assert!(told.majority || after.seq == before.seq, "widened by a machine without a majority");
-        if let Message::Whole { version, majority: false } = &message
+        if let VersionMessage::Full { version, majority: false } = &message
             && version.seq > before.tightened_to.unwrap_or(before.seq)
             && version.seq > after.seq
         {
-            let least = tightened(&before.document, &version.document, &|key| Limits.tighter(key));
+            let least =
+                tightened(&before.document, &version.document, &|key| Limits.tightening_direction(key));
             prop_assert!(*after.document == least, "what tightens didn't count at once");
         }
-        prop_assert!(heard.is_some() || subject.behind(now), "level without a majority");
+        prop_assert!(heard.is_some() || subject.is_behind(now), "level without a majority");
     }
     let silent = heard.unwrap_or(0) + SILENCE_US + 1;
-    prop_assert!(subject.behind(silent.max(now)), "not behind in silence");
+    prop_assert!(subject.is_behind(silent.max(now)), "not behind in silence");
     // Messages flow again: the changes since what it holds, or the whole.
     let last = chain.versions.last().unwrap();
-    let Ask { seq, .. } = subject.learner.holds();
+    let Ask { seq, .. } = subject.learner.held_version();
     if tolds.len().is_multiple_of(2) {
         for delta in &chain.deltas[seq as usize..] {
-            subject.hear(now, Message::Delta { delta: delta.clone(), majority: true });
+            subject.receive(now, VersionMessage::Delta { delta: delta.clone(), majority: true });
         }
     } else {
-        subject.hear(now, Message::Whole { version: last.clone(), majority: true });
+        subject.receive(now, VersionMessage::Full { version: last.clone(), majority: true });
     }
-    subject.hear(now, Message::Here { seq: last.seq, majority: true });
+    subject.receive(now, VersionMessage::Current { seq: last.seq, majority: true });
     let after = subject.in_force(now);
-    let expected =
-        InForce { seq: last.seq, digest: last.digest, document: last.document.clone(), tightened_to: None };
+    let expected = VersionInForce {
+        seq: last.seq,
+        digest: last.digest,
+        document: last.document.clone(),
+        tightened_to: None,
+    };
     prop_assert_eq!(&*after, &expected, "not level at the end");
-    prop_assert!(!subject.behind(now), "behind at the end");
+    prop_assert!(!subject.is_behind(now), "behind at the end");
     Ok(())
 }
 
@@ -271,59 +276,68 @@
     ]);
     let mut learner = Learner::new(SILENCE_US, Box::new(Limits));
     let version = |at: usize| chain.versions[at].clone();
-    assert_eq!(learner.hear(0, Message::Whole { version: version(1), majority: true }), Taken::InForce);
-    assert_eq!(learner.hear(1, Message::Whole { version: version(2), majority: false }), Taken::Tightened);
+    assert_eq!(
+        learner.receive(0, VersionMessage::Full { version: version(1), majority: true }),
+        UpdateOutcome::InForce
+    );
+    assert_eq!(
+        learner.receive(1, VersionMessage::Full { version: version(2), majority: false }),
+        UpdateOutcome::Tightened
+    );
     let expected = Document::from([("g".into(), json!(5)), ("l".into(), json!(3)), ("u".into(), json!(5))]);
     assert_eq!((&*learner.in_force(1).document, learner.in_force(1).tightened_to), (&expected, Some(2)));
     // A tightened key stays so although the next version, no less old, widens it.
-    learner.hear(2, Message::Delta { delta: chain.deltas[2].clone(), majority: false });
+    learner.receive(2, VersionMessage::Delta { delta: chain.deltas[2].clone(), majority: false });
     assert_eq!(*learner.in_force(2).document, expected);
-    assert!(learner.behind(2));
-    assert_eq!(learner.hear(3, Message::Here { seq: 3, majority: true }), Taken::InForce);
+    assert!(learner.is_behind(2));
+    assert_eq!(
+        learner.receive(3, VersionMessage::Current { seq: 3, majority: true }),
+        UpdateOutcome::InForce
+    );
     assert_eq!(learner.in_force(3).document, chain.versions[3].document);
-    assert!(!learner.behind(3));
+    assert!(!learner.is_behind(3));
 }
 
 #[test]
 fn a_version_that_isnt_usable_here_doesnt_come_into_force() {
     struct NoThirteen;
     impl Check for NoThirteen {
-        fn check(&self, whole: &Document) -> Result<(), Fault> {
+        fn check(&self, whole: &Document) -> Result<(), ValidationError> {
             let faulty = whole.iter().find(|(_, value)| **value == 13);
-            faulty.map_or(Ok(()), |(key, _)| Err(Fault { key: key.clone(), why: "13".into() }))
+            faulty.map_or(Ok(()), |(key, _)| Err(ValidationError { key: key.clone(), reason: "13".into() }))
         }
     }
     impl Rules for NoThirteen {
-        fn tighter(&self, _: &str) -> Tighter {
-            Tighter::Less
+        fn tightening_direction(&self, _: &str) -> TighteningDirection {
+            TighteningDirection::Less
         }
     }
     let chain = chain(vec![one("a", 1), one("a", 13), one("a", 2)]);
     let mut learner = Learner::new(SILENCE_US, Box::new(NoThirteen));
-    let hear = |learner: &mut Learner, at: usize| {
-        learner.hear(at as u64, Message::Delta { delta: chain.deltas[at].clone(), majority: true })
+    let receive = |learner: &mut Learner, at: usize| {
+        learner.receive(at as u64, VersionMessage::Delta { delta: chain.deltas[at].clone(), majority: true })
     };
-    assert_eq!(hear(&mut learner, 0), Taken::InForce);
-    let fault = Fault { key: "a".into(), why: "13".into() };
-    assert_eq!(hear(&mut learner, 1), Taken::Refused(fault.clone()));
-    assert_eq!((learner.in_force(1).seq, learner.fault(), learner.behind(1)), (1, Some(&fault), true));
-    assert_eq!(hear(&mut learner, 2), Taken::InForce);
-    assert_eq!((learner.in_force(2).seq, learner.fault(), learner.behind(2)), (3, None, false));
+    assert_eq!(receive(&mut learner, 0), UpdateOutcome::InForce);
+    let fault = ValidationError { key: "a".into(), reason: "13".into() };
+    assert_eq!(receive(&mut learner, 1), UpdateOutcome::Invalid(fault.clone()));
+    assert_eq!((learner.in_force(1).seq, learner.fault(), learner.is_behind(1)), (1, Some(&fault), true));
+    assert_eq!(receive(&mut learner, 2), UpdateOutcome::InForce);
+    assert_eq!((learner.in_force(2).seq, learner.fault(), learner.is_behind(2)), (3, None, false));
 }
 
 #[test]
 fn a_gap_is_asked_for_and_questions_are_paced() {
     let chain = chain(vec![one("a", 1), one("a", 2), one("a", 3)]);
     let mut learner = Learner::new(SILENCE_US, Box::new(Limits));
-    learner.hear(0, Message::Delta { delta: chain.deltas[0].clone(), majority: true });
-    assert_eq!(learner.wants(0), None, "level");
+    learner.receive(0, VersionMessage::Delta { delta: chain.deltas[0].clone(), majority: true });
+    assert_eq!(learner.next_request(0), None, "level");
     assert_eq!(
-        learner.hear(1, Message::Delta { delta: chain.deltas[2].clone(), majority: true }),
-        Taken::Gap
+        learner.receive(1, VersionMessage::Delta { delta: chain.deltas[2].clone(), majority: true }),
+        UpdateOutcome::Gap
     );
     let ask = Ask { seq: 1, digest: chain.versions[1].digest };
     let times: Vec<u64> =
-        (1..20_000_000).step_by(10_000).filter(|now| learner.wants(*now) == Some(ask)).collect();
+        (1..20_000_000).step_by(10_000).filter(|now| learner.next_request(*now) == Some(ask)).collect();
     let pauses: Vec<u64> = times.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert_eq!(pauses[..5], [250_000, 500_000, 1_000_000, 2_000_000, 4_000_000]);
     assert!(pauses[5..].iter().all(|pause| *pause == 4_000_000));
--- a/crates/consensus/tests/limits.rs
+++ b/crates/consensus/tests/limits.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use calicolb_consensus::{
-    Answer, Change, Digest, Document, Outcome, Refused, Ticket, Version, Voter, limits, size,
+    CatchUp, Change, Digest, Document, Outcome, ProposeError, Ticket, Version, Voter, limits, size,
 };
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -28,25 +28,30 @@
 fn a_document_has_its_bounds() {
     let mut five = Five::ready();
     let keys = |count: usize| set((0..count).map(|i| (format!("k{i}"), json!(i))));
-    assert_eq!(five.refusal(keys(limits::MAX_KEYS + 1)).why, "4097 keys, 4096 at most");
+    assert_eq!(five.refusal(keys(limits::MAX_KEYS + 1)).reason, "4097 keys, 4096 at most");
     five.change(1, keys(limits::MAX_KEYS));
-    assert_eq!(five.refusal(set([("one.more".into(), json!(1))])).why, "4097 keys, 4096 at most");
-    let all =
-        Change { unset: five.voters[&1].agreed().document.keys().cloned().collect(), ..Change::default() };
+    assert_eq!(five.refusal(set([("one.more".into(), json!(1))])).reason, "4097 keys, 4096 at most");
+    let all = Change {
+        unset: five.voters[&1].decided_version().document.keys().cloned().collect(),
+        ..Change::default()
+    };
     five.change(2, all);
     let key = |bytes| set([("k".repeat(bytes), json!(1))]);
-    assert_eq!(five.refusal(key(limits::MAX_KEY_BYTES + 1)).why, "a key has 1 to 256 bytes, not 257");
-    assert_eq!(five.refusal(key(0)).why, "a key has 1 to 256 bytes, not 0");
+    assert_eq!(five.refusal(key(limits::MAX_KEY_BYTES + 1)).reason, "a key has 1 to 256 bytes, not 257");
+    assert_eq!(five.refusal(key(0)).reason, "a key has 1 to 256 bytes, not 0");
     five.change(3, key(limits::MAX_KEY_BYTES));
-    assert_eq!(five.refusal(set([("n".into(), nested(limits::MAX_NESTING_DEPTH + 1))])).why, "nested more than 16 deep");
+    assert_eq!(
+        five.refusal(set([("n".into(), nested(limits::MAX_NESTING_DEPTH + 1))])).reason,
+        "nested more than 16 deep"
+    );
     five.change(4, set([("n".into(), nested(limits::MAX_NESTING_DEPTH))]));
     let long = Change { unset: ["k".repeat(limits::MAX_KEY_BYTES + 1)].into(), ..Change::default() };
-    assert_eq!(five.refusal(long).why, "a key has 256 bytes at most, not 257");
+    assert_eq!(five.refusal(long).reason, "a key has 256 bytes at most, not 257");
     let many = (0..3_000).map(|i| format!("{i:0>200}")).collect();
     let many = five.refusal(Change { unset: many, ..Change::default() });
-    assert!(many.why.ends_with("524288 at most"), "{many}");
-    let agreed = five.voters[&1].agreed().clone();
-    assert!(five.voters.values().all(|voter| *voter.agreed() == agreed));
+    assert!(many.reason.ends_with("524288 at most"), "{many}");
+    let agreed = five.voters[&1].decided_version().clone();
+    assert!(five.voters.values().all(|voter| *voter.decided_version() == agreed));
 }
 
 #[test]
@@ -54,22 +59,22 @@
     let mut five = Five::ready();
     let too_large = of_bytes(limits::MAX_DOCUMENT_BYTES + 1);
     assert_eq!(
-        five.refusal(Change { set: too_large, ..Change::default() }).why,
+        five.refusal(Change { set: too_large, ..Change::default() }).reason,
         "262145 bytes, 262144 at most"
     );
-    five.voters.values_mut().for_each(|voter| voter.set_log_bound(1));
+    five.voters.values_mut().for_each(|voter| voter.set_max_log_entries(1));
     five.voters.remove(&5);
     five.change(1, Change { set: of_bytes(limits::MAX_DOCUMENT_BYTES), ..Change::default() });
     five.start(5);
-    five.until(|five| five.voters[&5].agreed().seq == 1 && five.voters[&5].has_majority());
-    assert_eq!(five.voters[&5].agreed(), five.voters[&1].agreed());
+    five.until(|five| five.voters[&5].decided_version().seq == 1 && five.voters[&5].has_majority());
+    assert_eq!(five.voters[&5].decided_version(), five.voters[&1].decided_version());
     assert!(five.largest <= 2 * limits::MAX_DOCUMENT_BYTES, "{} bytes", five.largest);
 }
 
 #[test]
 fn the_log_is_folded_at_its_bound_and_a_voter_that_was_away_for_longer_catches_up() {
     let mut five = Five::ready();
-    five.voters.values_mut().for_each(|voter| voter.set_log_bound(8));
+    five.voters.values_mut().for_each(|voter| voter.set_max_log_entries(8));
     five.voters.remove(&5);
     let mut longest = 0;
     for i in 0..100 {
@@ -78,8 +83,8 @@
     }
     assert!((7..=9).contains(&longest), "{longest} entries");
     five.start(5);
-    five.until(|five| five.voters[&5].agreed().seq == 100 && five.voters[&5].has_majority());
-    assert_eq!(five.voters[&5].agreed(), five.voters[&1].agreed());
+    five.until(|five| five.voters[&5].decided_version().seq == 100 && five.voters[&5].has_majority());
+    assert_eq!(five.voters[&5].decided_version(), five.voters[&1].decided_version());
 }
 
 #[test]
@@ -90,17 +95,20 @@
     let mut longest = 0;
     for i in 0..changes {
         five.change(1, set([(format!("k{}", i % 8), json!(i))]));
-        digests.push(five.voters[&1].agreed().digest);
+        digests.push(five.voters[&1].decided_version().digest);
         longest = longest.max(five.voters[&1].log_entries());
     }
     assert!(longest <= limits::MAX_DECIDED_LOG_ENTRIES + 1, "{longest} entries");
     assert!(five.voters[&1].log_entries() < 10, "folded at its bound");
     let voter = &five.voters[&1];
-    let ask = |seq: usize| voter.since(seq as u64, digests[seq]);
+    let ask = |seq: usize| voter.changes_since(seq as u64, digests[seq]);
     // Deltas go as long as they are fewer bytes than the whole.
-    assert!(matches!(ask(changes - 1), Answer::Deltas(deltas) if deltas.len() == 1));
-    assert!(matches!(ask(0), Answer::Whole(_)));
-    assert!(matches!(voter.since(changes as u64 - 1, Digest::of(&Document::new())), Answer::Whole(_)));
+    assert!(matches!(ask(changes - 1), CatchUp::Deltas(deltas) if deltas.len() == 1));
+    assert!(matches!(ask(0), CatchUp::FullVersion(_)));
+    assert!(matches!(
+        voter.changes_since(changes as u64 - 1, Digest::of(&Document::new())),
+        CatchUp::FullVersion(_)
+    ));
     assert!(voter.store_bytes() < 8 * 1024 * 1024, "{} bytes", voter.store_bytes());
 }
 
@@ -116,14 +124,14 @@
     let mut told: Vec<(Ticket, Outcome)> = Vec::new();
     for _ in 0..2_000 {
         one.tick();
-        told.extend(one.settled(&anything));
+        told.extend(one.take_outcomes(&anything));
     }
     assert!(!one.has_majority());
     let expected: Vec<_> =
         tickets.iter().map(|t| (*t, Outcome::Unknown { sent: *t == tickets[0] })).collect();
     assert_eq!(told, expected, "the first was sent, the others surely not");
-    assert!(one.outgoing().len() <= limits::MAX_OUTGOING_MESSAGES);
-    assert_eq!(one.propose(Change::default(), &anything), Err(Refused::NoMajority));
+    assert!(one.take_outgoing().len() <= limits::MAX_OUTGOING_MESSAGES);
+    assert_eq!(one.propose(Change::default(), &anything), Err(ProposeError::NoMajority));
 }
 
 #[test]
@@ -132,7 +140,7 @@
     let leader = five.voters[&1].leader().unwrap();
     let from = if leader == 1 { 2 } else { 1 };
     five.voters.get_mut(&from).unwrap().propose(set([("k".into(), json!(1))]), &anything).unwrap();
-    let sent = five.voters.get_mut(&from).unwrap().outgoing();
+    let sent = five.voters.get_mut(&from).unwrap().take_outgoing();
     let forward = sent.iter().find(|(_, bytes)| String::from_utf8_lossy(bytes).contains("ProposalForward"));
     let mut envelope: Value = serde_json::from_slice(&forward.unwrap().1).unwrap();
     let first = envelope["c"].as_u64().unwrap();
@@ -148,7 +156,7 @@
 #[test]
 fn what_isnt_a_message_is_dropped() {
     let mut five = Five::ready();
-    let before = five.voters[&1].agreed().clone();
+    let before = five.voters[&1].decided_version().clone();
     let voter = five.voters.get_mut(&1).unwrap();
     let mut large = vec![b' '; limits::MAX_MESSAGE_BYTES];
     large.push(b'{');
@@ -156,7 +164,7 @@
         voter.receive(2, bytes);
     }
     voter.receive(9, b"{}");
-    assert!(!voter.is_stopped() && *voter.agreed() == before);
+    assert!(!voter.is_stopped() && *voter.decided_version() == before);
 }
 
 /// Messages with a few bytes changed: voters go on, and what they agree on stays sound. The seed is fixed.
@@ -170,8 +178,10 @@
             five.voters.get_mut(&id).unwrap().propose(set([(format!("k{}", i % 7), json!(i))]), &anything);
         five.voters.values_mut().for_each(Voter::tick);
         for _ in 0..6 {
-            let taken =
-                five.voters.iter_mut().flat_map(|(id, v)| v.outgoing().into_iter().map(move |m| (*id, m)));
+            let taken = five
+                .voters
+                .iter_mut()
+                .flat_map(|(id, v)| v.take_outgoing().into_iter().map(move |m| (*id, m)));
             let messages: Vec<_> = taken.collect();
             for (from, (to, mut bytes)) in messages {
                 if rng.u8(..5) == 0 {
@@ -183,10 +193,10 @@
                 five.voters.get_mut(&to).unwrap().receive(from, &bytes);
             }
         }
-        five.voters.values_mut().for_each(|voter| drop(voter.settled(&anything)));
+        five.voters.values_mut().for_each(|voter| drop(voter.take_outcomes(&anything)));
         let stopped: Vec<_> =
             five.voters.values().filter(|voter| voter.is_stopped()).map(Voter::id).collect();
         assert!(stopped.is_empty(), "{stopped:?} stopped in round {i}");
-        assert!(five.voters.values().all(|voter| voter.agreed().is_sound()));
+        assert!(five.voters.values().all(|voter| voter.decided_version().is_sound()));
     }
 }
--- a/crates/consensus/tests/net/claims.rs
+++ b/crates/consensus/tests/net/claims.rs
@@ -1,7 +1,9 @@
 //! What is claimed, checked at every step by somebody who sees all control machines and learners at once.
 
 use super::parts::{Control, Usable};
-use calicolb_consensus::{Answer, Digest, Document, InForce, Outcome, Rules, Ticket, Tighter, Version};
+use calicolb_consensus::{
+    CatchUp, Digest, Document, Outcome, Rules, Ticket, TighteningDirection, Version, VersionInForce,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -29,7 +31,7 @@
 pub struct Ledger {
     chain: BTreeMap<u64, (Digest, Arc<Document>)>,
     voters: BTreeMap<u64, Seen>,
-    learners: Vec<InForce>,
+    learners: Vec<VersionInForce>,
     in_force: BTreeMap<Seen, usize>,
     outcomes: BTreeMap<Key, Option<Outcome>>,
     pub agreed: u64,
@@ -45,8 +47,12 @@
 impl Ledger {
     pub fn new(learners: usize) -> Ledger {
         let empty = Version::default();
-        let none =
-            InForce { seq: 0, digest: empty.digest, document: empty.document.clone(), tightened_to: None };
+        let none = VersionInForce {
+            seq: 0,
+            digest: empty.digest,
+            document: empty.document.clone(),
+            tightened_to: None,
+        };
         Ledger {
             chain: BTreeMap::from([(0, (empty.digest, empty.document))]),
             voters: BTreeMap::new(),
@@ -75,7 +81,7 @@
 
     /// Looks at a control machine, after each thing it did.
     pub fn see_voter(&mut self, id: u64, part: &dyn Control) -> Result<(), Broken> {
-        let version = part.agreed();
+        let version = part.decided_version();
         let (seq, digest) = self.voters.get(&id).copied().unwrap_or((0, self.chain[&0].0));
         if (version.seq, version.digest) == (seq, digest) {
             return Ok(());
@@ -83,7 +89,7 @@
         if version.seq <= seq {
             return broken(BACK, format!("voter {id} went from version {seq} to {}", version.seq));
         }
-        if let Answer::Deltas(deltas) = part.since(seq, digest) {
+        if let CatchUp::Deltas(deltas) = part.changes_since(seq, digest) {
             let document = self.chain[&seq].1.clone();
             let mut at = Version { seq, digest, document };
             for delta in deltas {
@@ -96,7 +102,7 @@
     }
 
     /// Looks at a learner, after each thing it heard.
-    pub fn see_learner(&mut self, learner: usize, now: &InForce) -> Result<(), Broken> {
+    pub fn see_learner(&mut self, learner: usize, now: &VersionInForce) -> Result<(), Broken> {
         let before = self.learners[learner].clone();
         if *now == before {
             return Ok(());
@@ -126,7 +132,7 @@
     }
 
     /// Of a tightened version each value is one that was agreed in between, and none is wider than it was.
-    fn see_tightened(&self, learner: usize, now: &InForce, to: u64) -> Result<(), Broken> {
+    fn see_tightened(&self, learner: usize, now: &VersionInForce, to: u64) -> Result<(), Broken> {
         let Some((_, base)) = self.chain.get(&now.seq) else { return Ok(()) };
         if !base.keys().eq(now.document.keys()) {
             return broken(WIDE, format!("learner {learner}: other keys than version {}", now.seq));
@@ -134,7 +140,8 @@
         for (key, value) in now.document.iter().filter(|(key, value)| base[*key] != **value) {
             let agreed =
                 self.chain.range(now.seq..=to).any(|(_, (_, document))| document.get(key) == Some(value));
-            let tighter = Usable.tighter(key) == Tighter::Less && value.as_i64() < base[key].as_i64();
+            let tighter = Usable.tightening_direction(key) == TighteningDirection::Less
+                && value.as_i64() < base[key].as_i64();
             if !agreed || !tighter {
                 return broken(
                     WIDE,
@@ -151,8 +158,8 @@
 
     pub fn settle(&mut self, key: Key, outcome: Outcome) -> Result<(), Broken> {
         match &outcome {
-            Outcome::Agreed { .. } => self.agreed += 1,
-            Outcome::Void(_) => self.void += 1,
+            Outcome::Decided { .. } => self.agreed += 1,
+            Outcome::Invalidated(_) => self.void += 1,
             Outcome::Unknown { .. } => self.unknown += 1,
         }
         match self.outcomes.insert(key, Some(outcome)) {
@@ -168,7 +175,7 @@
     /// At the end: all that was acknowledged is in the chain that all voters have, and so is all that was in force.
     pub fn close(&self, last: u64) -> Result<(), Broken> {
         for outcome in self.outcomes.values() {
-            if let Some(Outcome::Agreed { seq, digest }) = outcome
+            if let Some(Outcome::Decided { seq, digest }) = outcome
                 && (*seq > last || self.chain.get(seq).is_none_or(|(known, _)| known != digest))
             {
                 return broken(
--- a/crates/consensus/tests/net/parts.rs
+++ b/crates/consensus/tests/net/parts.rs
@@ -1,9 +1,9 @@
 //! The parts under test behind two narrow traits, and the same parts with one defect each.
 
-use calicolb_consensus::store::{MemoryStore, Platter, Store, StoreError};
+use calicolb_consensus::store::{MemoryDisk, MemoryStore, Store, StoreError};
 use calicolb_consensus::{
-    Answer, Ask, Change, Check, Delta, Digest, Document, Fault, InForce, Learner, Message, Outcome, Refused,
-    Rules, Taken, Ticket, Tighter, Version, Voter,
+    Ask, CatchUp, Change, Check, Delta, Digest, Document, Learner, Outcome, ProposeError, Rules, Ticket,
+    TighteningDirection, UpdateOutcome, ValidationError, Version, VersionInForce, VersionMessage, Voter,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -43,49 +43,53 @@
 pub struct Usable;
 
 impl Check for Usable {
-    fn check(&self, whole: &Document) -> Result<(), Fault> {
+    fn check(&self, whole: &Document) -> Result<(), ValidationError> {
         let of = |key: &str| whole.get(key).and_then(serde_json::Value::as_i64).unwrap_or(0);
         if let Some((key, _)) = whole.iter().find(|(_, value)| **value == 13) {
-            return Err(Fault { key: key.clone(), why: "13".into() });
+            return Err(ValidationError { key: key.clone(), reason: "13".into() });
         }
         let sum = of("q0") + of("q1");
-        if sum > 20 { Err(Fault { key: "q0".into(), why: format!("{sum} with q1") }) } else { Ok(()) }
+        if sum > 20 {
+            Err(ValidationError { key: "q0".into(), reason: format!("{sum} with q1") })
+        } else {
+            Ok(())
+        }
     }
 }
 
 impl Rules for Usable {
-    fn tighter(&self, key: &str) -> Tighter {
-        if key.starts_with('q') { Tighter::Less } else { Tighter::Unknown }
+    fn tightening_direction(&self, key: &str) -> TighteningDirection {
+        if key.starts_with('q') { TighteningDirection::Less } else { TighteningDirection::Unknown }
     }
 }
 
 /// A control machine, as its host sees it.
 pub trait Control {
     fn tick(&mut self);
-    fn missed(&mut self, ticks: u64);
+    fn skip_ticks(&mut self, ticks: u64);
     fn receive(&mut self, from: u64, bytes: &[u8]);
-    fn outgoing(&mut self) -> Vec<(u64, Vec<u8>)>;
-    fn propose(&mut self, change: Change) -> Result<Ticket, Refused>;
-    fn settled(&mut self) -> Vec<(Ticket, Outcome)>;
-    fn agreed(&self) -> Version;
+    fn take_outgoing(&mut self) -> Vec<(u64, Vec<u8>)>;
+    fn propose(&mut self, change: Change) -> Result<Ticket, ProposeError>;
+    fn take_outcomes(&mut self) -> Vec<(Ticket, Outcome)>;
+    fn decided_version(&self) -> Version;
     fn has_majority(&self) -> bool;
     fn leads(&self) -> bool;
-    fn since(&self, seq: u64, digest: Digest) -> Answer;
+    fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp;
 }
 
 /// A learner, as its host sees it.
 pub trait Hearing {
-    fn hear(&mut self, now: u64, message: Message) -> Taken;
-    fn in_force(&self, now: u64) -> Arc<InForce>;
-    fn behind(&self, now: u64) -> bool;
-    fn wants(&mut self, now: u64) -> Option<Ask>;
-    fn holds(&self) -> Ask;
+    fn receive(&mut self, now: u64, message: VersionMessage) -> UpdateOutcome;
+    fn in_force(&self, now: u64) -> Arc<VersionInForce>;
+    fn is_behind(&self, now: u64) -> bool;
+    fn next_request(&mut self, now: u64) -> Option<Ask>;
+    fn held_version(&self) -> Ask;
 }
 
 /// A store that may say it has synced when it hasn't.
 pub struct SimStore {
     store: MemoryStore,
-    platter: Platter,
+    platter: MemoryDisk,
     lazy: Option<(usize, Vec<u8>)>,
 }
 
@@ -124,7 +128,7 @@
 }
 
 impl Part {
-    pub fn start(id: u64, platter: &Platter, seed: u64, defect: Defect) -> Box<dyn Control> {
+    pub fn start(id: u64, platter: &MemoryDisk, seed: u64, defect: Defect) -> Box<dyn Control> {
         if defect == Defect::StoreForgets {
             platter.set_bytes(Vec::new());
         }
@@ -144,35 +148,35 @@
             self.voter.tick();
         }
     }
-    fn missed(&mut self, ticks: u64) {
+    fn skip_ticks(&mut self, ticks: u64) {
         if self.defect != Defect::PauseUnnoticed {
-            self.voter.missed(ticks);
+            self.voter.skip_ticks(ticks);
         }
     }
     fn receive(&mut self, from: u64, bytes: &[u8]) {
         self.voter.receive(from, bytes);
     }
-    fn outgoing(&mut self) -> Vec<(u64, Vec<u8>)> {
-        self.voter.outgoing()
+    fn take_outgoing(&mut self) -> Vec<(u64, Vec<u8>)> {
+        self.voter.take_outgoing()
     }
-    fn propose(&mut self, change: Change) -> Result<Ticket, Refused> {
+    fn propose(&mut self, change: Change) -> Result<Ticket, ProposeError> {
         let ticket = self.voter.propose(change.clone(), &Usable)?;
-        let now = self.agreed();
+        let now = self.decided_version();
         let next = Version::new(now.seq + 1, change.on(&now.document));
         if self.defect == Defect::AcknowledgesEarly {
-            self.early.push_back((ticket, Outcome::Agreed { seq: next.seq, digest: next.digest }));
+            self.early.push_back((ticket, Outcome::Decided { seq: next.seq, digest: next.digest }));
         }
         if self.defect == Defect::ShowsUndecided {
             self.shown = Some(next);
         }
         Ok(ticket)
     }
-    fn settled(&mut self) -> Vec<(Ticket, Outcome)> {
-        let told = self.voter.settled(&Usable);
+    fn take_outcomes(&mut self) -> Vec<(Ticket, Outcome)> {
+        let told = self.voter.take_outcomes(&Usable);
         if self.defect == Defect::AcknowledgesEarly { self.early.drain(..).collect() } else { told }
     }
-    fn agreed(&self) -> Version {
-        let agreed = self.voter.agreed().clone();
+    fn decided_version(&self) -> Version {
+        let agreed = self.voter.decided_version().clone();
         self.shown.clone().filter(|shown| shown.seq > agreed.seq).unwrap_or(agreed)
     }
     fn has_majority(&self) -> bool {
@@ -181,12 +185,12 @@
     fn leads(&self) -> bool {
         self.voter.leader() == Some(self.voter.id())
     }
-    fn since(&self, seq: u64, digest: Digest) -> Answer {
+    fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp {
         match &self.shown {
-            Some(shown) if shown.seq > seq && shown.seq > self.voter.agreed().seq => {
-                Answer::Whole(shown.clone())
+            Some(shown) if shown.seq > seq && shown.seq > self.voter.decided_version().seq => {
+                CatchUp::FullVersion(shown.clone())
             }
-            _ => self.voter.since(seq, digest),
+            _ => self.voter.changes_since(seq, digest),
         }
     }
 }
@@ -219,23 +223,25 @@
     }
 
     /// Begins again with what the defect makes of things.
-    fn force(&mut self, now: u64, version: Version) -> Taken {
+    fn force(&mut self, now: u64, version: Version) -> UpdateOutcome {
         self.loose = version.clone();
-        self.learner = Learner::with(self.silence_us, Box::new(Usable), version);
-        let here = Message::Here { seq: self.loose.seq, majority: true };
-        self.learner.hear(now, here);
-        Taken::InForce
+        self.learner = Learner::with_version(self.silence_us, Box::new(Usable), version);
+        let here = VersionMessage::Current { seq: self.loose.seq, majority: true };
+        self.learner.receive(now, here);
+        UpdateOutcome::InForce
     }
 }
 
 impl Hearing for Ear {
-    fn hear(&mut self, now: u64, message: Message) -> Taken {
+    fn receive(&mut self, now: u64, message: VersionMessage) -> UpdateOutcome {
         match (self.defect, message) {
-            (Defect::AnyDelta, Message::Delta { delta, .. }) if delta.seq > self.loose.seq => {
+            (Defect::AnyDelta, VersionMessage::Delta { delta, .. }) if delta.seq > self.loose.seq => {
                 let version = Version::new(delta.seq, delta.change.on(&self.loose.document));
                 self.force(now, version)
             }
-            (Defect::KeyByKey, Message::Delta { delta, .. }) if delta.from_digest == self.loose.digest => {
+            (Defect::KeyByKey, VersionMessage::Delta { delta, .. })
+                if delta.from_digest == self.loose.digest =>
+            {
                 // The first key now, the others with the next message, whatever it is.
                 let mut first = delta.change.clone();
                 first.set = first.set.into_iter().take(1).collect();
@@ -250,14 +256,14 @@
                     let version = Version::new(delta.seq, delta.change.on(&self.loose.document));
                     self.force(now, version);
                 }
-                self.learner.hear(now, message)
+                self.learner.receive(now, message)
             }
-            (Defect::GoesBack, Message::Delta { delta, .. }) if self.had.contains_key(&delta.seq) => {
+            (Defect::GoesBack, VersionMessage::Delta { delta, .. }) if self.had.contains_key(&delta.seq) => {
                 let version = self.had[&delta.seq].clone();
                 self.force(now, version)
             }
             (_, message) => {
-                let taken = self.learner.hear(now, message);
+                let taken = self.learner.receive(now, message);
                 if self.is_loose() {
                     let in_force = self.learner.in_force(now);
                     let (seq, digest) = (in_force.seq, in_force.digest);
@@ -270,16 +276,16 @@
             }
         }
     }
-    fn in_force(&self, now: u64) -> Arc<InForce> {
+    fn in_force(&self, now: u64) -> Arc<VersionInForce> {
         self.learner.in_force(now)
     }
-    fn behind(&self, now: u64) -> bool {
-        self.learner.behind(now)
+    fn is_behind(&self, now: u64) -> bool {
+        self.learner.is_behind(now)
     }
-    fn wants(&mut self, now: u64) -> Option<Ask> {
-        if self.defect == Defect::NeverAsks { None } else { self.learner.wants(now) }
+    fn next_request(&mut self, now: u64) -> Option<Ask> {
+        if self.defect == Defect::NeverAsks { None } else { self.learner.next_request(now) }
     }
-    fn holds(&self) -> Ask {
-        self.learner.holds()
+    fn held_version(&self) -> Ask {
+        self.learner.held_version()
     }
 }
--- a/crates/consensus/tests/net/plays.rs
+++ b/crates/consensus/tests/net/plays.rs
@@ -50,8 +50,10 @@
     }
     // A change that all have to get, whatever was under way.
     let Some(level) = world.run_until(LEVEL_TICKS, World::is_level)? else {
-        let state: Vec<_> =
-            IDS.iter().map(|id| world.part(*id).map(|p| (p.agreed().seq, p.has_majority()))).collect();
+        let state: Vec<_> = IDS
+            .iter()
+            .map(|id| world.part(*id).map(|p| (p.decided_version().seq, p.has_majority())))
+            .collect();
         return broken(LEVEL, format!("not level {LEVEL_TICKS} ticks after the storm: {state:?}"));
     };
     let leader = world.leader().unwrap_or(1);
@@ -59,10 +61,10 @@
     let ticket = world.propose(leader, set("last", value));
     let Some(seq) = ticket.ok().and_then(|ticket| {
         world
-            .run_until(LEVEL_TICKS, |w| matches!(w.outcome(leader, ticket), Some(Outcome::Agreed { .. })))
+            .run_until(LEVEL_TICKS, |w| matches!(w.outcome(leader, ticket), Some(Outcome::Decided { .. })))
             .ok()?;
         match world.outcome(leader, ticket) {
-            Some(Outcome::Agreed { seq, .. }) => Some(seq),
+            Some(Outcome::Decided { seq, .. }) => Some(seq),
             _ => None,
         }
     }) else {
@@ -71,7 +73,7 @@
     if world.run_until(LEVEL_TICKS, |world| world.are_learners_at(seq) && world.is_level())?.is_none() {
         return broken(LEVEL, "a last change isn't in force everywhere");
     }
-    let last = world.part(leader).map_or(0, |part| part.agreed().seq);
+    let last = world.part(leader).map_or(0, |part| part.decided_version().seq);
     world.ledger.close(last)?;
     let ledger = &world.ledger;
     let (agreed, void, unknown, tightened) = (ledger.agreed, ledger.void, ledger.unknown, ledger.tightened);
@@ -167,7 +169,7 @@
     let waiting = world.propose(few[0], set("few", 1));
     // Whatever was on its way has arrived.
     world.run(1)?;
-    let before = few.iter().map(|id| world.part(*id).unwrap().agreed().seq).max().unwrap_or(0);
+    let before = few.iter().map(|id| world.part(*id).unwrap().decided_version().seq).max().unwrap_or(0);
     world.run(limits::MAJORITY_LOSS_TICKS)?;
     for id in few {
         if world.part(*id).unwrap().has_majority() {
@@ -189,11 +191,11 @@
         return broken(MINORITY, "the majority takes no proposal");
     };
     world.run(50)?;
-    if !matches!(world.outcome(at, ticket), Some(Outcome::Agreed { .. })) {
+    if !matches!(world.outcome(at, ticket), Some(Outcome::Decided { .. })) {
         return broken(MINORITY, "the majority decides nothing");
     }
     for id in few {
-        let now = world.part(*id).unwrap().agreed().seq;
+        let now = world.part(*id).unwrap().decided_version().seq;
         if now > before {
             return broken(MINORITY, format!("{id} went from version {before} to {now}"));
         }
@@ -255,7 +257,7 @@
             asked = world.propose(at, set("k", 7)).ok();
         }
         let agreed = asked.and_then(|ticket| world.outcome(at, ticket));
-        if let Some(Outcome::Agreed { seq, .. }) = agreed
+        if let Some(Outcome::Decided { seq, .. }) = agreed
             && world.are_learners_at(seq)
         {
             settle(&mut world)?;
--- a/crates/consensus/tests/net/world.rs
+++ b/crates/consensus/tests/net/world.rs
@@ -3,8 +3,10 @@
 
 use super::claims::{Broken, Ledger};
 use super::parts::{Control, Defect, Ear, Hearing, IDS, Part};
-use calicolb_consensus::store::Platter;
-use calicolb_consensus::{Answer, Ask, Change, Digest, Document, Message, Outcome, Refused, Ticket};
+use calicolb_consensus::store::MemoryDisk;
+use calicolb_consensus::{
+    Ask, CatchUp, Change, Digest, Document, Outcome, ProposeError, Ticket, VersionMessage,
+};
 use fastrand::Rng;
 use serde_json::json;
 use std::cmp::Reverse;
@@ -23,7 +25,7 @@
 enum Parcel {
     Talk { from: u64, bytes: Vec<u8> },
     Ask { learner: usize, ask: Ask },
-    Tell { learner: usize, message: Message },
+    Tell { learner: usize, message: VersionMessage },
 }
 
 struct Watch {
@@ -34,7 +36,7 @@
 
 pub struct Node {
     pub part: Option<Box<dyn Control>>,
-    platter: Platter,
+    platter: MemoryDisk,
     pub paused_until: u64,
     watches: BTreeMap<usize, Watch>,
     starts: u64,
@@ -77,7 +79,7 @@
 impl World {
     pub fn new(seed: u64, defect: Defect) -> World {
         let nodes = IDS.map(|id| {
-            let platter = Platter::default();
+            let platter = MemoryDisk::default();
             let part = Some(Part::start(id, &platter, seed, Defect::None));
             (id, Node { part, platter, paused_until: 0, watches: BTreeMap::new(), starts: 1 })
         });
@@ -171,7 +173,7 @@
         }
     }
 
-    fn tell(&mut self, learner: usize, message: Message) {
+    fn tell(&mut self, learner: usize, message: VersionMessage) {
         if self.rng.f64() >= self.weather.loss {
             let copies = 1 + usize::from(self.rng.f64() < self.weather.doubled);
             for _ in 0..copies {
@@ -186,27 +188,28 @@
         let node = self.nodes.get_mut(&id).unwrap();
         let starts = node.starts;
         let Some(part) = &mut node.part else { return Ok(()) };
-        let settled = part.settled();
-        let outgoing = part.outgoing();
+        let settled = part.take_outcomes();
+        let outgoing = part.take_outgoing();
         let majority = part.has_majority();
         let mut telling = Vec::new();
         for (learner, watch) in &mut node.watches {
-            match part.since(watch.seq, watch.digest) {
-                Answer::Deltas(deltas) => {
+            match part.changes_since(watch.seq, watch.digest) {
+                CatchUp::Deltas(deltas) => {
                     for delta in deltas {
                         (watch.seq, watch.digest, watch.told_at) = (delta.seq, delta.digest, now);
-                        telling.push((*learner, Message::Delta { delta, majority }));
+                        telling.push((*learner, VersionMessage::Delta { delta, majority }));
                     }
                 }
-                Answer::Whole(version) => {
+                CatchUp::FullVersion(version) => {
                     (watch.seq, watch.digest, watch.told_at) = (version.seq, version.digest, now);
-                    telling.push((*learner, Message::Whole { version, majority }));
+                    telling.push((*learner, VersionMessage::Full { version, majority }));
                 }
-                Answer::Level | Answer::Ahead => {}
+                CatchUp::UpToDate | CatchUp::Ahead => {}
             }
             if now - watch.told_at >= HERE_MS {
                 watch.told_at = now;
-                telling.push((*learner, Message::Here { seq: part.agreed().seq, majority }));
+                telling
+                    .push((*learner, VersionMessage::Current { seq: part.decided_version().seq, majority }));
             }
         }
         self.ledger.see_voter(id, &**part)?;
@@ -223,9 +226,9 @@
     }
 
     /// Proposes a change at a control machine.
-    pub fn propose(&mut self, id: u64, change: Change) -> Result<Ticket, Refused> {
+    pub fn propose(&mut self, id: u64, change: Change) -> Result<Ticket, ProposeError> {
         let node = self.nodes.get_mut(&id).unwrap();
-        let part = node.part.as_mut().ok_or(Refused::NoMajority)?;
+        let part = node.part.as_mut().ok_or(ProposeError::NoMajority)?;
         let ticket = part.propose(change)?;
         self.ledger.proposed((id, node.starts, ticket));
         Ok(ticket)
@@ -257,7 +260,7 @@
         if let Parcel::Tell { learner, message } = parcel {
             let seat = &mut self.seats[learner];
             seat.heard_at = self.now;
-            seat.ear.hear(self.now * 1_000, message);
+            seat.ear.receive(self.now * 1_000, message);
             return self.ledger.see_learner(learner, &seat.ear.in_force(self.now * 1_000));
         }
         let node = self.nodes.get_mut(&to).unwrap();
@@ -320,7 +323,7 @@
         let paused = std::mem::take(&mut node.paused_until);
         if let Some(part) = &mut node.part {
             if paused > 0 {
-                part.missed(super::PAUSE_TICKS);
+                part.skip_ticks(super::PAUSE_TICKS);
             }
             part.tick();
         }
@@ -332,14 +335,14 @@
     fn ask(&mut self) {
         for learner in 0..self.seats.len() {
             let seat = &mut self.seats[learner];
-            let mut ask = seat.ear.wants(self.now * 1_000);
+            let mut ask = seat.ear.next_request(self.now * 1_000);
             let silent = self.now - seat.heard_at.max(seat.came_at) > QUIET_MS;
             // A process that was killed ends its connections, and the next one is refused; a machine is silent.
             let refused = self.refuses && self.nodes[&seat.at].part.is_none();
             if refused || silent || (ask.is_some() && self.now - seat.came_at > QUIET_MS) {
                 let at = seat.at;
                 (seat.at, seat.came_at) = (at % 5 + 1, self.now);
-                ask = Some(seat.ear.holds());
+                ask = Some(seat.ear.held_version());
                 self.nodes.get_mut(&at).unwrap().watches.remove(&learner);
             }
             let to = seat.at;
@@ -356,7 +359,7 @@
 
     /// Whether all are up and level, learners too, and every proposal was settled.
     pub fn is_level(&self) -> bool {
-        let versions: Vec<_> = IDS.iter().filter_map(|id| Some(self.part(*id)?.agreed())).collect();
+        let versions: Vec<_> = IDS.iter().filter_map(|id| Some(self.part(*id)?.decided_version())).collect();
         let voters = versions.len() == 5 && versions.iter().all(|version| *version == versions[0]);
         let majority = IDS.iter().all(|id| self.part(*id).is_some_and(|part| part.has_majority()));
         voters && majority && self.are_learners_at(versions[0].seq)
@@ -367,14 +370,18 @@
         let now = self.now * 1_000;
         self.seats.iter().all(|seat| {
             let in_force = seat.ear.in_force(now);
-            in_force.seq >= seq && in_force.tightened_to.is_none() && !seat.ear.behind(now)
+            in_force.seq >= seq && in_force.tightened_to.is_none() && !seat.ear.is_behind(now)
         })
     }
 
     /// Runs until something holds.
-    pub fn run_until(&mut self, ticks: u64, holds: impl Fn(&World) -> bool) -> Result<Option<u64>, Broken> {
+    pub fn run_until(
+        &mut self,
+        ticks: u64,
+        condition: impl Fn(&World) -> bool,
+    ) -> Result<Option<u64>, Broken> {
         for passed in 0..ticks {
-            if holds(self) {
+            if condition(self) {
                 return Ok(Some(passed));
             }
             self.run(1)?;
--- a/crates/consensus/tests/stores.rs
+++ b/crates/consensus/tests/stores.rs
@@ -3,7 +3,7 @@
 mod contract;
 
 use calicolb_consensus::store::{
-    FileMedium, Journal, Medium, MemoryMedium, MemoryStore, Platter, Store, StoreError,
+    FileMedium, Journal, Medium, MemoryDisk, MemoryMedium, MemoryStore, Store, StoreError,
 };
 use contract::{Rig, claims, uphold};
 use std::cell::Cell;
@@ -15,7 +15,7 @@
 
 #[test]
 fn memory_keeps_the_contract() {
-    uphold(Platter::default);
+    uphold(MemoryDisk::default);
 }
 
 #[test]
@@ -23,25 +23,25 @@
     uphold(FileRig::new);
 }
 
-impl Rig for Platter {
+impl Rig for MemoryDisk {
     type Store = MemoryStore;
     fn open(&self) -> Result<MemoryStore, StoreError> {
-        Platter::open(self)
+        MemoryDisk::open(self)
     }
     fn bytes(&self) -> Vec<u8> {
-        Platter::bytes(self)
+        MemoryDisk::bytes(self)
     }
     fn set_bytes(&self, bytes: &[u8]) {
-        Platter::set_bytes(self, bytes.to_vec());
+        MemoryDisk::set_bytes(self, bytes.to_vec());
     }
     fn fail_syncs(&self, fail: bool) {
-        Platter::fail_syncs(self, fail);
+        MemoryDisk::fail_syncs(self, fail);
     }
     fn set_capacity(&self, bytes: Option<usize>) {
-        Platter::set_capacity(self, bytes);
+        MemoryDisk::set_capacity(self, bytes);
     }
     fn crash(&self, kept: usize) {
-        Platter::crash(self, kept);
+        MemoryDisk::crash(self, kept);
     }
 }
 
@@ -172,7 +172,7 @@
 /// A journal in memory with a defect.
 #[derive(Clone)]
 struct Broken {
-    platter: Platter,
+    platter: MemoryDisk,
     defect: Defect,
 }
 
@@ -314,7 +314,7 @@
         let breakers: Vec<_> = defects.iter().filter(|(claim, _)| *claim == name).collect();
         assert!(!breakers.is_empty(), "nothing breaks '{name}'");
         for (_, defect) in breakers {
-            let broken = claim(&Broken { platter: Platter::default(), defect: *defect });
+            let broken = claim(&Broken { platter: MemoryDisk::default(), defect: *defect });
             assert!(broken.is_err(), "'{name}' doesn't catch {defect:?}");
         }
     }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,14 +1,14 @@
 //! Five voters on a network without faults, some of which may be away.
 #![allow(dead_code)] // Each test program uses a part of it.
 
-use calicolb_consensus::store::{MemoryStore, Platter};
-use calicolb_consensus::{Change, Document, Fault, Outcome, Refused, Voter};
+use calicolb_consensus::store::{MemoryDisk, MemoryStore};
+use calicolb_consensus::{Change, Document, Outcome, ProposeError, ValidationError, Voter};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 pub const IDS: [u64; 5] = [1, 2, 3, 4, 5];
 
-pub fn anything(_: &Document) -> Result<(), Fault> {
+pub fn anything(_: &Document) -> Result<(), ValidationError> {
     Ok(())
 }
 
@@ -18,14 +18,15 @@
 
 /// The voters by their numbers, and what their stores are on.
 pub struct Five {
-    pub platters: BTreeMap<u64, Platter>,
+    pub platters: BTreeMap<u64, MemoryDisk>,
     pub voters: BTreeMap<u64, Voter<MemoryStore>>,
     pub largest: usize,
 }
 
 impl Five {
     pub fn starting() -> Five {
-        let platters: BTreeMap<u64, Platter> = IDS.into_iter().map(|id| (id, Platter::default())).collect();
+        let platters: BTreeMap<u64, MemoryDisk> =
+            IDS.into_iter().map(|id| (id, MemoryDisk::default())).collect();
         let mut five = Five { platters, voters: BTreeMap::new(), largest: 0 };
         IDS.into_iter().for_each(|id| five.start(id));
         five
@@ -44,8 +45,10 @@
 
     pub fn deliver(&mut self) {
         loop {
-            let taken =
-                self.voters.iter_mut().flat_map(|(id, v)| v.outgoing().into_iter().map(move |m| (*id, m)));
+            let taken = self
+                .voters
+                .iter_mut()
+                .flat_map(|(id, v)| v.take_outgoing().into_iter().map(move |m| (*id, m)));
             let messages: Vec<_> = taken.collect();
             if messages.is_empty() {
                 return;
@@ -64,9 +67,9 @@
         self.deliver();
     }
 
-    pub fn until(&mut self, holds: impl Fn(&Five) -> bool) {
+    pub fn until(&mut self, condition: impl Fn(&Five) -> bool) {
         for _ in 0..200 {
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             self.tick();
@@ -80,9 +83,9 @@
         let ticket = self.voters.get_mut(&id).unwrap().propose(change, &anything).unwrap();
         for _ in 0..200 {
             self.deliver();
-            let told = self.voters.get_mut(&id).unwrap().settled(&anything);
+            let told = self.voters.get_mut(&id).unwrap().take_outcomes(&anything);
             match told.first() {
-                Some((of, Outcome::Agreed { seq, .. })) if *of == ticket => return *seq,
+                Some((of, Outcome::Decided { seq, .. })) if *of == ticket => return *seq,
                 None => self.tick(),
                 other => panic!("{other:?}"),
             }
@@ -90,9 +93,9 @@
         panic!("not agreed within 200 ticks");
     }
 
-    pub fn refusal(&mut self, change: Change) -> Fault {
+    pub fn refusal(&mut self, change: Change) -> ValidationError {
         match self.voters.get_mut(&1).unwrap().propose(change, &anything) {
-            Err(Refused::Faulty(fault)) => fault,
+            Err(ProposeError::Invalid(fault)) => fault,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/hollow/src/agreed.rs
+++ b/crates/hollow/src/agreed.rs
@@ -6,9 +6,10 @@
 use crate::plan::{MILLI, Plan, SECOND};
 use calicolb::api::Settings;
 use calicolb::wire::{self, Names};
-use calicolb_consensus::store::{MemoryStore, Platter};
+use calicolb_consensus::store::{MemoryDisk, MemoryStore};
 use calicolb_consensus::{
-    Answer, Change, Check, Digest, Document, Fault, Outcome, Refused, Rules, Ticket, Tighter, Voter, VoterId,
+    CatchUp, Change, Check, Digest, Document, Outcome, ProposeError, Rules, Ticket, TighteningDirection,
+    ValidationError, Voter, VoterId,
 };
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -66,7 +67,7 @@
 }
 
 /// The settings that a document stands for, with the names behind their places: read by the program's own reader.
-pub(crate) fn settings(document: &Document) -> Result<(Settings, Names), Fault> {
+pub(crate) fn settings(document: &Document) -> Result<(Settings, Names), ValidationError> {
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
     let mut by_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
@@ -101,21 +102,22 @@
         root.insert(list.to_owned(), each.collect());
     }
     let text = Value::Object(root).to_string();
-    wire::parse_settings(&text).map_err(|error| Fault { key: String::new(), why: error.to_string() })
+    wire::parse_settings(&text)
+        .map_err(|error| ValidationError { key: String::new(), reason: error.to_string() })
 }
 
 /// What a version is checked by, and which way its keys tighten.
 pub(crate) struct Shared;
 
 impl Check for Shared {
-    fn check(&self, document: &Document) -> Result<(), Fault> {
+    fn check(&self, document: &Document) -> Result<(), ValidationError> {
         settings(document).map(drop)
     }
 }
 
 impl Rules for Shared {
-    fn tighter(&self, key: &str) -> Tighter {
-        if key.ends_with(".quota_rps") { Tighter::Less } else { Tighter::Unknown }
+    fn tightening_direction(&self, key: &str) -> TighteningDirection {
+        if key.ends_with(".quota_rps") { TighteningDirection::Less } else { TighteningDirection::Unknown }
     }
 }
 
@@ -155,7 +157,7 @@
 pub(crate) struct Machine {
     id: VoterId,
     pub(crate) zone: usize,
-    platter: Platter,
+    platter: MemoryDisk,
     seed: u64,
     pub(crate) voter: Option<Voter<MemoryStore>>,
     watches: BTreeMap<u32, Watch>,
@@ -171,7 +173,7 @@
         let mut machine = Machine {
             id,
             zone,
-            platter: Platter::default(),
+            platter: MemoryDisk::default(),
             seed,
             voter: None,
             watches: BTreeMap::new(),
@@ -203,8 +205,13 @@
     }
 
     /// Proposes a change; whether it is on its way.
-    pub(crate) fn propose(&mut self, now: Micros, nr: Option<u32>, change: Change) -> Result<(), Refused> {
-        let Some(voter) = &mut self.voter else { return Err(Refused::Stopped) };
+    pub(crate) fn propose(
+        &mut self,
+        now: Micros,
+        nr: Option<u32>,
+        change: Change,
+    ) -> Result<(), ProposeError> {
+        let Some(voter) = &mut self.voter else { return Err(ProposeError::Stopped) };
         let ticket = voter.propose(change, &Shared)?;
         self.waiting.push(Waiting { ticket, change: nr, until: now + AGREE });
         Ok(())
@@ -212,7 +219,7 @@
 
     /// The first settings are proposed by the machine that leads, while there are none.
     pub(crate) fn begin(&mut self, now: Micros, first: &Document) {
-        let none = self.voter.as_ref().is_some_and(|voter| voter.agreed().seq == 0);
+        let none = self.voter.as_ref().is_some_and(|voter| voter.decided_version().seq == 0);
         if none && self.leads() && self.waiting.is_empty() {
             let change = Change { set: first.clone(), ..Change::default() };
             // One that is refused is proposed again at the next tick.
@@ -224,26 +231,26 @@
     pub(crate) fn settle(&mut self, now: Micros) -> (Vec<(VoterId, Vec<u8>)>, Vec<Settled>) {
         let Some(voter) = &mut self.voter else { return Default::default() };
         let mut settled = Vec::new();
-        for (ticket, outcome) in voter.settled(&Shared) {
+        for (ticket, outcome) in voter.take_outcomes(&Shared) {
             let Some(at) = self.waiting.iter().position(|waiting| waiting.ticket == ticket) else { continue };
             let change = self.waiting.swap_remove(at).change;
             settled.push(match outcome {
-                Outcome::Agreed { seq, digest } => Settled::Agreed { change, seq, digest },
-                Outcome::Void(_) | Outcome::Unknown { .. } => Settled::Not(change),
+                Outcome::Decided { seq, digest } => Settled::Agreed { change, seq, digest },
+                Outcome::Invalidated(_) | Outcome::Unknown { .. } => Settled::Not(change),
             });
         }
         let late = self.waiting.extract_if(.., |waiting| waiting.until <= now);
         settled.extend(late.map(|waiting| Settled::Not(waiting.change)));
-        (voter.outgoing(), settled)
+        (voter.take_outgoing(), settled)
     }
 
     /// The versions that it has come to know since it was asked last.
     pub(crate) fn learned(&mut self) -> Vec<(u64, Digest)> {
         let Some(voter) = &self.voter else { return Vec::new() };
-        let learned = match voter.since(self.seen.0, self.seen.1) {
-            Answer::Level | Answer::Ahead => Vec::new(),
-            Answer::Whole(version) => vec![(version.seq, version.digest)],
-            Answer::Deltas(deltas) => deltas.into_iter().map(|delta| (delta.seq, delta.digest)).collect(),
+        let learned = match voter.changes_since(self.seen.0, self.seen.1) {
+            CatchUp::UpToDate | CatchUp::Ahead => Vec::new(),
+            CatchUp::FullVersion(version) => vec![(version.seq, version.digest)],
+            CatchUp::Deltas(deltas) => deltas.into_iter().map(|delta| (delta.seq, delta.digest)).collect(),
         };
         self.seen = learned.last().copied().unwrap_or(self.seen);
         learned
@@ -251,7 +258,7 @@
 
     fn level(&self) -> Lines {
         let Some(voter) = &self.voter else { return written(Vec::new()) };
-        let (agreed, majority) = (voter.agreed(), voter.has_majority());
+        let (agreed, majority) = (voter.decided_version(), voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
         written(vec![ControlLine { seq: agreed.seq, majority, digest, ..ControlLine::default() }])
     }
@@ -260,9 +267,9 @@
     fn since(&self, seq: u64, digest: Digest) -> Lines {
         let Some(voter) = &self.voter else { return written(Vec::new()) };
         let majority = voter.has_majority();
-        match voter.since(seq, digest) {
-            Answer::Level | Answer::Ahead => self.level(),
-            Answer::Whole(version) => written(vec![ControlLine {
+        match voter.changes_since(seq, digest) {
+            CatchUp::UpToDate | CatchUp::Ahead => self.level(),
+            CatchUp::FullVersion(version) => written(vec![ControlLine {
                 seq: version.seq,
                 whole: true,
                 majority,
@@ -270,7 +277,7 @@
                 settings: (*version.document).clone(),
                 ..ControlLine::default()
             }]),
-            Answer::Deltas(deltas) => {
+            CatchUp::Deltas(deltas) => {
                 let line = |delta: calicolb_consensus::Delta| ControlLine {
                     seq: delta.seq,
                     majority,
@@ -287,7 +294,7 @@
 
     /// A learner calls for a watch; gives what it begins with.
     pub(crate) fn watch(&mut self, process: u32, call: u64, (seq, digest): (u64, Digest)) -> Option<Lines> {
-        let agreed = self.voter.as_ref()?.agreed();
+        let agreed = self.voter.as_ref()?.decided_version();
         let known = if seq > agreed.seq { (seq, digest) } else { (agreed.seq, agreed.digest) };
         let lines = self.since(seq, digest);
         self.watches.insert(process, Watch { call, seq: known.0, digest: known.1 });
@@ -304,7 +311,7 @@
     /// What the watches are told, if there is anything new.
     pub(crate) fn news(&mut self) -> Vec<(u32, u64, Rc<Lines>)> {
         let Some(voter) = &self.voter else { return Vec::new() };
-        let agreed = (voter.agreed().seq, voter.agreed().digest);
+        let agreed = (voter.decided_version().seq, voter.decided_version().digest);
         let present = (agreed.0, voter.has_majority());
         if present == self.told {
             return Vec::new();
--- a/crates/hollow/src/learners.rs
+++ b/crates/hollow/src/learners.rs
@@ -9,7 +9,9 @@
 use calicolb::api::Settings;
 use calicolb::settings_update;
 use calicolb::wire::Names;
-use calicolb_consensus::{Change, Delta, Digest, InForce, Learner, Message, Taken, Version};
+use calicolb_consensus::{
+    Change, Delta, Digest, Learner, UpdateOutcome, Version, VersionInForce, VersionMessage,
+};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -36,7 +38,7 @@
     /// It is looked at again at this time.
     Due(Micros),
     /// These settings come into force.
-    TakeUp(Box<Settings>, Arc<InForce>),
+    TakeUp(Box<Settings>, Arc<VersionInForce>),
 }
 
 /// See the head of this file.
@@ -57,7 +59,7 @@
     tell: Option<Micros>,
     told: Option<u64>,
     rng: StdRng,
-    given: Arc<InForce>,
+    given: Arc<VersionInForce>,
     armed: Option<Micros>,
     /// When what was written on its watch last arrives.
     arrives: Micros,
@@ -70,7 +72,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut machines: Vec<u32> = (0..agreed::MACHINES).collect();
         machines.shuffle(&mut rng);
-        let learner = Learner::with(SILENCE, Box::new(Shared), first);
+        let learner = Learner::with_version(SILENCE, Box::new(Shared), first);
         Study {
             machines,
             at: 0,
@@ -107,7 +109,7 @@
 
     /// Something later than what is in force here may be in force elsewhere.
     pub(crate) fn behind(&self, now: Micros) -> bool {
-        self.learner.behind(now)
+        self.learner.is_behind(now)
     }
 
     /// When something arrives that would alone do so at this time: after all that was written before.
@@ -124,7 +126,7 @@
     }
 
     fn open(&mut self, now: Micros) {
-        let held = self.learner.holds();
+        let held = self.learner.held_version();
         self.calls += 1;
         (self.opened, self.heard, self.told, self.again) = (now, None, None, None);
         self.watch = Some(self.calls);
@@ -193,21 +195,21 @@
         let message = if line.whole {
             let Some(digest) = digest(&line.digest) else { return false };
             let version = Version { seq, digest, document: Arc::new(line.settings.clone()) };
-            Message::Whole { version, majority }
+            VersionMessage::Full { version, majority }
         } else if line.from.is_empty() {
-            Message::Here { seq, majority }
+            VersionMessage::Current { seq, majority }
         } else {
             let Some((from_digest, digest)) = digest(&line.from).zip(digest(&line.digest)) else {
                 return false;
             };
             let change = Change { set: line.set.clone(), unset: line.unset.clone() };
-            Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
+            VersionMessage::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
         };
-        self.learner.hear(now, message) != Taken::Gap
+        self.learner.receive(now, message) != UpdateOutcome::Gap
     }
 
     /// What is in force is read, and goes to the module; names keep their places.
-    fn take_up(&mut self, in_force: Arc<InForce>) {
+    fn take_up(&mut self, in_force: Arc<VersionInForce>) {
         let Ok((new, names)) = agreed::settings(&in_force.document) else { return };
         let (rank, instances, zone) = (self.settings.rank, self.settings.instances, self.settings.zone);
         let new = Settings { rank, instances, zone, ..new };
--- a/crates/hollow/src/world/agreement.rs
+++ b/crates/hollow/src/world/agreement.rs
@@ -372,7 +372,7 @@
     pub(super) fn agreed(&self) -> Option<Agreed> {
         let agreement = self.agreement.as_ref()?;
         let voters = agreement.machines.iter().filter_map(|machine| machine.voter.as_ref());
-        let last = voters.map(|voter| voter.agreed().seq).max().unwrap_or(0);
+        let last = voters.map(|voter| voter.decided_version().seq).max().unwrap_or(0);
         let known = |seq: u64, digest: Digest| seq <= last && agreement.chain.get(&seq) == Some(&digest);
         let lost = agreement.accepted.iter().filter(|(seq, digest, _)| !known(*seq, *digest)).count() as u64;
         let strange =
--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -3,7 +3,7 @@
 
 use super::SettingsError;
 use super::document::{self, Direction, Document};
-use calicolb_consensus::{Check, Rules, Tighter};
+use calicolb_consensus::{Check, Rules, TighteningDirection};
 use serde_json::{Value, json};
 
 /// Keys that each scheduler has for itself. Agreed versions do not contain them.
@@ -31,9 +31,11 @@
 pub struct SharedSettingsCheck;
 
 impl Check for SharedSettingsCheck {
-    fn check(&self, version: &Document) -> Result<(), calicolb_consensus::Fault> {
-        let to_agreed_error =
-            |error: SettingsError| calicolb_consensus::Fault { key: error.key, why: error.reason };
+    fn check(&self, version: &Document) -> Result<(), calicolb_consensus::ValidationError> {
+        let to_agreed_error = |error: SettingsError| calicolb_consensus::ValidationError {
+            key: error.key,
+            reason: error.reason,
+        };
         if let Some(key) = LOCAL_KEYS.iter().find(|key| version.contains_key(**key)) {
             return Err(to_agreed_error(SettingsError::new(
                 *key,
@@ -56,18 +58,18 @@
 }
 
 impl Check for SchedulerRules {
-    fn check(&self, version: &Document) -> Result<(), calicolb_consensus::Fault> {
+    fn check(&self, version: &Document) -> Result<(), calicolb_consensus::ValidationError> {
         let checked = document::check(&with_local_settings(version, &self.local_settings)).map(drop);
-        checked.map_err(|error| calicolb_consensus::Fault { key: error.key, why: error.reason })
+        checked.map_err(|error| calicolb_consensus::ValidationError { key: error.key, reason: error.reason })
     }
 }
 
 impl Rules for SchedulerRules {
-    fn tighter(&self, key: &str) -> Tighter {
+    fn tightening_direction(&self, key: &str) -> TighteningDirection {
         match document::tightening_direction(key) {
-            Direction::Less => Tighter::Less,
-            Direction::Greater => Tighter::Greater,
-            Direction::Unknown => Tighter::Unknown,
+            Direction::Less => TighteningDirection::Less,
+            Direction::Greater => TighteningDirection::Greater,
+            Direction::Unknown => TighteningDirection::Unknown,
         }
     }
 }
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -137,6 +137,6 @@
     let settings = shared_settings(document::to_document(json.get("settings").unwrap_or(&json)));
     match SharedSettingsCheck.check(&settings) {
         Ok(()) => Some(settings),
-        Err(error) => report(format!("{}: '{}' {}", path.display(), error.key, error.why)),
+        Err(error) => report(format!("{}: '{}' {}", path.display(), error.key, error.reason)),
     }
 }
--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -6,7 +6,7 @@
 use crate::config::agreed::SharedSettingsCheck;
 use crate::net::http::framing::{Request, query_parameter};
 use calicolb::api::Micros;
-use calicolb_consensus::{Answer, Change, Digest, Outcome, Refused};
+use calicolb_consensus::{CatchUp, Change, Digest, Outcome, ProposeError};
 use std::collections::BTreeMap;
 
 const JSON_HEADER: (&str, &str) = ("Content-Type", "application/json");
@@ -77,7 +77,7 @@
     // ---- Versions --------------------------------------------------------------------------------
 
     fn state(&self) -> State {
-        let agreed = self.voter.agreed();
+        let agreed = self.voter.decided_version();
         let learners = self.learners.in_force();
         let behind = learners.iter().filter(|(_, seq)| **seq < agreed.seq).map(|(name, _)| name.clone());
         State {
@@ -92,7 +92,7 @@
     }
 
     fn full_line(&self) -> Vec<u8> {
-        let agreed = self.voter.agreed();
+        let agreed = self.voter.decided_version();
         serialize_line(&WatchLine {
             seq: agreed.seq,
             complete: true,
@@ -105,7 +105,7 @@
 
     /// The line that says that there is no newer version.
     pub(super) fn unchanged_line(&self) -> Vec<u8> {
-        let (agreed, majority) = (self.voter.agreed(), self.voter.has_majority());
+        let (agreed, majority) = (self.voter.decided_version(), self.voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
         serialize_line(&WatchLine { seq: agreed.seq, majority, digest, ..WatchLine::default() })
     }
@@ -114,10 +114,10 @@
     fn lines_since(&self, seq: u64, digest: Option<Digest>) -> Vec<u8> {
         let majority = self.voter.has_majority();
         let Some(digest) = digest else { return self.full_line() };
-        match self.voter.since(seq, digest) {
-            Answer::Level | Answer::Ahead => self.unchanged_line(),
-            Answer::Whole(_) => self.full_line(),
-            Answer::Deltas(deltas) => {
+        match self.voter.changes_since(seq, digest) {
+            CatchUp::UpToDate | CatchUp::Ahead => self.unchanged_line(),
+            CatchUp::FullVersion(_) => self.full_line(),
+            CatchUp::Deltas(deltas) => {
                 let lines = deltas.into_iter().map(|delta| {
                     serialize_line(&WatchLine {
                         seq: delta.seq,
@@ -152,7 +152,7 @@
         }
         let name = name.to_owned();
         let lines = self.lines_since(seq, digest);
-        let agreed = self.voter.agreed();
+        let agreed = self.voter.decided_version();
         // A learner that is ahead of this machine gets lines only when this machine has caught up. Before the first version
         // each learner has its own settings under the number 0.
         let (seq, digest) = if seq >= agreed.seq { (seq, digest) } else { (agreed.seq, Some(agreed.digest)) };
@@ -170,13 +170,13 @@
 
     /// Sends new versions, or a change of the majority, to all watches.
     pub(super) fn announce_version(&mut self, now: Micros) {
-        let current = (self.voter.agreed().seq, self.voter.has_majority());
+        let current = (self.voter.decided_version().seq, self.voter.has_majority());
         if current == self.last_announced {
             return;
         }
         let majority_changed = current.1 != self.last_announced.1;
         self.last_announced = current;
-        let agreed = (self.voter.agreed().seq, self.voter.agreed().digest);
+        let agreed = (self.voter.decided_version().seq, self.voter.decided_version().digest);
         let mut lines_by_version: BTreeMap<(u64, Option<Digest>), Vec<u8>> = BTreeMap::new();
         for token in self.learners.watch_tokens() {
             let Some(watch) = self.learners.watch_mut(token) else { continue };
@@ -227,11 +227,13 @@
     /// Answers a change request with the outcome of the change, `None` if it was not known in time.
     pub(super) fn respond_to_change(&mut self, now: Micros, token: usize, outcome: Option<Outcome>) {
         match outcome {
-            Some(Outcome::Agreed { seq, digest }) => {
+            Some(Outcome::Decided { seq, digest }) => {
                 let body = to_json(&AcceptedChange { seq, digest: digest.to_string() });
                 self.respond(now, token, 200, &[JSON_HEADER], &body);
             }
-            Some(Outcome::Void(fault)) => self.respond_error(now, token, 400, &fault.key, &fault.why),
+            Some(Outcome::Invalidated(fault)) => {
+                self.respond_error(now, token, 400, &fault.key, &fault.reason)
+            }
             Some(Outcome::Unknown { sent: false }) => {
                 self.respond_error(now, token, 503, "", "there is no majority of the control machines");
             }
@@ -247,14 +249,18 @@
         }
     }
 
-    fn respond_to_rejected_change(&mut self, now: Micros, token: usize, refused: Refused) {
+    fn respond_to_rejected_change(&mut self, now: Micros, token: usize, refused: ProposeError) {
         match refused {
-            Refused::Faulty(fault) => self.respond_error(now, token, 400, &fault.key, &fault.why),
-            Refused::NoMajority => {
+            ProposeError::Invalid(fault) => self.respond_error(now, token, 400, &fault.key, &fault.reason),
+            ProposeError::NoMajority => {
                 self.respond_error(now, token, 503, "", "there is no majority of the control machines");
             }
-            Refused::Stopped => self.respond_error(now, token, 503, "", "the store of this machine failed"),
-            Refused::TooMany => self.respond_error(now, token, 503, "", "too many changes are pending"),
+            ProposeError::Stopped => {
+                self.respond_error(now, token, 503, "", "the store of this machine failed")
+            }
+            ProposeError::TooManyProposals => {
+                self.respond_error(now, token, 503, "", "too many changes are pending")
+            }
         }
     }
 }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -12,7 +12,7 @@
 use crate::net::core::deadlines::{ConnectionTimer, Deadline, Deadlines};
 use calicolb::api::Micros;
 use calicolb_consensus::store::FileStore;
-use calicolb_consensus::{Change, Document, Outcome, Refused, Ticket, Voter};
+use calicolb_consensus::{Change, Document, Outcome, ProposeError, Ticket, Voter};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry, Token};
 use signal_hook::consts::SIGTERM;
@@ -208,7 +208,7 @@
                 // messages it received are older now.
                 let missed = now.saturating_sub(self.last_tick) / TICK_INTERVAL;
                 if missed > 1 {
-                    self.voter.missed(missed - 1);
+                    self.voter.skip_ticks(missed - 1);
                 }
                 self.last_tick = now;
                 self.deadlines.set(Deadline::ControlTick, now + TICK_INTERVAL);
@@ -263,7 +263,7 @@
 
     /// Proposes the initial settings as the first version, if none is agreed yet and this machine is the leader of a majority.
     fn propose_initial_settings(&mut self, now: Micros) {
-        if self.voter.agreed().seq > 0 {
+        if self.voter.decided_version().seq > 0 {
             self.initial_settings = None;
         }
         let is_proposed = self.pending_changes.iter().any(|change| change.token.is_none());
@@ -280,11 +280,11 @@
                     deadline: now + AGREEMENT_TIMEOUT,
                 });
             }
-            Err(Refused::Faulty(fault)) => {
+            Err(ProposeError::Invalid(fault)) => {
                 log_line!(
                     warn: "the initial settings of the operator file are invalid: '{}' {}",
                     fault.key,
-                    fault.why
+                    fault.reason
                 );
                 self.initial_settings = None;
             }
@@ -300,14 +300,14 @@
     fn finish_iteration(&mut self, now: Micros) -> io::Result<()> {
         self.propose_initial_settings(now);
         let mut outcomes: Vec<(Option<usize>, Option<Outcome>)> = Vec::new();
-        for (ticket, outcome) in self.voter.settled(&SharedSettingsCheck) {
+        for (ticket, outcome) in self.voter.take_outcomes(&SharedSettingsCheck) {
             if let Some(index) = self.pending_changes.iter().position(|change| change.ticket == ticket) {
                 outcomes.push((self.pending_changes.swap_remove(index).token, Some(outcome)));
             }
         }
         let expired = self.pending_changes.extract_if(.., |change| change.deadline <= now);
         outcomes.extend(expired.map(|change| (change.token, None)));
-        for (id, message) in self.voter.outgoing() {
+        for (id, message) in self.voter.take_outgoing() {
             if let Some(link) = self.links.iter_mut().find(|link| link.id == id) {
                 link.enqueue(message);
             }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -13,7 +13,7 @@
 use crate::net::http::framing;
 use crate::net::platform::call::{Call, WatchInput, WatchRead, read_status, read_watch};
 use calicolb::api::Micros;
-use calicolb_consensus::{Change, Delta, InForce, Learner, Message, Taken, Version};
+use calicolb_consensus::{Change, Delta, Learner, UpdateOutcome, Version, VersionInForce, VersionMessage};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -64,8 +64,8 @@
     random: fastrand::Rng,
     /// The version that the event loop applied last, and the one that was last offered to it, whether it
     /// could be applied or not.
-    in_force: Arc<InForce>,
-    offered: Arc<InForce>,
+    in_force: Arc<VersionInForce>,
+    offered: Arc<VersionInForce>,
     /// The last log line said that this scheduler is behind.
     behind: bool,
 }
@@ -78,7 +78,7 @@
         // The settings of the local configuration are in force until a version is agreed.
         let initial = Version::new(0, config.initial_settings);
         let rules = SchedulerRules { local_settings: config.local_settings.clone() };
-        let learner = Learner::with(config.max_silence, Box::new(rules), initial);
+        let learner = Learner::with_version(config.max_silence, Box::new(rules), initial);
         let in_force = learner.in_force(0);
         ControlClient {
             machines,
@@ -159,7 +159,7 @@
     }
 
     fn open_watch(&mut self, ctx: &mut Context<'_>) {
-        let held = self.learner.holds();
+        let held = self.learner.held_version();
         let target =
             format!("/control/versions?watch=1&from={}&digest={}&name={}", held.seq, held.digest, self.name);
         (self.opened_at, self.last_input, self.reported_seq, self.retry_at) = (ctx.now, None, None, None);
@@ -229,21 +229,21 @@
         let digest = |text: &str| text.parse().map_err(|_| "received a malformed digest");
         let message = if line.complete {
             let version = Version { seq, digest: digest(&line.digest)?, document: Arc::new(line.settings) };
-            Message::Whole { version, majority }
+            VersionMessage::Full { version, majority }
         } else if line.base_digest.is_empty() {
-            Message::Here { seq, majority }
+            VersionMessage::Current { seq, majority }
         } else {
             let change = Change { set: line.set, unset: line.unset };
             let (from_digest, digest) = (digest(&line.base_digest)?, digest(&line.digest)?);
-            Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
+            VersionMessage::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
         };
-        match self.learner.hear(ctx.now, message) {
-            Taken::Gap => Err("received a change that does not follow the known version"),
-            Taken::Refused(fault) => {
-                log_line!(warn: "version {seq} cannot be applied: '{}' {}", fault.key, fault.why);
+        match self.learner.receive(ctx.now, message) {
+            UpdateOutcome::Gap => Err("received a change that does not follow the known version"),
+            UpdateOutcome::Invalid(fault) => {
+                log_line!(warn: "version {seq} cannot be applied: '{}' {}", fault.key, fault.reason);
                 Ok(())
             }
-            Taken::Nothing | Taken::InForce | Taken::Tightened => Ok(()),
+            UpdateOutcome::Unchanged | UpdateOutcome::InForce | UpdateOutcome::Tightened => Ok(()),
         }
     }
 
@@ -251,7 +251,7 @@
     pub fn next_version(
         &mut self,
         now: Micros,
-    ) -> Option<(Arc<InForce>, Result<SettingsUpdate, SettingsError>)> {
+    ) -> Option<(Arc<VersionInForce>, Result<SettingsUpdate, SettingsError>)> {
         let latest = self.learner.in_force(now);
         if Arc::ptr_eq(&latest, &self.offered) {
             return None;
@@ -265,7 +265,7 @@
     pub fn record_result(
         &mut self,
         ctx: &mut Context<'_>,
-        version: Arc<InForce>,
+        version: Arc<VersionInForce>,
         outcome: Result<(), SettingsError>,
     ) {
         match (outcome, version.tightened_to) {
@@ -368,7 +368,7 @@
 
     /// Returns whether a later version than the one in force here may be in force elsewhere.
     fn behind(&self, now: Micros) -> bool {
-        self.learner.behind(now) || *self.in_force != *self.offered
+        self.learner.is_behind(now) || *self.in_force != *self.offered
     }
 
     /// Returns whether a version has come into force since the start, so that the settings of the local
