--- a/crates/consensus/examples/figures.rs
+++ b/crates/consensus/examples/figures.rs
@@ -3,7 +3,7 @@
 
 use calicolb_consensus::store::{FileStore, MemoryDisk, MemoryStore, Store};
 use calicolb_consensus::{
-    CatchUp, Change, Digest, Document, Outcome, ValidationError, Version, Voter, limits, size,
+    CatchUp, Change, Digest, Document, Outcome, ValidationError, Version, Voter, document_size, limits,
 };
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -144,14 +144,14 @@
     drop(copies);
     let document = letter();
     row("document of 240 tenants and 3 classes with 10 keys each: keys", document.len());
-    row("  bytes in canonical form (bound 262144)", size(&document));
+    row("  bytes in canonical form (bound 262144)", document_size(&document));
     row("  resident KiB each, over 100 copies", format!("{each:.0}"));
     let version = Version::new(1, document);
     let change = one(7);
     let (mut whole, mut apply) = (Vec::new(), Vec::new());
     for i in 0..500 {
         let start = Instant::now();
-        let next = change.on(&version.document);
+        let next = change.applied_to(&version.document);
         whole.push(start.elapsed());
         let start = Instant::now();
         let next = Version::new(2 + i, next);
@@ -271,15 +271,15 @@
     );
     drop(five);
     std::fs::remove_dir_all(folder)?;
-    let platters: Vec<MemoryDisk> = IDS.iter().map(|_| MemoryDisk::default()).collect();
-    let mut five = Five::new(|id| Ok(platters[id as usize - 1].open()?), 1)?;
+    let disks: Vec<MemoryDisk> = IDS.iter().map(|_| MemoryDisk::default()).collect();
+    let mut five = Five::new(|id| Ok(disks[id as usize - 1].open()?), 1)?;
     five.change(1, Change { set: letter(), ..Change::default() })?;
     let leader = five.leader().ok_or("no leader")?;
-    let before: Vec<u64> = platters.iter().map(MemoryDisk::syncs).collect();
+    let before: Vec<u64> = disks.iter().map(MemoryDisk::syncs).collect();
     for i in 0..100 {
         five.change(leader, one(i))?;
     }
-    let syncs: Vec<String> = platters
+    let syncs: Vec<String> = disks
         .iter()
         .zip(&before)
         .map(|(p, before)| format!("{:.1}", (p.syncs() - before) as f64 / 100.0))
--- a/crates/consensus/src/digest.rs
+++ b/crates/consensus/src/digest.rs
@@ -1,25 +1,25 @@
-//! SHA-256 of a document in its canonical form.
+//! The SHA-256 digest of a document in its canonical form.
 
-use crate::document::{Document, canonical};
+use crate::document::{Document, canonical_json};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// SHA-256 of a document's canonical form; 64 hexadecimal digits as text.
+/// The SHA-256 digest of a document's canonical form. As text, it has 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Digest([u8; 32]);
 
-/// A text that isn't 64 hexadecimal digits.
+/// A string is not a digest, because it does not consist of 64 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a digest is 64 hexadecimal digits")]
-pub struct NotADigest;
+#[error("a digest must consist of 64 hexadecimal digits")]
+pub struct ParseDigestError;
 
 impl Digest {
-    /// Of this document.
+    /// Computes the digest of a document.
     #[must_use]
     pub fn of(document: &Document) -> Digest {
-        Digest(Sha256::digest(canonical(document)).into())
+        Digest(Sha256::digest(canonical_json(document)).into())
     }
 }
 
@@ -36,18 +36,18 @@
 }
 
 impl FromStr for Digest {
-    type Err = NotADigest;
+    type Err = ParseDigestError;
 
-    fn from_str(text: &str) -> Result<Digest, NotADigest> {
+    fn from_str(text: &str) -> Result<Digest, ParseDigestError> {
         let text = text.as_bytes();
         if text.len() != 64 {
-            return Err(NotADigest);
+            return Err(ParseDigestError);
         }
         let mut bytes = [0; 32];
         for (byte, pair) in bytes.iter_mut().zip(text.chunks_exact(2)) {
-            let high = char::from(pair[0]).to_digit(16).ok_or(NotADigest)?;
-            let low = char::from(pair[1]).to_digit(16).ok_or(NotADigest)?;
-            *byte = u8::try_from(high * 16 + low).map_err(|_| NotADigest)?;
+            let high = char::from(pair[0]).to_digit(16).ok_or(ParseDigestError)?;
+            let low = char::from(pair[1]).to_digit(16).ok_or(ParseDigestError)?;
+            *byte = u8::try_from(high * 16 + low).map_err(|_| ParseDigestError)?;
         }
         Ok(Digest(bytes))
     }
--- a/crates/consensus/src/document.rs
+++ b/crates/consensus/src/document.rs
@@ -1,67 +1,70 @@
-//! The document: a flat, ordered map from dotted keys to JSON values, opaque to this package.
+//! The document: an ordered map from dotted keys to JSON values. This crate does not interpret the values.
 
 use crate::change::Change;
 use crate::limits;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// From dotted keys to values.
+/// A map from dotted keys to JSON values.
 pub type Document = BTreeMap<String, Value>;
 
-/// Why a document isn't usable.
+/// A document or a change is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct ValidationError {
-    /// The key at fault.
+    /// The invalid key; empty if the error concerns the whole document or change.
     pub key: String,
-    /// What is wrong with it.
+    /// The reason.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
 impl ValidationError {
+    /// Creates an error for a key, which is cut to the maximum key length.
     pub(crate) fn new(key: &str, reason: impl Into<String>) -> ValidationError {
         ValidationError { key: key.chars().take(limits::MAX_KEY_BYTES).collect(), reason: reason.into() }
     }
 }
 
-/// Supplied by the program: is the whole document usable?
+/// Validates documents. The program supplies the implementation.
 pub trait Check {
-    /// Looks at the whole document.
+    /// Validates a complete document.
     ///
     /// # Errors
-    /// The key at fault and the reason.
-    fn check(&self, whole: &Document) -> Result<(), ValidationError>;
+    /// The invalid key and the reason.
+    fn check(&self, document: &Document) -> Result<(), ValidationError>;
 }
 
 impl<F: Fn(&Document) -> Result<(), ValidationError>> Check for F {
-    fn check(&self, whole: &Document) -> Result<(), ValidationError> {
-        self(whole)
+    fn check(&self, document: &Document) -> Result<(), ValidationError> {
+        self(document)
     }
 }
 
-/// The bytes that the digest is of: JSON without spaces, the keys of every object in order, whatever order the
-/// program's JSON library keeps.
-pub(crate) fn canonical(document: &Document) -> Vec<u8> {
+/// The canonical form of a document, from which its digest is computed: JSON without whitespace, with the keys of
+/// every object in ascending order. The order does not depend on how the JSON library stores objects.
+pub(crate) fn canonical_json(document: &Document) -> Vec<u8> {
     let mut out = vec![b'{'];
     for (i, (key, value)) in document.iter().enumerate() {
         if i > 0 {
             out.push(b',');
         }
-        plain(&mut out, key);
+        write_scalar(&mut out, key);
         out.push(b':');
-        write(&mut out, value);
+        write_value(&mut out, value);
     }
     out.push(b'}');
     out
 }
 
-fn plain(out: &mut Vec<u8>, value: &impl serde::Serialize) {
-    // Texts and numbers can always be written, and memory doesn't fail.
+/// Writes a string, a number, a boolean or null.
+fn write_scalar(out: &mut Vec<u8>, value: &impl serde::Serialize) {
+    // Strings and numbers can always be serialized, and writing to memory does not fail.
     let _ = serde_json::to_writer(out, value);
 }
 
-fn write(out: &mut Vec<u8>, value: &Value) {
+/// Writes a value with the keys of objects in ascending order.
+fn write_value(out: &mut Vec<u8>, value: &Value) {
     match value {
         Value::Array(values) => {
             out.push(b'[');
@@ -69,7 +72,7 @@
                 if i > 0 {
                     out.push(b',');
                 }
-                write(out, value);
+                write_value(out, value);
             }
             out.push(b']');
         }
@@ -80,75 +83,76 @@
                 if i > 0 {
                     out.push(b',');
                 }
-                plain(out, key);
+                write_scalar(out, key);
                 out.push(b':');
-                write(out, value);
+                write_value(out, value);
             }
             out.push(b'}');
         }
-        value => plain(out, value),
+        value => write_scalar(out, value),
     }
 }
 
-/// Bytes of a document in its canonical form.
+/// The size of a document in its canonical form, in bytes.
 #[must_use]
-pub fn size(document: &Document) -> usize {
-    canonical(document).len()
+pub fn document_size(document: &Document) -> usize {
+    canonical_json(document).len()
 }
 
-fn depth(value: &Value) -> usize {
+/// The number of arrays and objects around the innermost value.
+fn nesting_depth(value: &Value) -> usize {
     match value {
-        Value::Array(values) => 1 + values.iter().map(depth).max().unwrap_or(0),
-        Value::Object(map) => 1 + map.values().map(depth).max().unwrap_or(0),
+        Value::Array(values) => 1 + values.iter().map(nesting_depth).max().unwrap_or(0),
+        Value::Object(map) => 1 + map.values().map(nesting_depth).max().unwrap_or(0),
         _ => 0,
     }
 }
 
-/// Whether a change is within the bounds of this package, whatever it does.
-pub(crate) fn change_within_bounds(change: &Change) -> Result<(), ValidationError> {
+/// Checks a change against the size limits of this crate, independently of the document it applies to.
+pub(crate) fn check_change_limits(change: &Change) -> Result<(), ValidationError> {
     if let Some(key) = change.unset.iter().find(|key| key.len() > limits::MAX_KEY_BYTES) {
         return Err(ValidationError::new(
             key,
-            format!("a key has {} bytes at most, not {}", limits::MAX_KEY_BYTES, key.len()),
+            format!("a key must have at most {} bytes, but has {}", limits::MAX_KEY_BYTES, key.len()),
         ));
     }
-    let bytes = change.bytes();
+    let bytes = change.size_bytes();
     if bytes > limits::MAX_CHANGE_BYTES {
         return Err(ValidationError::new(
             "",
-            format!("a change of {bytes} bytes, {} at most", limits::MAX_CHANGE_BYTES),
+            format!("the change has {bytes} bytes, but the maximum is {}", limits::MAX_CHANGE_BYTES),
         ));
     }
     Ok(())
 }
 
-/// Whether a document is within the bounds of this package.
-pub(crate) fn within_bounds(document: &Document) -> Result<(), ValidationError> {
+/// Checks a document against the size limits of this crate.
+pub(crate) fn check_document_limits(document: &Document) -> Result<(), ValidationError> {
     if document.len() > limits::MAX_KEYS {
         return Err(ValidationError::new(
             "",
-            format!("{} keys, {} at most", document.len(), limits::MAX_KEYS),
+            format!("the document has {} keys, but the maximum is {}", document.len(), limits::MAX_KEYS),
         ));
     }
     for (key, value) in document {
         if key.is_empty() || key.len() > limits::MAX_KEY_BYTES {
             return Err(ValidationError::new(
                 key,
-                format!("a key has 1 to {} bytes, not {}", limits::MAX_KEY_BYTES, key.len()),
+                format!("a key must have 1 to {} bytes, but has {}", limits::MAX_KEY_BYTES, key.len()),
             ));
         }
-        if depth(value) > limits::MAX_NESTING_DEPTH {
+        if nesting_depth(value) > limits::MAX_NESTING_DEPTH {
             return Err(ValidationError::new(
                 key,
-                format!("nested more than {} deep", limits::MAX_NESTING_DEPTH),
+                format!("the value is nested more than {} levels deep", limits::MAX_NESTING_DEPTH),
             ));
         }
     }
-    let bytes = size(document);
+    let bytes = document_size(document);
     if bytes > limits::MAX_DOCUMENT_BYTES {
         return Err(ValidationError::new(
             "",
-            format!("{bytes} bytes, {} at most", limits::MAX_DOCUMENT_BYTES),
+            format!("the document has {bytes} bytes, but the maximum is {}", limits::MAX_DOCUMENT_BYTES),
         ));
     }
     Ok(())
--- a/crates/consensus/src/envelope.rs
+++ b/crates/consensus/src/envelope.rs
@@ -1,5 +1,5 @@
-//! What goes between voters: a message of the consensus crate, and what makes a session of messages that may get
-//! lost, doubled or out of order.
+//! The messages between voters: a message of the consensus library, wrapped with counters that detect lost,
+//! duplicated and reordered messages.
 
 use crate::limits;
 use crate::replica::{Entry, Snapshot};
@@ -10,101 +10,117 @@
 use omnipaxos::util::LogSync;
 use serde::{Deserialize, Serialize};
 
+/// A message between two voters with the state of their session. The short outer names keep messages small.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Envelope {
-    /// Which start of the sender.
+    /// The sender's start number, which identifies one run of the process.
     #[serde(rename = "s")]
-    pub(crate) start: u64,
-    /// Which start of the receiver the sender last heard; 0 for none.
+    pub(crate) sender_start: u64,
+    /// The receiver's start number as the sender last received it; 0 if the sender has not received any message.
     #[serde(rename = "o")]
-    pub(crate) of: u64,
-    /// Messages of the log that this start sent to the receiver, this one included.
+    pub(crate) receiver_start: u64,
+    /// The number of log messages that the sender has sent to the receiver since this start, including this one.
     #[serde(rename = "c")]
-    pub(crate) count: u64,
-    /// How often the sender missed messages of the receiver's start `of`.
+    pub(crate) message_count: u64,
+    /// The number of gaps that the sender has seen in the messages of the receiver's start `receiver_start`.
     #[serde(rename = "g")]
-    pub(crate) gaps: u64,
-    /// Entries that the sender knows to be decided.
+    pub(crate) gap_count: u64,
+    /// The number of entries that the sender knows to be decided.
     #[serde(rename = "d")]
-    pub(crate) decided: usize,
-    /// Whom the sender follows; 0 for nobody.
+    pub(crate) decided_index: usize,
+    /// The number of the voter that the sender follows; 0 for none.
     #[serde(rename = "l")]
     pub(crate) leader: u64,
-    /// The sender leads and is in touch with a majority that follows it.
+    /// Whether the sender is the leader and has recent replies from a majority that follows it.
     #[serde(rename = "m")]
-    pub(crate) leads: bool,
+    pub(crate) has_majority: bool,
+    /// The message of the consensus library.
     #[serde(rename = "b")]
-    pub(crate) body: Message<Entry>,
+    pub(crate) message: Message<Entry>,
 }
 
 impl Envelope {
-    /// From bytes, when they are a message that a sound voter may send from `from` to `to`.
+    /// Decodes a message. Returns `None` unless it is a valid message from voter `from` to voter `to`.
     pub(crate) fn decode(bytes: &[u8], from: u64, to: u64) -> Option<Envelope> {
         if bytes.len() > limits::MAX_MESSAGE_BYTES {
             return None;
         }
         let envelope: Envelope = serde_json::from_slice(bytes).ok()?;
-        let body = &envelope.body;
-        let fits = body.get_sender() == from && body.get_receiver() == to && envelope.start > 0;
-        (fits && is_plausible(body)).then_some(envelope)
+        let message = &envelope.message;
+        let addresses_match =
+            message.get_sender() == from && message.get_receiver() == to && envelope.sender_start > 0;
+        (addresses_match && is_valid_message(message)).then_some(envelope)
     }
 
+    /// Encodes the message. Returns `None` if it exceeds the maximum message size.
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         serde_json::to_vec(self).ok().filter(|bytes| bytes.len() <= limits::MAX_MESSAGE_BYTES)
     }
 
-    /// Whether it is part of the log's session; heartbeats aren't.
-    pub(crate) fn is_counted(&self) -> bool {
-        matches!(self.body, Message::SequencePaxos(_))
+    /// Returns whether the message counts in the session. Messages of the log do, heartbeats do not.
+    pub(crate) fn is_session_message(&self) -> bool {
+        matches!(self.message, Message::SequencePaxos(_))
     }
 }
 
-/// Whether a message holds nothing that the consensus crate would stumble over.
-fn is_plausible(body: &Message<Entry>) -> bool {
-    let ballot = |ballot: &omnipaxos::ballot_leader_election::Ballot| {
+/// Returns whether a message contains only values that the consensus library can handle. The library may panic on
+/// others.
+fn is_valid_message(message: &Message<Entry>) -> bool {
+    let is_valid_ballot = |ballot: &omnipaxos::ballot_leader_election::Ballot| {
         ballot.n < limits::BALLOT_NUMBER_LIMIT
             && ballot.pid <= limits::MAX_VOTERS as u64
             && ballot.config_id <= 1
     };
-    let index = |index: usize| index < usize::MAX / 4;
-    let paxos = match body {
-        Message::BLE(message) => {
-            return match &message.msg {
+    let is_valid_index = |index: usize| index < usize::MAX / 4;
+    let paxos_message = match message {
+        Message::BLE(heartbeat) => {
+            return match &heartbeat.msg {
                 HeartbeatMsg::Request(_) => true,
-                HeartbeatMsg::Reply(reply) => ballot(&reply.ballot) && ballot(&reply.leader),
+                HeartbeatMsg::Reply(reply) => {
+                    is_valid_ballot(&reply.ballot) && is_valid_ballot(&reply.leader)
+                }
             };
         }
-        Message::SequencePaxos(message) => &message.msg,
+        Message::SequencePaxos(paxos) => &paxos.msg,
     };
-    match paxos {
-        PaxosMsg::PrepareReq(m) => ballot(&m.n),
+    match paxos_message {
+        PaxosMsg::PrepareReq(m) => is_valid_ballot(&m.n),
         PaxosMsg::Prepare(m) => {
-            ballot(&m.n) && ballot(&m.n_accepted) && index(m.decided_idx) && index(m.accepted_idx)
+            is_valid_ballot(&m.n)
+                && is_valid_ballot(&m.n_accepted)
+                && is_valid_index(m.decided_idx)
+                && is_valid_index(m.accepted_idx)
         }
         PaxosMsg::Promise(m) => {
-            let counts = index(m.decided_idx) && index(m.accepted_idx);
-            ballot(&m.n)
-                && ballot(&m.n_accepted)
-                && counts
-                && m.log_sync.as_ref().is_none_or(is_plausible_sync)
+            let indexes_valid = is_valid_index(m.decided_idx) && is_valid_index(m.accepted_idx);
+            is_valid_ballot(&m.n)
+                && is_valid_ballot(&m.n_accepted)
+                && indexes_valid
+                && m.log_sync.as_ref().is_none_or(is_valid_log_sync)
+        }
+        PaxosMsg::AcceptSync(m) => {
+            is_valid_ballot(&m.n) && is_valid_index(m.decided_idx) && is_valid_log_sync(&m.log_sync)
         }
-        PaxosMsg::AcceptSync(m) => ballot(&m.n) && index(m.decided_idx) && is_plausible_sync(&m.log_sync),
         PaxosMsg::AcceptDecide(m) => {
-            ballot(&m.n) && index(m.decided_idx) && m.entries.len() <= limits::MAX_UNDECIDED_ENTRIES * 2
+            is_valid_ballot(&m.n)
+                && is_valid_index(m.decided_idx)
+                && m.entries.len() <= limits::MAX_UNDECIDED_ENTRIES * 2
         }
-        PaxosMsg::Accepted(m) => ballot(&m.n) && index(m.accepted_idx),
-        PaxosMsg::NotAccepted(m) => ballot(&m.n),
-        PaxosMsg::Decide(m) => ballot(&m.n) && index(m.decided_idx),
+        PaxosMsg::Accepted(m) => is_valid_ballot(&m.n) && is_valid_index(m.accepted_idx),
+        PaxosMsg::NotAccepted(m) => is_valid_ballot(&m.n),
+        PaxosMsg::Decide(m) => is_valid_ballot(&m.n) && is_valid_index(m.decided_idx),
         PaxosMsg::ProposalForward(entries) => entries.len() == 1,
-        // Each voter trims its own log, and the five aren't changed by the log.
+        // Each voter compacts its own log, and the set of voters is not changed through the log.
         PaxosMsg::Compaction(_) | PaxosMsg::AcceptStopSign(_) | PaxosMsg::ForwardStopSign(_) => false,
     }
 }
 
-fn is_plausible_sync(sync: &LogSync<Entry>) -> bool {
+/// Returns whether the log part of a message is valid: its index is in range, its snapshot matches its digest, and it
+/// does not change the set of voters.
+fn is_valid_log_sync(sync: &LogSync<Entry>) -> bool {
     let snapshot = match &sync.decided_snapshot {
-        Some(SnapshotType::Complete(Snapshot::Whole(replica))) => replica.version.is_sound(),
-        Some(SnapshotType::Delta(Snapshot::Since(_))) | None => true,
+        Some(SnapshotType::Complete(Snapshot::Full(replica))) => replica.version.digest_matches(),
+        Some(SnapshotType::Delta(Snapshot::Entries(_))) | None => true,
         Some(_) => false,
     };
     sync.stopsign.is_none() && sync.sync_idx < usize::MAX / 4 && snapshot
--- a/crates/consensus/src/history.rs
+++ b/crates/consensus/src/history.rs
@@ -1,68 +1,77 @@
-//! What was decided, as far as this voter has taken it in, and the deltas it keeps for learners.
+//! The decided versions that a voter has applied, and the deltas that it keeps for learners.
 
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
 use crate::limits;
-use crate::log_storage::Image;
+use crate::log_storage::LogState;
 use crate::outcome::CatchUp;
 use crate::replica::{Entry, Replica};
 use std::collections::VecDeque;
 
-/// Deltas that a voter has at its start.
-const DELTAS_AT_START: usize = 64;
+/// The largest number of deltas that a voter restores at its start.
+const MAX_DELTAS_AT_START: usize = 64;
 
+/// The current version of a voter with the recent changes that led to it.
 pub(crate) struct History {
     replica: Replica,
-    /// Index of the log up to which the replica has taken it in.
-    applied: usize,
+    /// The log index up to which entries have been applied to the replica.
+    applied_index: usize,
+    /// The recent deltas, oldest first, each with its size in bytes.
     deltas: VecDeque<(Delta, usize)>,
+    /// The total size of `deltas` in bytes.
     delta_bytes: usize,
 }
 
 impl History {
-    /// What the store gave back. Deltas are kept of the last few entries only, for each takes a digest.
-    pub(crate) fn of(image: &Image) -> History {
-        let decided = image.decided.min(image.end());
-        let applied = decided.saturating_sub(DELTAS_AT_START).max(image.compacted);
-        let mut replica = image.snapshot.clone();
-        replica.take_all(image.entries(image.compacted, applied));
-        let mut history = History { replica, applied, deltas: VecDeque::new(), delta_bytes: 0 };
-        history.advance(image, &[]);
+    /// Restores the history from the stored log. Deltas are restored only for the last [`MAX_DELTAS_AT_START`]
+    /// entries, since each one requires a digest of the complete document.
+    pub(crate) fn from_log(state: &LogState) -> History {
+        let decided = state.decided_index.min(state.end_index());
+        let applied_index = decided.saturating_sub(MAX_DELTAS_AT_START).max(state.compacted_index);
+        let mut replica = state.snapshot.clone();
+        replica.apply_all(state.entries(state.compacted_index, applied_index));
+        let mut history = History { replica, applied_index, deltas: VecDeque::new(), delta_bytes: 0 };
+        history.advance(state, &[]);
         history
     }
 
+    /// The document that the applied entries led to.
     pub(crate) fn replica(&self) -> &Replica {
         &self.replica
     }
 
+    /// The latest version.
     pub(crate) fn version(&self) -> &Version {
         &self.replica.version
     }
 
-    /// Takes in what was decided. `passing` are entries that were seen on the way to a snapshot.
-    pub(crate) fn advance(&mut self, image: &Image, passing: &[Entry]) {
-        if self.applied < image.compacted {
-            // Skipped by a snapshot: the deltas go on only when the entries that led there were seen on the way.
-            for entry in passing {
-                self.take(entry);
+    /// Applies newly decided entries. `skipped_entries` are the entries that a received snapshot replaced, as far as
+    /// they were in the message.
+    pub(crate) fn advance(&mut self, state: &LogState, skipped_entries: &[Entry]) {
+        if self.applied_index < state.compacted_index {
+            // A snapshot replaced these entries. The sequence of deltas stays contiguous only if the skipped entries
+            // are known.
+            for entry in skipped_entries {
+                self.apply_entry(entry);
             }
-            if self.replica.version != image.snapshot.version {
+            if self.replica.version != state.snapshot.version {
                 self.deltas.clear();
                 self.delta_bytes = 0;
             }
-            self.replica = image.snapshot.clone();
-            self.applied = image.compacted;
+            self.replica = state.snapshot.clone();
+            self.applied_index = state.compacted_index;
         }
-        let decided = image.decided.min(image.end());
-        for entry in image.entries(self.applied, decided) {
-            self.take(entry);
+        let decided = state.decided_index.min(state.end_index());
+        for entry in state.entries(self.applied_index, decided) {
+            self.apply_entry(entry);
         }
-        self.applied = self.applied.max(decided);
+        self.applied_index = self.applied_index.max(decided);
     }
 
-    fn take(&mut self, entry: &Entry) {
-        let Some(delta) = self.replica.take(entry) else { return };
-        let bytes = delta.change.bytes();
+    /// Applies an entry, and keeps its delta within the limits on deltas.
+    fn apply_entry(&mut self, entry: &Entry) {
+        let Some(delta) = self.replica.apply(entry) else { return };
+        let bytes = delta.change.size_bytes();
         self.delta_bytes += bytes;
         self.deltas.push_back((delta, bytes));
         while self.deltas.len() > limits::MAX_DELTAS || self.delta_bytes > limits::MAX_DELTA_BYTES {
@@ -71,6 +80,8 @@
         }
     }
 
+    /// What a learner with this version lacks. Deltas are returned only if they are not larger than the full
+    /// document.
     pub(crate) fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp {
         let version = self.version();
         if seq > version.seq {
@@ -79,14 +90,14 @@
         if (seq, digest) == (version.seq, version.digest) {
             return CatchUp::UpToDate;
         }
-        let lacking = usize::try_from(version.seq - seq).unwrap_or(usize::MAX);
-        let whole = crate::document::size(&version.document);
-        let first = self.deltas.len().checked_sub(lacking);
+        let missing_changes = usize::try_from(version.seq - seq).unwrap_or(usize::MAX);
+        let full_size = crate::document::document_size(&version.document);
+        let first = self.deltas.len().checked_sub(missing_changes);
         let deltas = first.map(|first| self.deltas.range(first..));
         match deltas {
             Some(deltas)
                 if deltas.clone().next().is_some_and(|(delta, _)| delta.from_digest == digest)
-                    && deltas.clone().map(|(_, bytes)| bytes).sum::<usize>() <= whole =>
+                    && deltas.clone().map(|(_, bytes)| bytes).sum::<usize>() <= full_size =>
             {
                 CatchUp::Deltas(deltas.map(|(delta, _)| delta.clone()).collect())
             }
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,248 +1,273 @@
-//! What a scheduler keeps of the agreed configuration: the version in force, and whether it is behind.
+//! A learner holds a scheduler's copy of the agreed configuration: the version in force, and whether it may be
+//! outdated.
 //!
-//! All that a control machine tells was decided once, but what one without a majority tells may be old, and so may be
-//! what is in force while nothing was heard. Of what is heard from such a machine, keys that tighten come into force
-//! at once; what widens waits until a machine with a majority says that the learner is level. Who hears nothing goes
-//! on by the last version in force, and knows that it is behind.
+//! Every version that a control machine sends has been decided. A machine without a majority may send an old version,
+//! however, and a learner without contact may have an old version in force. From a version of a machine without a
+//! majority, only the keys that tighten a limit come into force at once. All other keys wait until a machine with a
+//! majority confirms that the learner has the latest version. A learner that receives nothing keeps its last version
+//! in force and reports that it is behind.
 
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
 use crate::document::{Check, Document, ValidationError};
-use crate::tighten::{TighteningDirection, tightened};
+use crate::tighten::{TighteningDirection, apply_tightening};
 use std::sync::Arc;
 
-/// Shortest pause between two questions, in microseconds.
-const ASK_FIRST_US: u64 = 250_000;
-/// Longest pause between two questions that brought nothing, in microseconds.
-const ASK_LAST_US: u64 = 4_000_000;
+/// The shortest interval between two requests, in microseconds.
+const MIN_REQUEST_INTERVAL_US: u64 = 250_000;
+/// The longest interval between requests that brought no new version, in microseconds.
+const MAX_REQUEST_INTERVAL_US: u64 = 4_000_000;
 
-/// Supplied by the program: what is usable, and what tightens.
+/// Validates documents, and knows for each key which direction tightens it. The program supplies the implementation.
 pub trait Rules: Check {
-    /// Which direction tightens a key.
+    /// The direction in which a change of this key tightens.
     fn tightening_direction(&self, key: &str) -> TighteningDirection;
 }
 
-/// What a control machine tells.
+/// A message of a control machine to a learner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum VersionMessage {
-    /// A whole version.
+    /// A complete version.
     Full {
         /// The version.
         version: Version,
-        /// Whether the machine that tells it has a majority.
+        /// Whether the sending machine has a majority.
         majority: bool,
     },
-    /// The next change.
+    /// The change to the next version.
     Delta {
         /// The change.
         delta: Delta,
-        /// Whether the machine that tells it has a majority.
+        /// Whether the sending machine has a majority.
         majority: bool,
     },
-    /// Nothing new: this is the machine's version.
+    /// The number of the machine's current version, without its content.
     Current {
-        /// Of the machine's version.
+        /// The number of the version.
         seq: u64,
-        /// Whether the machine that tells it has a majority.
+        /// Whether the sending machine has a majority.
         majority: bool,
     },
 }
 
-/// What a message did.
+/// The effect of a message on a learner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// Nothing: it is old or known.
+    /// The message was outdated or contained nothing new.
     Unchanged,
-    /// A version came into force, wholly.
+    /// A version came into force completely.
     InForce,
-    /// A version is held; of it only what tightens is in force.
+    /// A new version is held, but only its tightening keys are in force.
     Tightened,
-    /// Something in between is missing, or doesn't fit: to be asked for.
+    /// Versions in between are missing or do not match. The learner must request them.
     Gap,
-    /// The version isn't usable here; the one in force stays.
+    /// The new version is invalid on this scheduler. The previous one stays in force.
     Invalid(ValidationError),
 }
 
-/// What to ask a control machine for: the changes since this version.
+/// Identifies a version. A learner sends it to a control machine to request the changes since that version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
-    /// Of the version held.
+pub struct VersionId {
+    /// The number of the version.
     pub seq: u64,
-    /// Of the version held.
+    /// The digest of the version.
     pub digest: Digest,
 }
 
-/// What is in force.
+/// The configuration in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionInForce {
-    /// Of the last version that came into force wholly; 0 for none yet.
+    /// The number of the last version that came into force completely; 0 for none.
     pub seq: u64,
-    /// Of that version.
+    /// The digest of that version.
     pub digest: Digest,
-    /// What is in force: that version's document, unless tightened.
+    /// The document in force: that of version `seq`, except for the keys tightened by a later version.
     pub document: Arc<Document>,
-    /// The later version of which only what tightens is in force.
+    /// The later version of which only the tightening keys are in force, if there is one.
     pub tightened_to: Option<u64>,
 }
 
 impl VersionInForce {
-    fn wholly(version: &Version) -> VersionInForce {
+    /// A version that is completely in force.
+    fn from_version(version: &Version) -> VersionInForce {
         let document = Arc::clone(&version.document);
         VersionInForce { seq: version.seq, digest: version.digest, document, tightened_to: None }
     }
 }
 
-/// Keeps a scheduler's version. Times are in microseconds of one clock that never goes back.
+/// The learner of one scheduler. All times are in microseconds of one monotonic clock.
 pub struct Learner {
-    silence_us: u64,
+    /// The time without a message from a majority after which the learner is behind, in microseconds.
+    max_silence_us: u64,
     rules: Box<dyn Rules + Send>,
+    /// The latest version that was received completely, valid or not.
     held: Version,
     in_force: Arc<VersionInForce>,
-    /// The latest version heard of.
-    known: u64,
-    gap: bool,
-    heard_at: Option<u64>,
-    asked: Option<(u64, u64)>,
-    fault: Option<ValidationError>,
+    /// The number of the latest version that a message mentioned.
+    latest_known: u64,
+    /// Whether a delta was received that does not follow the held version.
+    has_gap: bool,
+    /// The time of the last message from a machine with a majority.
+    majority_heard_at: Option<u64>,
+    /// The time of the last request and the interval after it.
+    last_request: Option<(u64, u64)>,
+    /// The reason why the held version is not in force, if it is invalid.
+    validation_error: Option<ValidationError>,
 }
 
 impl Learner {
-    /// A learner with version 0, the empty document. It is behind when nothing was heard from a control machine with
-    /// a majority for `silence_us`.
+    /// Creates a learner with version 0, the empty document. The learner is behind if it has received nothing from a
+    /// control machine with a majority for `max_silence_us` microseconds.
     #[must_use]
-    pub fn new(silence_us: u64, rules: Box<dyn Rules + Send>) -> Learner {
-        Learner::with_version(silence_us, rules, Version::default())
+    pub fn new(max_silence_us: u64, rules: Box<dyn Rules + Send>) -> Learner {
+        Learner::with_version(max_silence_us, rules, Version::default())
     }
 
-    /// A learner that begins with a version that was in force before.
+    /// Creates a learner with a version that was in force before.
     #[must_use]
-    pub fn with_version(silence_us: u64, rules: Box<dyn Rules + Send>, version: Version) -> Learner {
-        let in_force = Arc::new(VersionInForce::wholly(&version));
-        let known = version.seq;
-        let (gap, heard_at, asked, fault) = (false, None, None, None);
-        Learner { silence_us, rules, held: version, in_force, known, gap, heard_at, asked, fault }
+    pub fn with_version(max_silence_us: u64, rules: Box<dyn Rules + Send>, version: Version) -> Learner {
+        let in_force = Arc::new(VersionInForce::from_version(&version));
+        let latest_known = version.seq;
+        let (has_gap, majority_heard_at, last_request, validation_error) = (false, None, None, None);
+        Learner {
+            max_silence_us,
+            rules,
+            held: version,
+            in_force,
+            latest_known,
+            has_gap,
+            majority_heard_at,
+            last_request,
+            validation_error,
+        }
     }
 
-    /// Takes in what a control machine tells.
+    /// Processes a message of a control machine.
     pub fn receive(&mut self, now: u64, message: VersionMessage) -> UpdateOutcome {
         let (VersionMessage::Full { majority, .. }
         | VersionMessage::Delta { majority, .. }
         | VersionMessage::Current { majority, .. }) = &message;
         let majority = *majority;
         if majority {
-            self.heard_at = Some(self.heard_at.unwrap_or(0).max(now));
+            self.majority_heard_at = Some(self.majority_heard_at.unwrap_or(0).max(now));
         }
-        let told = match message {
+        let outcome = match message {
             VersionMessage::Full { version, .. } => {
-                if !version.is_sound() {
+                if !version.digest_matches() {
                     return UpdateOutcome::Gap;
                 }
                 if version.seq > self.held.seq {
-                    self.hold(version, majority)
+                    self.accept(version, majority)
                 } else {
                     self.confirm(version.seq, Some(version.digest), majority)
                 }
             }
             VersionMessage::Delta { delta, .. } => {
-                self.known = self.known.max(delta.seq);
+                self.latest_known = self.latest_known.max(delta.seq);
                 if delta.seq <= self.held.seq {
                     self.confirm(delta.seq, Some(delta.digest), majority)
                 } else {
-                    match self.held.with(&delta) {
-                        Ok(version) => self.hold(version, majority),
+                    match self.held.with_delta(&delta) {
+                        Ok(version) => self.accept(version, majority),
                         Err(_) => {
-                            self.gap = true;
+                            self.has_gap = true;
                             UpdateOutcome::Gap
                         }
                     }
                 }
             }
             VersionMessage::Current { seq, .. } => {
-                self.known = self.known.max(seq);
+                self.latest_known = self.latest_known.max(seq);
                 if seq > self.held.seq { UpdateOutcome::Gap } else { self.confirm(seq, None, majority) }
             }
         };
-        if matches!(told, UpdateOutcome::InForce | UpdateOutcome::Tightened) {
-            self.asked = None;
+        if matches!(outcome, UpdateOutcome::InForce | UpdateOutcome::Tightened) {
+            self.last_request = None;
         }
-        told
+        outcome
     }
 
-    /// What is in force.
+    /// The configuration in force.
     #[must_use]
     pub fn in_force(&self, _now: u64) -> Arc<VersionInForce> {
         Arc::clone(&self.in_force)
     }
 
-    /// Whether a later version may be in force elsewhere: nothing was heard of late from a control machine with a
-    /// majority, or what was heard isn't wholly in force.
+    /// Returns whether a later version may be in force elsewhere: the learner has not recently received a message
+    /// from a control machine with a majority, or the latest known version is not completely in force.
     #[must_use]
     pub fn is_behind(&self, now: u64) -> bool {
-        self.is_silent(now) || !self.is_level()
+        self.is_silent(now) || !self.is_up_to_date()
     }
 
-    /// What to ask for, when there is something to ask for and it is time.
-    pub fn next_request(&mut self, now: u64) -> Option<Ask> {
+    /// The version since which to request changes, if the learner is behind and the request interval has passed. The
+    /// interval doubles with each request until a version comes into force.
+    pub fn next_request(&mut self, now: u64) -> Option<VersionId> {
         if !self.is_behind(now) {
             return None;
         }
-        let pause = match self.asked {
-            Some((at, pause)) if now < at.saturating_add(pause) => return None,
-            Some((_, pause)) => (pause * 2).min(ASK_LAST_US),
-            None => ASK_FIRST_US,
+        let interval = match self.last_request {
+            Some((requested_at, interval)) if now < requested_at.saturating_add(interval) => return None,
+            Some((_, interval)) => (interval * 2).min(MAX_REQUEST_INTERVAL_US),
+            None => MIN_REQUEST_INTERVAL_US,
         };
-        self.asked = Some((now, pause));
+        self.last_request = Some((now, interval));
         Some(self.held_version())
     }
 
-    /// The version held, as a control machine is asked for what followed it.
+    /// The version that the learner holds, since which a control machine is asked for changes.
     #[must_use]
-    pub fn held_version(&self) -> Ask {
-        Ask { seq: self.held.seq, digest: self.held.digest }
+    pub fn held_version(&self) -> VersionId {
+        VersionId { seq: self.held.seq, digest: self.held.digest }
     }
 
-    /// Why the version held isn't in force, when it isn't usable here.
+    /// The reason why the held version is not in force, if it is invalid on this scheduler.
     #[must_use]
-    pub fn fault(&self) -> Option<&ValidationError> {
-        self.fault.as_ref()
+    pub fn validation_error(&self) -> Option<&ValidationError> {
+        self.validation_error.as_ref()
     }
 
+    /// Returns whether no machine with a majority has sent anything for the maximum silence.
     fn is_silent(&self, now: u64) -> bool {
-        self.heard_at.is_none_or(|at| now.saturating_sub(at) > self.silence_us)
+        self.majority_heard_at.is_none_or(|heard_at| now.saturating_sub(heard_at) > self.max_silence_us)
     }
 
-    fn is_level(&self) -> bool {
+    /// Returns whether the latest known version is completely in force.
+    fn is_up_to_date(&self) -> bool {
         let in_force = self.in_force.tightened_to.is_none() && self.in_force.seq == self.held.seq;
-        in_force && !self.gap && self.known <= self.held.seq
+        in_force && !self.has_gap && self.latest_known <= self.held.seq
     }
 
-    fn hold(&mut self, version: Version, majority: bool) -> UpdateOutcome {
-        self.known = self.known.max(version.seq);
+    /// Holds a newer version and applies it.
+    fn accept(&mut self, version: Version, majority: bool) -> UpdateOutcome {
+        self.latest_known = self.latest_known.max(version.seq);
         self.held = version;
-        self.gap = false;
-        self.enforce(majority)
+        self.has_gap = false;
+        self.apply_held(majority)
     }
 
-    /// A machine told a version that isn't newer than the one held.
+    /// Processes a version that is not newer than the held one. From a machine with a majority it confirms the held
+    /// version.
     fn confirm(&mut self, seq: u64, digest: Option<Digest>, majority: bool) -> UpdateOutcome {
-        if seq < self.held.seq || !majority || self.is_level() {
+        if seq < self.held.seq || !majority || self.is_up_to_date() {
             return UpdateOutcome::Unchanged;
         }
         if digest.is_some_and(|digest| digest != self.held.digest) {
             return UpdateOutcome::Unchanged;
         }
-        if self.known <= self.held.seq {
-            self.gap = false;
+        if self.latest_known <= self.held.seq {
+            self.has_gap = false;
         }
-        self.enforce(true)
+        self.apply_held(true)
     }
 
-    fn enforce(&mut self, majority: bool) -> UpdateOutcome {
+    /// Brings the held version into force: completely with a majority, otherwise only its tightening keys.
+    fn apply_held(&mut self, majority: bool) -> UpdateOutcome {
         let next = if majority {
-            VersionInForce::wholly(&self.held)
+            VersionInForce::from_version(&self.held)
         } else {
             let rules = &self.rules;
-            let document = tightened(&self.in_force.document, &self.held.document, &|key| {
+            let document = apply_tightening(&self.in_force.document, &self.held.document, &|key| {
                 rules.tightening_direction(key)
             });
             let document = Arc::new(document);
@@ -252,9 +277,9 @@
                 ..VersionInForce::clone(&self.in_force)
             }
         };
-        self.fault = self.rules.check(&next.document).err();
-        if let Some(fault) = &self.fault {
-            return UpdateOutcome::Invalid(fault.clone());
+        self.validation_error = self.rules.check(&next.document).err();
+        if let Some(error) = &self.validation_error {
+            return UpdateOutcome::Invalid(error.clone());
         }
         self.in_force = Arc::new(next);
         if majority { UpdateOutcome::InForce } else { UpdateOutcome::Tightened }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,12 +1,14 @@
-//! Agreed configuration, without I/O (but for the file store) and without a clock.
+//! The configuration that control machines agree on for all schedulers. The crate has no clock, and no I/O except in
+//! the file store.
 //!
-//! * [`Voter`]: one of the control machines that decide together, by Omni-Paxos, which numbered [`Version`] of a
-//!   configuration [`Document`] follows which. It is driven by ticks and messages.
-//! * [`Learner`]: what a scheduler keeps of it: the version in force, whether it is behind, what to ask for.
-//! * [`store`]: where a voter keeps what it has promised, so that a restart doesn't break its word.
+//! * [`Voter`]: one of the control machines that agree by Omni-Paxos on the sequence of numbered [`Version`]s of a
+//!   configuration [`Document`]. Ticks and messages drive it.
+//! * [`Learner`]: a scheduler's copy of the configuration. It knows the version in force, whether it is behind, and
+//!   which changes to request.
+//! * [`store`]: the durable storage of a voter, so that a restarted voter keeps the promises it has made.
 //!
-//! The document is opaque here: the program supplies the [`Check`] of a whole document, and for each key which
-//! direction tightens ([`Rules`]). See `docs/agreed.md`.
+//! The crate does not interpret the document. The program supplies a [`Check`] that validates a complete document,
+//! and [`Rules`] that define for each key which direction tightens it.
 
 mod change;
 mod digest;
@@ -24,11 +26,11 @@
 mod tighten;
 mod voter;
 
-pub use change::{Change, Delta, Mismatch, Version};
-pub use digest::{Digest, NotADigest};
-pub use document::{Check, Document, ValidationError, size};
-pub use learner::{Ask, Learner, Rules, UpdateOutcome, VersionInForce, VersionMessage};
+pub use change::{Change, Delta, DeltaError, Version};
+pub use digest::{Digest, ParseDigestError};
+pub use document::{Check, Document, ValidationError, document_size};
+pub use learner::{Learner, Rules, UpdateOutcome, VersionId, VersionInForce, VersionMessage};
 pub use outcome::{CatchUp, Outcome, ProposeError, StartError, Ticket, VoterId};
 pub use store::Store;
-pub use tighten::{TighteningDirection, tightened};
+pub use tighten::{TighteningDirection, apply_tightening};
 pub use voter::Voter;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -1,49 +1,53 @@
-//! Every bound of this package, in one place.
+//! The limits that voters enforce on documents, messages, logs and queues, and their timing in ticks.
 
-/// Keys of a document, at most.
+/// The largest number of keys in a document.
 pub const MAX_KEYS: usize = 4_096;
-/// Bytes of a key, at most.
+/// The largest length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
-/// Bytes of a document in its canonical form, at most.
+/// The largest size of a document in its canonical form, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 256 * 1024;
-/// Bytes of a change, at most.
+/// The largest size of a change, in bytes.
 pub const MAX_CHANGE_BYTES: usize = 2 * MAX_DOCUMENT_BYTES;
-/// How deep a value may be nested.
+/// The largest nesting depth of a value.
 pub const MAX_NESTING_DEPTH: usize = 16;
-/// Proposals that a voter holds at once: the one on its way and those that wait for it.
+/// The largest number of proposals that a voter holds at once, including the one that has been sent.
 pub const MAX_PROPOSALS: usize = 64;
-/// Entries of a voter's log that aren't decided yet; beyond it none is added.
+/// The largest number of undecided entries in a leader's log. A leader adds no entry beyond it.
 pub const MAX_UNDECIDED_ENTRIES: usize = 16;
-/// Decided entries that a voter keeps in its log before it folds them into a snapshot.
+/// The number of decided entries at which a voter compacts its log into a snapshot.
 pub const MAX_DECIDED_LOG_ENTRIES: usize = 4_096;
-/// Bytes of a voter's log, decided or not, before it folds the decided ones into a snapshot.
+/// The size of a voter's log in bytes, including undecided entries, at which the voter compacts the decided entries
+/// into a snapshot.
 pub const MAX_LOG_BYTES: usize = 8 * 1024 * 1024;
-/// Deltas that a voter keeps for learners.
+/// The largest number of deltas that a voter keeps for learners.
 pub const MAX_DELTAS: usize = 4_096;
-/// Bytes of the deltas that a voter keeps for learners.
+/// The largest total size of the deltas that a voter keeps for learners, in bytes.
 pub const MAX_DELTA_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of a message between voters: a log within its bounds, a snapshot and their frame.
+/// The largest message between voters, in bytes: a log at its limits, a snapshot and the envelope.
 pub const MAX_MESSAGE_BYTES: usize =
     MAX_LOG_BYTES + MAX_UNDECIDED_ENTRIES * MAX_CHANGE_BYTES + 4 * MAX_DOCUMENT_BYTES;
-/// Messages that a voter holds for its host, at most; the oldest are dropped first, as a network would.
+/// The largest number of messages that a voter queues for its host. The oldest are dropped first; the protocol
+/// tolerates this like a loss in the network.
 pub const MAX_OUTGOING_MESSAGES: usize = 1_024;
-/// Control machines, at most.
+/// The largest number of control machines.
 pub const MAX_VOTERS: usize = 9;
-/// Largest number of a ballot that a voter listens to.
+/// Messages with a ballot number of this value or more are ignored.
 pub const BALLOT_NUMBER_LIMIT: u32 = 1 << 30;
 
-/// Ticks between two rounds of heartbeats; a leader that doesn't answer in a round is given up in the next.
+/// The number of ticks between two rounds of heartbeats. A leader that does not answer in one round is replaced in
+/// the next.
 pub const HEARTBEAT_ROUND_TICKS: u64 = 5;
-/// Ticks after which what got lost in an election is sent again.
+/// The number of ticks after which lost election messages are sent again.
 pub const ELECTION_RESEND_TICKS: u64 = 10;
-/// Ticks after which a proposal that isn't decided is sent again.
+/// The number of ticks after which an undecided proposal is sent again.
 pub const PROPOSAL_RETRY_TICKS: u64 = 10;
-/// Ticks after which the proposer of an undecided change is told that its outcome is unknown.
+/// The number of ticks after which the proposer of an undecided change learns that its outcome is unknown.
 pub const PROPOSAL_TIMEOUT_TICKS: u64 = 100;
-/// Ticks for which an answer of another voter counts as contact with it.
+/// The number of ticks for which a reply of another voter counts as contact with it.
 pub const CONTACT_TIMEOUT_TICKS: u64 = 10;
-/// Ticks for which a leader that a majority follows sees a voter that promised more, before it goes beyond that. Longer
-/// than it takes a leader that was replaced to see that nobody follows it.
+/// The number of ticks for which a leader with a majority must see a voter with a higher promised ballot before the
+/// leader tries a higher ballot itself. Longer than a replaced leader needs to notice that no voter follows it any
+/// more.
 pub const HIGHER_BALLOT_DELAY_TICKS: u64 = 2 * CONTACT_TIMEOUT_TICKS;
-/// Ticks after which a voter that is cut off surely says that it has no majority.
+/// The largest number of ticks until a disconnected voter reports that it has no majority.
 pub const MAJORITY_LOSS_TICKS: u64 = 2 * CONTACT_TIMEOUT_TICKS + 1;
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -1,8 +1,8 @@
-//! What the consensus crate keeps, on our [`Store`].
+//! The storage interface of the consensus library, implemented on a [`Store`].
 //!
-//! The crate takes an error of its storage for the end of the program, so none is given to it: what it writes is
-//! staged, and the voter commits it before anything that depends on it leaves. When that fails the voter says
-//! nothing more.
+//! The library treats a storage error as fatal to the program. Errors are therefore not returned to it: its writes
+//! are staged, and the voter commits them before it sends anything that depends on them. If a commit fails, the voter
+//! sends nothing more.
 
 use crate::limits;
 use crate::replica::{Entry, Replica, Snapshot};
@@ -12,9 +12,11 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A journal that has grown by this many bytes beyond twice what its last replacement held is replaced.
-const SLACK: u64 = 2 * 1024 * 1024;
+/// The store's content is replaced by its current state when the store exceeds twice its size after the last replacement by
+/// this many bytes.
+const REPLACE_SLACK_BYTES: u64 = 2 * 1024 * 1024;
 
+/// A record in the store. Its variants and fields are part of the stored format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 enum Record {
     Start(u64),
@@ -26,168 +28,190 @@
     Snapshot(Replica),
 }
 
-/// What the journal's records lead to.
+/// The state that results from the records in the store.
 #[derive(Debug, Default)]
-pub(crate) struct Image {
+pub(crate) struct LogState {
+    /// The number of starts of this voter, including the current one.
     pub(crate) start: u64,
     promise: Option<Ballot>,
     accepted_round: Option<Ballot>,
-    pub(crate) decided: usize,
-    pub(crate) compacted: usize,
+    /// The index after the last decided entry.
+    pub(crate) decided_index: usize,
+    /// The index of the first entry in `log`. The entries before it are contained in `snapshot`.
+    pub(crate) compacted_index: usize,
     pub(crate) snapshot: Replica,
+    /// The entries since `compacted_index`.
     pub(crate) log: Vec<Entry>,
+    /// The approximate size of `log` in bytes.
     pub(crate) log_bytes: usize,
 }
 
-fn bytes(entries: &[Entry]) -> usize {
-    entries.iter().map(|entry| entry.change.bytes() + 64).sum()
+/// The approximate size of entries in the store, in bytes.
+fn entries_size(entries: &[Entry]) -> usize {
+    entries.iter().map(|entry| entry.change.size_bytes() + 64).sum()
 }
 
-impl Image {
-    /// Takes in a record; `false` when it can't follow what is there.
-    fn take(&mut self, record: Record) -> bool {
+impl LogState {
+    /// Applies a record. Returns `false` if the record is inconsistent with the state.
+    fn apply(&mut self, record: Record) -> bool {
         match record {
             Record::Start(start) => self.start = start,
             Record::Promise(ballot) => self.promise = Some(ballot),
             Record::AcceptedRound(ballot) => self.accepted_round = Some(ballot),
-            Record::Decided(index) => self.decided = index,
+            Record::Decided(index) => self.decided_index = index,
             Record::Entries { from, entries } => {
-                let Some(kept) = from.checked_sub(self.compacted).filter(|kept| *kept <= self.log.len())
+                let Some(kept) =
+                    from.checked_sub(self.compacted_index).filter(|kept| *kept <= self.log.len())
                 else {
                     return false;
                 };
-                self.log_bytes -= bytes(&self.log[kept..]);
+                self.log_bytes -= entries_size(&self.log[kept..]);
                 self.log.truncate(kept);
-                self.log_bytes += bytes(&entries);
+                self.log_bytes += entries_size(&entries);
                 self.log.extend(entries);
             }
             Record::Compacted(index) => {
-                let Some(gone) = index.checked_sub(self.compacted) else { return false };
-                let gone = gone.min(self.log.len());
-                self.log_bytes -= bytes(&self.log[..gone]);
-                self.log.drain(..gone);
-                self.compacted = index;
+                let Some(removed) = index.checked_sub(self.compacted_index) else { return false };
+                let removed = removed.min(self.log.len());
+                self.log_bytes -= entries_size(&self.log[..removed]);
+                self.log.drain(..removed);
+                self.compacted_index = index;
             }
             Record::Snapshot(replica) => self.snapshot = replica,
         }
         true
     }
 
+    /// Records that produce this state when applied to an empty one.
     fn records(&self) -> Vec<Record> {
         let mut records = vec![Record::Start(self.start), Record::Snapshot(self.snapshot.clone())];
-        records.push(Record::Compacted(self.compacted));
-        records.push(Record::Entries { from: self.compacted, entries: self.log.clone() });
-        records.push(Record::Decided(self.decided));
+        records.push(Record::Compacted(self.compacted_index));
+        records.push(Record::Entries { from: self.compacted_index, entries: self.log.clone() });
+        records.push(Record::Decided(self.decided_index));
         records.extend(self.promise.map(Record::Promise));
         records.extend(self.accepted_round.map(Record::AcceptedRound));
         records
     }
 
-    /// Entries from an index (of the whole log) up to another; none when it doesn't have them all.
+    /// The entries with indexes `from..to` of the whole log. Empty unless all of them are present.
     pub(crate) fn entries(&self, from: usize, to: usize) -> &[Entry] {
-        match (from.checked_sub(self.compacted), to.checked_sub(self.compacted)) {
+        match (from.checked_sub(self.compacted_index), to.checked_sub(self.compacted_index)) {
             (Some(from), Some(to)) => self.log.get(from..to).unwrap_or_default(),
             _ => &[],
         }
     }
 
-    /// Index after the last entry.
-    pub(crate) fn end(&self) -> usize {
-        self.compacted + self.log.len()
+    /// The index after the last entry.
+    pub(crate) fn end_index(&self) -> usize {
+        self.compacted_index + self.log.len()
     }
 }
 
+/// A voter's store with the state that it contains, and the records that are not written yet.
 pub(crate) struct LogStorage<S> {
     store: S,
-    pub(crate) image: Image,
+    pub(crate) state: LogState,
+    /// Records that are applied to `state` but not written.
     staged: Vec<Record>,
-    replaced: u64,
-    broken: bool,
+    /// The size of the store after its last replacement, in bytes.
+    size_after_replace: u64,
+    /// Whether a write failed or a record was inconsistent. Nothing is written any more.
+    failed: bool,
 }
 
 impl<S: Store> LogStorage<S> {
-    /// Reads the store back and counts this start, durably.
+    /// Reads the store, and durably increments the start number.
     pub(crate) fn open(mut store: S) -> Result<LogStorage<S>, StoreError> {
-        let mut image = Image::default();
+        let mut state = LogState::default();
         for batch in store.load()? {
             let records: Option<Vec<Record>> = serde_json::from_slice(&batch).ok();
-            let sound = records.is_some_and(|records| records.into_iter().all(|record| image.take(record)));
-            if !sound || image.decided > image.end() {
-                return Err(StoreError::Corrupt { at: 0 });
+            let valid = records.is_some_and(|records| records.into_iter().all(|record| state.apply(record)));
+            if !valid || state.decided_index > state.end_index() {
+                return Err(StoreError::Corrupt { offset: 0 });
             }
         }
-        if !image.snapshot.version.is_sound() {
-            return Err(StoreError::Corrupt { at: 0 });
+        if !state.snapshot.version.digest_matches() {
+            return Err(StoreError::Corrupt { offset: 0 });
         }
-        let mut log_storage = LogStorage { store, image, staged: Vec::new(), replaced: 0, broken: false };
-        log_storage.stage(Record::Start(log_storage.image.start + 1));
+        let mut log_storage =
+            LogStorage { store, state, staged: Vec::new(), size_after_replace: 0, failed: false };
+        log_storage.stage(Record::Start(log_storage.state.start + 1));
         log_storage.commit()?;
         Ok(log_storage)
     }
 
+    /// Applies a record, and keeps it for the next commit.
     fn stage(&mut self, record: Record) {
-        if self.image.take(record.clone()) {
+        if self.state.apply(record.clone()) {
             self.staged.push(record);
         } else {
-            self.broken = true;
+            self.failed = true;
         }
     }
 
-    /// Makes all that was staged durable.
+    /// Writes all staged records durably.
     pub(crate) fn commit(&mut self) -> Result<(), StoreError> {
-        if self.broken {
-            return Err(StoreError::Refusing);
+        if self.failed {
+            return Err(StoreError::Failed);
         }
         if self.staged.is_empty() {
             return Ok(());
         }
         let staged = std::mem::take(&mut self.staged);
-        let grown = self.store.bytes() > 2 * self.replaced + SLACK;
-        let batch = if grown { encode(&self.image.records()) } else { encode(&staged) };
+        let replace = self.store.bytes() > 2 * self.size_after_replace + REPLACE_SLACK_BYTES;
+        let batch = if replace { encode(&self.state.records()) } else { encode(&staged) };
         let written = batch
-            .and_then(|batch| if grown { self.store.replace(&batch) } else { self.store.append(&batch) });
-        if grown {
-            self.replaced = self.store.bytes();
+            .and_then(|batch| if replace { self.store.replace(&batch) } else { self.store.append(&batch) });
+        if replace {
+            self.size_after_replace = self.store.bytes();
         }
-        self.broken = written.is_err();
+        self.failed = written.is_err();
         written
     }
 
-    pub(crate) fn is_long(&self, bound: usize) -> bool {
-        let decided = self.image.decided - self.image.compacted.min(self.image.decided);
-        decided >= bound || (decided > 0 && self.image.log_bytes >= limits::MAX_LOG_BYTES)
+    /// Returns whether there are at least `max_decided_entries` decided entries, or decided entries in a log that has
+    /// reached its maximum size.
+    pub(crate) fn needs_compaction(&self, max_decided_entries: usize) -> bool {
+        let decided_entries =
+            self.state.decided_index - self.state.compacted_index.min(self.state.decided_index);
+        decided_entries >= max_decided_entries
+            || (decided_entries > 0 && self.state.log_bytes >= limits::MAX_LOG_BYTES)
     }
 
-    /// Bytes that the store takes up.
-    pub(crate) fn bytes(&self) -> u64 {
+    /// The size of the store in bytes.
+    pub(crate) fn store_bytes(&self) -> u64 {
         self.store.bytes()
     }
 }
 
 fn encode(records: &[Record]) -> Result<Vec<u8>, StoreError> {
-    serde_json::to_vec(records).map_err(|error| StoreError::Disk { what: "encoding", error: error.into() })
+    serde_json::to_vec(records)
+        .map_err(|error| StoreError::Disk { operation: "encoding the records", error: error.into() })
 }
 
-/// The log_storage, held by both the consensus crate and the voter.
-pub(crate) struct Shared<S>(Arc<Mutex<LogStorage<S>>>);
+/// The log storage, shared by the consensus library and the voter.
+pub(crate) struct SharedLogStorage<S>(Arc<Mutex<LogStorage<S>>>);
 
-impl<S> Clone for Shared<S> {
-    fn clone(&self) -> Shared<S> {
-        Shared(Arc::clone(&self.0))
+impl<S> Clone for SharedLogStorage<S> {
+    fn clone(&self) -> SharedLogStorage<S> {
+        SharedLogStorage(Arc::clone(&self.0))
     }
 }
 
-impl<S: Store> Shared<S> {
-    pub(crate) fn new(log_storage: LogStorage<S>) -> Shared<S> {
-        Shared(Arc::new(Mutex::new(log_storage)))
+impl<S: Store> SharedLogStorage<S> {
+    /// Wraps a log storage for sharing.
+    pub(crate) fn new(log_storage: LogStorage<S>) -> SharedLogStorage<S> {
+        SharedLogStorage(Arc::new(Mutex::new(log_storage)))
     }
 
+    /// Locks the log storage. A panic in the consensus library may have poisoned the lock, which is ignored here
+    /// because the voter stops anyway.
     pub(crate) fn lock(&self) -> MutexGuard<'_, LogStorage<S>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl<S: Store> Storage<Entry> for Shared<S> {
+impl<S: Store> Storage<Entry> for SharedLogStorage<S> {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         for op in ops {
             match op {
@@ -212,7 +236,7 @@
 
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
         let mut log_storage = self.lock();
-        let from = log_storage.image.end();
+        let from = log_storage.state.end_index();
         if !entries.is_empty() {
             log_storage.stage(Record::Entries { from, entries });
         }
@@ -226,8 +250,9 @@
 
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
         let mut log_storage = self.lock();
-        // The crate sets what it has just read at each start; that a voter has promised nothing isn't a promise.
-        if log_storage.image.promise.unwrap_or_default() != ballot {
+        // The library writes back the value that it has just read at each start. The default ballot of a voter that
+        // has promised nothing is not stored as a promise.
+        if log_storage.state.promise.unwrap_or_default() != ballot {
             log_storage.stage(Record::Promise(ballot));
         }
         Ok(())
@@ -239,7 +264,7 @@
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        Ok(self.lock().image.decided)
+        Ok(self.lock().state.decided_index)
     }
 
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
@@ -248,28 +273,29 @@
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.lock().image.accepted_round)
+        Ok(self.lock().state.accepted_round)
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        Ok(self.lock().image.entries(from, to).to_vec())
+        Ok(self.lock().state.entries(from, to).to_vec())
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
-        Ok(self.lock().image.log.len())
+        Ok(self.lock().state.log.len())
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
         let log_storage = self.lock();
-        Ok(log_storage.image.entries(from, log_storage.image.end()).to_vec())
+        Ok(log_storage.state.entries(from, log_storage.state.end_index()).to_vec())
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.lock().image.promise)
+        Ok(self.lock().state.promise)
     }
 
     fn set_stopsign(&mut self, _: Option<StopSign>) -> StorageResult<()> {
-        // The five aren't changed by the log: messages with a stop sign are dropped before they get here.
+        // The set of voters is not changed through the log: messages with a stop sign are dropped before they get
+        // here.
         Ok(())
     }
 
@@ -278,7 +304,7 @@
     }
 
     fn trim(&mut self, _: usize) -> StorageResult<()> {
-        // Always followed by the compacted index, which says the same.
+        // The library always sets the compacted index afterwards, which removes the entries.
         Ok(())
     }
 
@@ -288,17 +314,17 @@
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
-        Ok(self.lock().image.compacted)
+        Ok(self.lock().state.compacted_index)
     }
 
     fn set_snapshot(&mut self, snapshot: Option<Snapshot>) -> StorageResult<()> {
         if let Some(snapshot) = snapshot {
-            self.lock().stage(Record::Snapshot(snapshot.fold()));
+            self.lock().stage(Record::Snapshot(snapshot.into_replica()));
         }
         Ok(())
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<Snapshot>> {
-        Ok(Some(Snapshot::Whole(self.lock().image.snapshot.clone())))
+        Ok(Some(Snapshot::Full(self.lock().state.snapshot.clone())))
     }
 }
--- a/crates/consensus/src/outcome.rs
+++ b/crates/consensus/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a voter tells its host.
+//! The results that a voter reports to its host.
 
 use crate::change::{Delta, Version};
 use crate::digest::Digest;
@@ -6,69 +6,75 @@
 use crate::limits;
 use crate::store::StoreError;
 
-/// Number of a voter, from 1.
+/// The number of a voter, starting at 1.
 pub type VoterId = u64;
 
-/// Names a proposal to its proposer.
+/// Identifies a proposal within one start of a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Why a change isn't proposed.
+/// A change was not accepted as a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// The document with the change in it isn't usable.
+    /// The document with the change applied is invalid.
     #[error("{0}")]
     Invalid(ValidationError),
-    /// This voter isn't in touch with a majority.
-    #[error("no majority")]
+    /// This voter has no contact with a majority.
+    #[error("this voter has no contact with a majority")]
     NoMajority,
-    /// As many proposals as a voter holds are on their way.
-    #[error("too many proposals on their way")]
+    /// The maximum number of proposals is pending.
+    #[error("too many proposals are pending")]
     TooManyProposals,
-    /// This voter's store failed; it takes part in nothing until it is started anew.
-    #[error("the store failed")]
+    /// This voter's store failed. The voter does not take part until it is restarted.
+    #[error("this voter has stopped because its store failed")]
     Stopped,
 }
 
-/// What became of a proposal.
+/// The result of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// Decided: it is this version.
+    /// The change was decided and led to this version.
     Decided {
-        /// Of the version.
+        /// The number of the version.
         seq: u64,
-        /// Of the version.
+        /// The digest of the version.
         digest: Digest,
     },
-    /// Another change was decided before it, and on that one it isn't usable. Nothing changed.
+    /// Another change was decided first, and this change is invalid on the resulting version. The change was not
+    /// applied.
     Invalidated(ValidationError),
-    /// Not decided in time. It may still be, when it had been sent.
+    /// The change was not decided in time. If it had been sent, it may still be decided later.
     Unknown {
-        /// Whether it had been sent; otherwise it surely is never decided.
+        /// Whether the proposal had been sent. If not, it is certain never to be decided.
         sent: bool,
     },
 }
 
-/// What a learner lacks.
+/// The changes that a learner lacks.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CatchUp {
-    /// Nothing.
+    /// The learner has the latest version.
     UpToDate,
-    /// These, in order.
+    /// The missing changes in order.
     Deltas(Vec<Delta>),
-    /// The whole: it is further behind than the deltas at hand, or on none of the versions they lead through.
+    /// The complete version. The learner's version is older than the kept deltas, or the deltas do not lead through
+    /// it.
     FullVersion(Version),
-    /// The asker has a later version than this voter.
+    /// The learner has a later version than this voter.
     Ahead,
 }
 
-/// Why a voter can't start.
+/// A voter cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Voters are 3 to [`limits::MAX_VOTERS`], numbered from 1 to there without doubles, this one among them.
-    #[error("voters are 3 to {} different numbers from 1, this one among them", limits::MAX_VOTERS)]
+    /// The voter numbers are invalid: there must be 3 to [`limits::MAX_VOTERS`] different numbers between 1 and that
+    /// maximum, including this voter's.
+    #[error(
+        "there must be 3 to {} voters with different numbers from 1 to that maximum, including this voter",
+        limits::MAX_VOTERS
+    )]
     Voters,
-    /// The store.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,5 +1,6 @@
-//! What the log's entries make of the document: the same at every voter, whatever its program's version, for nothing
-//! here asks a check. An entry counts only on the very version that its proposer checked it against.
+//! The document as the result of the log's entries. It is the same at every voter, whatever the version of its
+//! program, since applying an entry does not call the program's [`Check`](crate::Check). An entry takes effect only
+//! on the version against which its proposer checked it.
 
 use crate::change::{Change, Delta, Version};
 use crate::digest::Digest;
@@ -7,14 +8,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Names a proposal over all voters and restarts.
+/// Identifies a proposal across all voters and their restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalId {
-    /// The voter that proposes.
+    /// The number of the proposing voter.
     pub voter: u64,
-    /// Which of its starts.
+    /// The start number of that voter.
     pub start: u64,
-    /// Which of its proposals since that start.
+    /// The number of the proposal since that start.
     pub number: u64,
 }
 
@@ -22,46 +23,49 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub(crate) id: ProposalId,
-    /// The version that the proposer checked the change against.
+    /// The number of the version against which the proposer checked the change.
     pub(crate) base: u64,
     pub(crate) change: Change,
 }
 
-/// The version that the log led to, and which proposal of each voter was the last to count.
+/// The version that results from the log, with the last proposal of each voter that took effect.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
     pub(crate) version: Version,
-    pub(crate) last: BTreeMap<u64, (ProposalId, Mark)>,
+    #[serde(rename = "last")]
+    pub(crate) last_applied: BTreeMap<u64, (ProposalId, VersionMark)>,
 }
 
-/// Number and digest of a version, without its document.
+/// The number and the digest of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct VersionMark {
     pub(crate) seq: u64,
     pub(crate) digest: Digest,
 }
 
 impl Replica {
-    /// Takes in a decided entry. `None`: it is void, for another change was decided since it was checked (or it is
-    /// a copy of one that has counted).
-    pub(crate) fn take(&mut self, entry: &Entry) -> Option<Delta> {
+    /// Applies a decided entry. Returns `None` if the entry is void because another change was decided after the
+    /// proposer's check, or because it is a copy of an entry that has taken effect.
+    pub(crate) fn apply(&mut self, entry: &Entry) -> Option<Delta> {
         if entry.base != self.version.seq {
             return None;
         }
-        let next = Version::new(self.version.seq + 1, entry.change.on(&self.version.document));
+        let next = Version::new(self.version.seq + 1, entry.change.applied_to(&self.version.document));
         let delta = Delta {
             seq: next.seq,
             from_digest: self.version.digest,
             digest: next.digest,
             change: entry.change.clone(),
         };
-        self.last.insert(entry.id.voter, (entry.id, Mark { seq: next.seq, digest: next.digest }));
+        self.last_applied
+            .insert(entry.id.voter, (entry.id, VersionMark { seq: next.seq, digest: next.digest }));
         self.version = next;
         Some(delta)
     }
 
-    /// Takes in many entries whose deltas nobody wants: digests are worked out only where one is kept.
-    pub(crate) fn take_all(&mut self, entries: &[Entry]) {
+    /// Applies entries without producing deltas. Digests are computed only for the entries that are recorded as the
+    /// last of their voter, and for the final version.
+    pub(crate) fn apply_all(&mut self, entries: &[Entry]) {
         let mut seq = self.version.seq;
         let mut last = BTreeMap::new();
         for (i, entry) in entries.iter().enumerate() {
@@ -79,7 +83,8 @@
             entry.change.apply(&mut document);
             seq += 1;
             if last.get(&entry.id.voter) == Some(&i) {
-                self.last.insert(entry.id.voter, (entry.id, Mark { seq, digest: Digest::of(&document) }));
+                self.last_applied
+                    .insert(entry.id.voter, (entry.id, VersionMark { seq, digest: Digest::of(&document) }));
             }
         }
         if seq != self.version.seq {
@@ -87,9 +92,9 @@
         }
     }
 
-    /// The version that a proposal made, when it was the last of its voter to count.
-    pub(crate) fn made_by(&self, id: ProposalId) -> Option<Mark> {
-        self.last.get(&id.voter).filter(|(last, _)| *last == id).map(|(_, version)| *version)
+    /// The version that a proposal led to, if it was the last one of its voter that took effect.
+    pub(crate) fn version_made_by(&self, id: ProposalId) -> Option<VersionMark> {
+        self.last_applied.get(&id.voter).filter(|(last, _)| *last == id).map(|(_, version)| *version)
     }
 }
 
@@ -97,23 +102,25 @@
     type Snapshot = Snapshot;
 }
 
-/// A snapshot of the log: the whole, or the entries since another.
+/// A snapshot of the log: the complete state, or the entries since another snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Snapshot {
-    /// What all entries so far led to.
-    Whole(Replica),
+    /// The state that all entries so far led to.
+    #[serde(rename = "Whole")]
+    Full(Replica),
     /// Entries that follow another snapshot.
-    Since(Vec<Entry>),
+    #[serde(rename = "Since")]
+    Entries(Vec<Entry>),
 }
 
 impl Snapshot {
-    /// What it leads to from the beginning of the log.
-    pub(crate) fn fold(self) -> Replica {
+    /// Returns the state that the snapshot leads to, starting at the beginning of the log.
+    pub(crate) fn into_replica(self) -> Replica {
         match self {
-            Snapshot::Whole(replica) => replica,
-            Snapshot::Since(entries) => {
+            Snapshot::Full(replica) => replica,
+            Snapshot::Entries(entries) => {
                 let mut replica = Replica::default();
-                replica.take_all(&entries);
+                replica.apply_all(&entries);
                 replica
             }
         }
@@ -122,16 +129,16 @@
 
 impl omnipaxos::storage::Snapshot<Entry> for Snapshot {
     fn create(entries: &[Entry]) -> Snapshot {
-        Snapshot::Since(entries.to_vec())
+        Snapshot::Entries(entries.to_vec())
     }
 
     fn merge(&mut self, delta: Snapshot) {
         match (&mut *self, delta) {
-            (Snapshot::Whole(replica), Snapshot::Since(entries)) => {
-                replica.take_all(&entries);
+            (Snapshot::Full(replica), Snapshot::Entries(entries)) => {
+                replica.apply_all(&entries);
             }
-            (Snapshot::Since(first), Snapshot::Since(then)) => first.extend(then),
-            (_, whole @ Snapshot::Whole(_)) => *self = whole,
+            (Snapshot::Entries(first), Snapshot::Entries(later)) => first.extend(later),
+            (_, full @ Snapshot::Full(_)) => *self = full,
         }
     }
 
--- a/crates/consensus/src/store/file.rs
+++ b/crates/consensus/src/store/file.rs
@@ -1,5 +1,5 @@
-//! A journal in a folder: `journal` itself, `journal.new` while it is being replaced, and `lock`, which a process
-//! holds as long as it has the store.
+//! A journal in a directory: the file `journal`, the file `journal.new` during a replacement, and the file `lock`,
+//! which the process that uses the store keeps locked.
 
 use super::journal::{Journal, Medium};
 use super::{FileStore, StoreError};
@@ -7,52 +7,53 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder with a journal, held by a lock.
+/// A directory with a journal, held by a lock.
 #[derive(Debug)]
 pub struct FileMedium {
-    folder: PathBuf,
+    directory: PathBuf,
     file: File,
     _lock: File,
 }
 
 impl FileStore {
-    /// Opens the journal in a folder; both are made when they aren't there.
+    /// Opens the journal in a directory. Both are created if they do not exist.
     ///
     /// # Errors
-    /// When another process has it, the disk fails, or what is there isn't a sound journal of this version.
-    pub fn open(folder: &Path) -> Result<FileStore, StoreError> {
-        Journal::on(FileMedium::open(folder)?)
+    /// If another process uses the store, the disk fails, or the content is not a valid journal of the supported
+    /// version.
+    pub fn open(directory: &Path) -> Result<FileStore, StoreError> {
+        Journal::with_medium(FileMedium::open(directory)?)
     }
 }
 
 impl FileMedium {
-    /// Takes the lock of a folder and opens its journal's file; both are made when they aren't there.
+    /// Locks a directory and opens the journal file in it. Both are created if they do not exist.
     ///
     /// # Errors
-    /// When another process has it or the disk fails.
-    pub fn open(folder: &Path) -> Result<FileMedium, StoreError> {
-        let disk = |what| move |error| StoreError::Disk { what, error };
-        fs::create_dir_all(folder).map_err(disk("making the store's folder"))?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"));
-        let lock = lock.map_err(disk("opening the store's lock"))?;
+    /// If another process uses the store, or the disk fails.
+    pub fn open(directory: &Path) -> Result<FileMedium, StoreError> {
+        let disk_error = |operation| move |error| StoreError::Disk { operation, error };
+        fs::create_dir_all(directory).map_err(disk_error("creating the store's directory"))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(directory.join("lock"));
+        let lock = lock.map_err(disk_error("opening the store's lock file"))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(StoreError::Locked),
-            Err(TryLockError::Error(error)) => return Err(disk("locking the store")(error)),
+            Err(TryLockError::Error(error)) => return Err(disk_error("locking the store")(error)),
         }
-        match fs::remove_file(folder.join("journal.new")) {
+        match fs::remove_file(directory.join("journal.new")) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                return Err(disk("removing a replacement that a crash left")(error));
+                return Err(disk_error("removing the journal.new file of an interrupted replacement")(error));
             }
             _ => {}
         }
-        let file = open(folder).map_err(disk("opening the journal"))?;
-        Ok(FileMedium { folder: folder.to_owned(), file, _lock: lock })
+        let file = open(directory).map_err(disk_error("opening the journal"))?;
+        Ok(FileMedium { directory: directory.to_owned(), file, _lock: lock })
     }
 }
 
-fn open(folder: &Path) -> io::Result<File> {
-    OpenOptions::new().create(true).read(true).append(true).open(folder.join("journal"))
+fn open(directory: &Path) -> io::Result<File> {
+    OpenOptions::new().create(true).read(true).append(true).open(directory.join("journal"))
 }
 
 impl Medium for FileMedium {
@@ -75,13 +76,13 @@
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let new = self.folder.join("journal.new");
+        let new = self.directory.join("journal.new");
         let mut file = File::create(&new)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&new, self.folder.join("journal"))?;
-        File::open(&self.folder)?.sync_all()?;
-        self.file = open(&self.folder)?;
+        fs::rename(&new, self.directory.join("journal"))?;
+        File::open(&self.directory)?.sync_all()?;
+        self.file = open(&self.directory)?;
         Ok(())
     }
 }
--- a/crates/consensus/src/store/journal.rs
+++ b/crates/consensus/src/store/journal.rs
@@ -1,55 +1,56 @@
-//! Batches in frames with checksums, on any medium.
+//! A journal of batches in frames with checksums, on any medium.
 //!
-//! The file begins with a head of 16 bytes: a mark, the version of the format, and the checksum (CRC-32C) of both.
-//! A frame is the length of the batch, the batch's checksum, and a checksum of these two and the frame's place, four
-//! bytes each, then the batch. A file that ends within a frame was torn by a crash before that batch was durable: the
-//! rest is cut off. Whatever else doesn't fit is damage, and damage is never mended by forgetting: a voter that
-//! forgets a promise may break the agreement of all.
+//! The journal begins with a header of 16 bytes: a magic number, the version of the format, and the CRC-32C checksum
+//! of both. A frame consists of the length of the batch, the checksum of the batch, a checksum of these two and the
+//! frame's offset (four bytes each), and the batch. If the journal ends within a frame, a crash interrupted the write
+//! before the batch was durable, and the incomplete frame is cut off. Any other mismatch is damage. Damage is never
+//! repaired by dropping data, since a voter that forgets a promise may break the agreement of all voters.
 
 use super::{Store, StoreError};
 use std::io;
 
-/// Mark at the beginning of a journal.
-const MARK: [u8; 8] = *b"calagree";
-/// Version of the format.
-const VERSION: u32 = 1;
-/// Bytes of the head of a journal.
-const HEAD: usize = 16;
-/// Bytes before each batch.
-const FRAME: usize = 12;
-/// Bytes of a batch, at most.
-const BATCH: usize = 64 * 1024 * 1024;
-
-/// What a journal is written on. One medium has one user at a time.
+/// The magic number at the beginning of a journal.
+const MAGIC: [u8; 8] = *b"calagree";
+/// The version of the format.
+const FORMAT_VERSION: u32 = 1;
+/// The size of the journal's header, in bytes.
+const HEADER_BYTES: usize = 16;
+/// The size of a frame without its batch, in bytes.
+const FRAME_HEADER_BYTES: usize = 12;
+/// The largest size of a batch, in bytes.
+const MAX_BATCH_BYTES: usize = 64 * 1024 * 1024;
+
+/// The medium on which a journal is written. A medium has at most one user at a time.
 pub trait Medium {
-    /// All that is there.
+    /// Reads the complete content.
     ///
     /// # Errors
-    /// What the disk says.
+    /// The I/O error.
     fn read(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Adds bytes to the end; they needn't be durable yet.
+    /// Appends bytes. They need not be durable on return.
     ///
     /// # Errors
-    /// What the disk says; some of the bytes may have been added.
+    /// The I/O error. Some of the bytes may have been appended.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts off all after the first `length` bytes.
+    /// Removes everything after the first `length` bytes.
     ///
     /// # Errors
-    /// What the disk says.
+    /// The I/O error.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 
-    /// Returns when all that was added is durable.
+    /// Makes all appended bytes durable.
     ///
     /// # Errors
-    /// What the disk says; what is durable then isn't known.
+    /// The I/O error. It is then unknown which bytes are durable.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Puts these bytes in place of all that is there, durable at the return; after a crash it is one or the other.
+    /// Replaces the complete content. The new content is durable on return. After a crash the content is either the
+    /// old or the new one.
     ///
     /// # Errors
-    /// What the disk says.
+    /// The I/O error.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
@@ -57,51 +58,56 @@
 #[derive(Debug)]
 pub struct Journal<M> {
     medium: M,
+    /// The batches read at opening, until they are loaded.
     batches: Vec<Vec<u8>>,
+    /// The length of the journal in bytes.
     length: u64,
+    /// Whether a write failed, after which all operations fail.
     failed: bool,
 }
 
 impl<M: Medium> Journal<M> {
-    /// Opens what is on the medium, or begins a new journal on an empty one.
+    /// Opens the journal on a medium, or creates one if the medium is empty.
     ///
     /// # Errors
-    /// When the medium fails, or holds something that isn't a sound journal of this version; that is left untouched.
-    pub fn on(mut medium: M) -> Result<Journal<M>, StoreError> {
-        let bytes = medium.read().map_err(disk("reading"))?;
-        let (batches, sound) = parse(&bytes)?;
-        if sound == 0 {
-            medium.replace(&head()).map_err(disk("beginning"))?;
-        } else if sound < bytes.len() {
-            medium.truncate(sound as u64).map_err(disk("cutting off a torn batch"))?;
-            medium.sync().map_err(disk("syncing"))?;
+    /// If the medium fails, or contains something else than a valid journal of the supported version. Such content is
+    /// left untouched.
+    pub fn with_medium(mut medium: M) -> Result<Journal<M>, StoreError> {
+        let bytes = medium.read().map_err(disk_error("reading the journal"))?;
+        let (batches, valid_bytes) = parse(&bytes)?;
+        if valid_bytes == 0 {
+            medium.replace(&header()).map_err(disk_error("creating the journal"))?;
+        } else if valid_bytes < bytes.len() {
+            medium.truncate(valid_bytes as u64).map_err(disk_error("removing an incomplete frame"))?;
+            medium.sync().map_err(disk_error("syncing the journal"))?;
         }
-        Ok(Journal { medium, batches, length: sound.max(HEAD) as u64, failed: false })
+        Ok(Journal { medium, batches, length: valid_bytes.max(HEADER_BYTES) as u64, failed: false })
     }
 
-    fn guarded(
+    /// Runs an operation on the medium. If it fails, all later operations fail too.
+    fn run_or_fail(
         &mut self,
-        what: &'static str,
-        act: impl FnOnce(&mut M) -> io::Result<()>,
+        operation: &'static str,
+        action: impl FnOnce(&mut M) -> io::Result<()>,
     ) -> Result<(), StoreError> {
         if self.failed {
-            return Err(StoreError::Refusing);
+            return Err(StoreError::Failed);
         }
-        act(&mut self.medium).map_err(|error| {
+        action(&mut self.medium).map_err(|error| {
             self.failed = true;
-            StoreError::Disk { what, error }
+            StoreError::Disk { operation, error }
         })
     }
 }
 
 impl<M: Medium> Store for Journal<M> {
     fn load(&mut self) -> Result<Vec<Vec<u8>>, StoreError> {
-        if self.failed { Err(StoreError::Refusing) } else { Ok(std::mem::take(&mut self.batches)) }
+        if self.failed { Err(StoreError::Failed) } else { Ok(std::mem::take(&mut self.batches)) }
     }
 
     fn append(&mut self, batch: &[u8]) -> Result<(), StoreError> {
-        let frame = frame(self.length, batch)?;
-        self.guarded("adding a batch", |medium| {
+        let frame = encode_frame(self.length, batch)?;
+        self.run_or_fail("appending a batch", |medium| {
             medium.append(&frame)?;
             medium.sync()
         })?;
@@ -110,9 +116,9 @@
     }
 
     fn replace(&mut self, batch: &[u8]) -> Result<(), StoreError> {
-        let mut bytes = head();
-        bytes.extend(frame(HEAD as u64, batch)?);
-        self.guarded("replacing the journal", |medium| medium.replace(&bytes))?;
+        let mut bytes = header();
+        bytes.extend(encode_frame(HEADER_BYTES as u64, batch)?);
+        self.run_or_fail("replacing the journal", |medium| medium.replace(&bytes))?;
         self.length = bytes.len() as u64;
         Ok(())
     }
@@ -122,64 +128,70 @@
     }
 }
 
-fn disk(what: &'static str) -> impl FnOnce(io::Error) -> StoreError {
-    move |error| StoreError::Disk { what, error }
+/// Converts an I/O error of an operation into a store error.
+fn disk_error(operation: &'static str) -> impl FnOnce(io::Error) -> StoreError {
+    move |error| StoreError::Disk { operation, error }
 }
 
-fn head() -> Vec<u8> {
-    let mut head = MARK.to_vec();
-    head.extend(VERSION.to_le_bytes());
-    head.extend(crc32c::crc32c(&head).to_le_bytes());
-    head
+/// The header of a journal.
+fn header() -> Vec<u8> {
+    let mut header = MAGIC.to_vec();
+    header.extend(FORMAT_VERSION.to_le_bytes());
+    header.extend(crc32c::crc32c(&header).to_le_bytes());
+    header
 }
 
-fn frame(at: u64, batch: &[u8]) -> Result<Vec<u8>, StoreError> {
-    let length = u32::try_from(batch.len()).ok().filter(|_| batch.len() <= BATCH);
+/// Encodes a batch as a frame at this offset.
+fn encode_frame(offset: u64, batch: &[u8]) -> Result<Vec<u8>, StoreError> {
+    let length = u32::try_from(batch.len()).ok().filter(|_| batch.len() <= MAX_BATCH_BYTES);
     let length = length.ok_or(StoreError::TooLarge(batch.len()))?;
-    let mut frame = Vec::with_capacity(FRAME + batch.len());
+    let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + batch.len());
     frame.extend(length.to_le_bytes());
     frame.extend(crc32c::crc32c(batch).to_le_bytes());
-    frame.extend(frame_sum(&frame, at).to_le_bytes());
+    frame.extend(frame_checksum(&frame, offset).to_le_bytes());
     frame.extend(batch);
     Ok(frame)
 }
 
-fn frame_sum(length_and_sum: &[u8], at: u64) -> u32 {
-    crc32c::crc32c_append(crc32c::crc32c(&at.to_le_bytes()), length_and_sum)
+/// The checksum of a frame's length, batch checksum and offset. The offset detects frames that were moved.
+fn frame_checksum(length_and_checksum: &[u8], offset: u64) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(&offset.to_le_bytes()), length_and_checksum)
 }
 
-fn number(bytes: &[u8]) -> u32 {
-    bytes.iter().rev().fold(0, |number, byte| number << 8 | u32::from(*byte))
+/// Reads a little-endian number.
+fn read_u32(bytes: &[u8]) -> u32 {
+    bytes.iter().rev().fold(0, |value, byte| value << 8 | u32::from(*byte))
 }
 
-/// The batches, and how many bytes are sound; the rest is torn. None is sound when the journal wasn't begun.
+/// Parses a journal. Returns the batches and the number of valid bytes, after which an incomplete frame may follow.
+/// The number is 0 if the header is incomplete.
 fn parse(bytes: &[u8]) -> Result<(Vec<Vec<u8>>, usize), StoreError> {
-    if bytes.len() < HEAD {
-        return if head().starts_with(bytes) {
+    if bytes.len() < HEADER_BYTES {
+        return if header().starts_with(bytes) {
             Ok((Vec::new(), 0))
         } else {
-            Err(StoreError::Corrupt { at: 0 })
+            Err(StoreError::Corrupt { offset: 0 })
         };
     }
-    if bytes[..8] != MARK || crc32c::crc32c(&bytes[..12]) != number(&bytes[12..16]) {
-        return Err(StoreError::Corrupt { at: 0 });
+    if bytes[..8] != MAGIC || crc32c::crc32c(&bytes[..12]) != read_u32(&bytes[12..16]) {
+        return Err(StoreError::Corrupt { offset: 0 });
     }
-    let found = number(&bytes[8..12]);
-    if found != VERSION {
-        return Err(StoreError::Version { found, known: VERSION });
+    let found = read_u32(&bytes[8..12]);
+    if found != FORMAT_VERSION {
+        return Err(StoreError::Version { found, supported: FORMAT_VERSION });
     }
-    let (mut batches, mut at) = (Vec::new(), HEAD);
-    while let Some(frame) = bytes.get(at..at + FRAME) {
-        if frame_sum(&frame[..8], at as u64) != number(&frame[8..]) {
-            return Err(StoreError::Corrupt { at: at as u64 });
+    let (mut batches, mut offset) = (Vec::new(), HEADER_BYTES);
+    while let Some(frame) = bytes.get(offset..offset + FRAME_HEADER_BYTES) {
+        if frame_checksum(&frame[..8], offset as u64) != read_u32(&frame[8..]) {
+            return Err(StoreError::Corrupt { offset: offset as u64 });
         }
-        let end = at + FRAME + number(&frame[..4]) as usize;
-        let Some(batch) = bytes.get(at + FRAME..end) else { break };
-        if crc32c::crc32c(batch) != number(&frame[4..8]) {
-            return Err(StoreError::Corrupt { at: at as u64 });
+        let end = offset + FRAME_HEADER_BYTES + read_u32(&frame[..4]) as usize;
+        let Some(batch) = bytes.get(offset + FRAME_HEADER_BYTES..end) else { break };
+        if crc32c::crc32c(batch) != read_u32(&frame[4..8]) {
+            return Err(StoreError::Corrupt { offset: offset as u64 });
         }
         batches.push(batch.to_vec());
-        at = end;
+        offset = end;
     }
-    Ok((batches, at))
+    Ok((batches, offset))
 }
--- a/crates/consensus/src/store/memory.rs
+++ b/crates/consensus/src/store/memory.rs
@@ -1,72 +1,75 @@
-//! A medium in memory, whose faults can be set: for tests and models.
+//! A medium in memory with faults that can be injected, for tests and models.
 
 use super::journal::{Journal, Medium};
 use super::{MemoryStore, StoreError};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+/// The content of a simulated disk and its faults.
 #[derive(Debug, Default)]
-struct Inner {
+struct DiskState {
     written: Vec<u8>,
-    durable: usize,
+    /// The number of bytes that survive a crash.
+    durable_length: usize,
     in_use: bool,
     sync_fails: bool,
+    /// The capacity in bytes, `None` for unlimited.
     capacity: Option<usize>,
     syncs: u64,
 }
 
-/// What a journal in memory is written on; it outlives the store, as a disk outlives a process.
+/// A simulated disk. It outlives the store on it, as a disk outlives a process.
 #[derive(Debug, Clone, Default)]
-pub struct MemoryDisk(Arc<Mutex<Inner>>);
+pub struct MemoryDisk(Arc<Mutex<DiskState>>);
 
 impl MemoryDisk {
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens the journal that is on it, or begins one.
+    /// Opens the journal on the disk, or creates one.
     ///
     /// # Errors
-    /// When it is in use, or what is on it isn't a sound journal.
+    /// If the disk is in use, or contains something else than a valid journal.
     pub fn open(&self) -> Result<MemoryStore, StoreError> {
-        Journal::on(MemoryMedium::open(self)?)
+        Journal::with_medium(MemoryMedium::open(self)?)
     }
 
-    /// All bytes that were written.
+    /// All written bytes.
     #[must_use]
     pub fn bytes(&self) -> Vec<u8> {
-        self.inner().written.clone()
+        self.state().written.clone()
     }
 
-    /// Puts other bytes in place of what is there, durable.
+    /// Replaces the content durably.
     pub fn set_bytes(&self, bytes: Vec<u8>) {
-        let mut inner = self.inner();
-        inner.durable = bytes.len();
-        inner.written = bytes;
+        let mut state = self.state();
+        state.durable_length = bytes.len();
+        state.written = bytes;
     }
 
-    /// Loses what isn't durable, but for the first `kept` bytes of it.
-    pub fn crash(&self, kept: usize) {
-        let mut inner = self.inner();
-        let length = inner.written.len().min(inner.durable.saturating_add(kept));
-        inner.written.truncate(length);
-        inner.durable = length;
+    /// Simulates a crash: removes all bytes that are not durable, except for the first `kept_bytes` of them.
+    pub fn crash(&self, kept_bytes: usize) {
+        let mut state = self.state();
+        let length = state.written.len().min(state.durable_length.saturating_add(kept_bytes));
+        state.written.truncate(length);
+        state.durable_length = length;
     }
 
-    /// Whether syncs fail from now on.
+    /// Sets whether syncs fail from now on.
     pub fn fail_syncs(&self, fail: bool) {
-        self.inner().sync_fails = fail;
+        self.state().sync_fails = fail;
     }
 
-    /// How many bytes it takes, `None` for any number.
+    /// Sets the capacity in bytes; `None` for unlimited.
     pub fn set_capacity(&self, bytes: Option<usize>) {
-        self.inner().capacity = bytes;
+        self.state().capacity = bytes;
     }
 
-    /// Syncs and replacements so far.
+    /// The number of syncs and replacements so far.
     #[must_use]
     pub fn syncs(&self) -> u64 {
-        self.inner().syncs
+        self.state().syncs
     }
 }
 
@@ -75,29 +78,29 @@
 pub struct MemoryMedium(MemoryDisk);
 
 impl MemoryMedium {
-    /// Takes a platter into use.
+    /// Takes a disk into use.
     ///
     /// # Errors
-    /// When it is in use.
-    pub fn open(platter: &MemoryDisk) -> Result<MemoryMedium, StoreError> {
-        let mut inner = platter.inner();
-        if inner.in_use {
+    /// If the disk is already in use.
+    pub fn open(disk: &MemoryDisk) -> Result<MemoryMedium, StoreError> {
+        let mut state = disk.state();
+        if state.in_use {
             return Err(StoreError::Locked);
         }
-        inner.in_use = true;
-        drop(inner);
-        Ok(MemoryMedium(platter.clone()))
+        state.in_use = true;
+        drop(state);
+        Ok(MemoryMedium(disk.clone()))
     }
 }
 
 impl Drop for MemoryMedium {
     fn drop(&mut self) {
-        self.0.inner().in_use = false;
+        self.0.state().in_use = false;
     }
 }
 
-fn full() -> io::Error {
-    io::Error::new(io::ErrorKind::StorageFull, "no room")
+fn disk_full_error() -> io::Error {
+    io::Error::new(io::ErrorKind::StorageFull, "the simulated disk is full")
 }
 
 impl Medium for MemoryMedium {
@@ -106,41 +109,42 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let mut inner = self.0.inner();
-        let room = inner.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(inner.written.len()));
-        inner.written.extend(&bytes[..bytes.len().min(room)]);
-        if bytes.len() > room { Err(full()) } else { Ok(()) }
+        let mut state = self.0.state();
+        let available =
+            state.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(state.written.len()));
+        state.written.extend(&bytes[..bytes.len().min(available)]);
+        if bytes.len() > available { Err(disk_full_error()) } else { Ok(()) }
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        let mut inner = self.0.inner();
+        let mut state = self.0.state();
         let length = usize::try_from(length).unwrap_or(usize::MAX);
-        inner.written.truncate(length);
-        inner.durable = inner.durable.min(length);
+        state.written.truncate(length);
+        state.durable_length = state.durable_length.min(length);
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let mut inner = self.0.inner();
-        if inner.sync_fails {
-            return Err(io::Error::other("the sync failed"));
+        let mut state = self.0.state();
+        if state.sync_fails {
+            return Err(io::Error::other("injected sync failure"));
         }
-        inner.syncs += 1;
-        inner.durable = inner.written.len();
+        state.syncs += 1;
+        state.durable_length = state.written.len();
         Ok(())
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let mut inner = self.0.inner();
-        if inner.capacity.is_some_and(|capacity| bytes.len() > capacity) {
-            return Err(full());
+        let mut state = self.0.state();
+        if state.capacity.is_some_and(|capacity| bytes.len() > capacity) {
+            return Err(disk_full_error());
         }
-        if inner.sync_fails {
-            return Err(io::Error::other("the sync failed"));
+        if state.sync_fails {
+            return Err(io::Error::other("injected sync failure"));
         }
-        inner.syncs += 1;
-        inner.written = bytes.to_vec();
-        inner.durable = bytes.len();
+        state.syncs += 1;
+        state.written = bytes.to_vec();
+        state.durable_length = bytes.len();
         Ok(())
     }
 }
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -1,8 +1,9 @@
-//! Where a voter keeps its word.
+//! The durable storage of a voter.
 //!
-//! A [`Store`] is a journal of batches: what [`Store::append`] returned from is there after a crash, whole and in
-//! order; what it didn't return from is there whole or not at all. [`Journal`] makes one of any [`Medium`]:
-//! [`FileMedium`] is a folder on a disk, [`MemoryMedium`] a [`MemoryDisk`] in memory whose faults can be set.
+//! A [`Store`] is a journal of batches. A batch that was appended successfully survives a crash completely and in
+//! order. A batch whose append did not return survives completely or not at all. [`Journal`] implements a store on
+//! any [`Medium`]: [`FileMedium`] is a directory on a disk, and [`MemoryMedium`] is a simulated disk, [`MemoryDisk`],
+//! whose faults can be injected.
 
 mod file;
 mod journal;
@@ -14,67 +15,72 @@
 
 use std::io;
 
-/// A journal in a folder.
+/// A journal in a directory.
 pub type FileStore = Journal<FileMedium>;
 /// A journal in memory.
 pub type MemoryStore = Journal<MemoryMedium>;
 
-/// What is wrong with a store.
+/// An error of a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk said no.
-    #[error("{what}: {error}")]
+    /// An I/O operation failed.
+    #[error("{operation}: {error}")]
     Disk {
-        /// What was tried.
-        what: &'static str,
-        /// What the disk said.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The I/O error.
         error: io::Error,
     },
-    /// What is there isn't what was written. Nothing was touched.
-    #[error("the store is damaged at byte {at}; it was left as it is")]
+    /// The content differs from the data that was written. It was left untouched.
+    #[error("the store is damaged at byte {offset}; it was left unchanged")]
     Corrupt {
-        /// Where, from the beginning.
-        at: u64,
+        /// The offset of the damage in bytes.
+        offset: u64,
     },
-    /// Written by a program of another version. Nothing was touched.
-    #[error("the store has version {found}, this program knows {known}; it was left as it is")]
+    /// The store was written by a program with another version of the format. It was left untouched.
+    #[error(
+        "the store has format version {found}, but this program supports {supported}; it was left unchanged"
+    )]
     Version {
-        /// What the store says.
+        /// The version of the store.
         found: u32,
-        /// What this program writes.
-        known: u32,
+        /// The version that this program supports.
+        supported: u32,
     },
-    /// Another process (or another store of this one) has it.
+    /// Another process, or another store in this process, uses the store.
     #[error("the store is in use")]
     Locked,
-    /// A batch is larger than a journal takes.
-    #[error("a batch of {0} bytes is larger than a store takes")]
+    /// A batch exceeds the maximum size of a batch.
+    #[error("a batch of {0} bytes exceeds the maximum size of a batch")]
     TooLarge(usize),
-    /// It failed before, and what is durable isn't known; it takes nothing more until it is opened anew.
-    #[error("the store failed before and takes nothing more until it is opened anew")]
-    Refusing,
+    /// An earlier write failed, so that it is unknown which data is durable. The store accepts nothing more until it
+    /// is reopened.
+    #[error("the store failed earlier and accepts nothing until it is reopened")]
+    Failed,
 }
 
 /// A journal of batches.
 pub trait Store {
-    /// All batches since the last [`Store::replace`], in order.
+    /// Returns all batches since the last [`Store::replace`], in order.
     ///
     /// # Errors
-    /// When the disk fails or what is there is damaged.
+    /// If the disk fails or the content is damaged.
     fn load(&mut self) -> Result<Vec<Vec<u8>>, StoreError>;
 
-    /// Adds a batch; it is durable at the return.
+    /// Appends a batch. It is durable on return.
     ///
     /// # Errors
-    /// When the disk fails; the batch is then there or not, and the store takes nothing more until opened anew.
+    /// If the disk fails. The batch may or may not be stored, and the store accepts nothing more until it is
+    /// reopened.
     fn append(&mut self, batch: &[u8]) -> Result<(), StoreError>;
 
-    /// Puts a batch in place of all that is there: one or the other survives a crash, and at the return it is this.
+    /// Replaces the complete content by a batch. The batch is durable on return. After a crash the content is either
+    /// the old or the new one.
     ///
     /// # Errors
-    /// As [`Store::append`].
+    /// As for [`Store::append`].
     fn replace(&mut self, batch: &[u8]) -> Result<(), StoreError>;
 
-    /// Bytes it takes up.
+    /// The size of the store in bytes.
     fn bytes(&self) -> u64;
 }
--- a/crates/consensus/src/tighten.rs
+++ b/crates/consensus/src/tighten.rs
@@ -1,24 +1,24 @@
-//! What tightens counts at once, what widens waits.
+//! Tightening of a configuration: keys that tighten a limit may come into force before all others.
 
 use crate::document::Document;
 use serde_json::Value;
 use std::cmp::Ordering;
 
-/// Which direction tightens a key.
+/// The direction in which a change of a key tightens it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TighteningDirection {
-    /// A smaller number (or `false`) is tighter.
+    /// A smaller number, or `false`, is tighter.
     Less,
-    /// A greater number (or `true`) is tighter.
+    /// A greater number, or `true`, is tighter.
     Greater,
-    /// Any change waits.
+    /// No change of the key counts as tightening.
     Unknown,
 }
 
-/// `from`, with those keys of `to` that tighten it. A key that only one of them has, and values that aren't two
-/// numbers or two booleans, stay as they are in `from`.
+/// Returns `from` with the keys of `to` that tighten it. A key stays as it is in `from` if it is missing in one of
+/// the documents, or if its values are not two numbers or two booleans.
 #[must_use]
-pub fn tightened(
+pub fn apply_tightening(
     from: &Document,
     to: &Document,
     tightening_direction: &dyn Fn(&str) -> TighteningDirection,
@@ -38,6 +38,7 @@
     whole
 }
 
+/// Compares two numbers or two booleans. Integers are compared exactly.
 fn compare(a: &Value, b: &Value) -> Option<Ordering> {
     match (a, b) {
         (Value::Bool(a), Value::Bool(b)) => Some(a.cmp(b)),
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,16 +1,16 @@
-//! One of the control machines that decide together.
+//! A voter: one of the control machines that agree on the configuration.
 
 use crate::change::{Change, Version};
 use crate::digest::Digest;
-use crate::document::{Check, Document, ValidationError, change_within_bounds, within_bounds};
+use crate::document::{Check, Document, ValidationError, check_change_limits, check_document_limits};
 use crate::envelope::Envelope;
 use crate::history::History;
 use crate::limits;
-use crate::log_storage::{LogStorage, Shared};
+use crate::log_storage::{LogStorage, SharedLogStorage};
 use crate::outcome::{CatchUp, Outcome, ProposeError, StartError, Ticket, VoterId};
 use crate::proposals::Proposals;
 use crate::replica::{Entry, ProposalId, Snapshot};
-use crate::sessions::{Own, Sessions, Verdict};
+use crate::sessions::{Sessions, Verdict, VoterStatus};
 use crate::store::{Store, StoreError};
 use omnipaxos::messages::Message;
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
@@ -20,38 +20,44 @@
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// One of the control machines. Every call that may write returns after the store did; messages that depend on it
-/// are in [`Voter::take_outgoing`] only then.
+/// A voter. Every method that may write returns only after the store has written. Messages that depend on a write are
+/// returned by [`Voter::take_outgoing`] only after it.
 pub struct Voter<S: Store> {
     id: VoterId,
-    omni: OmniPaxos<Entry, Shared<S>>,
-    log_storage: Shared<S>,
+    omni_paxos: OmniPaxos<Entry, SharedLogStorage<S>>,
+    log_storage: SharedLogStorage<S>,
     sessions: Sessions,
+    /// The number of this start of the voter.
     start: u64,
     tick: u64,
+    /// Whether the store failed or the consensus library panicked.
     stopped: bool,
     history: History,
     proposals: Proposals,
+    /// Encoded messages for the host to send.
     outgoing: VecDeque<(VoterId, Vec<u8>)>,
-    log_bound: usize,
-    surpassed_since: Option<u64>,
+    /// The number of decided entries at which the log is compacted.
+    max_log_entries: usize,
+    /// The tick since which a peer is known to have a higher ballot than this leader.
+    higher_ballot_since: Option<u64>,
 }
 
 impl<S: Store> Voter<S> {
-    /// A voter with what its store holds. `seed` decides who is preferred when several could lead at once.
+    /// Creates a voter with the content of its store. `seed` determines which voter is preferred if several could
+    /// become the leader at once.
     ///
     /// # Errors
-    /// When the numbers don't fit or the store fails.
+    /// If the voter numbers are invalid or the store fails.
     pub fn new(id: VoterId, voters: &[VoterId], store: S, seed: u64) -> Result<Voter<S>, StartError> {
         let mut nodes = voters.to_vec();
         nodes.sort_unstable();
         nodes.dedup();
-        let within = nodes.iter().all(|node| (1..=limits::MAX_VOTERS as u64).contains(node));
-        if nodes.len() != voters.len() || nodes.len() < 3 || !within || !nodes.contains(&id) {
+        let ids_valid = nodes.iter().all(|node| (1..=limits::MAX_VOTERS as u64).contains(node));
+        if nodes.len() != voters.len() || nodes.len() < 3 || !ids_valid || !nodes.contains(&id) {
             return Err(StartError::Voters);
         }
-        let log_storage = Shared::new(LogStorage::open(store)?);
-        let start = log_storage.lock().image.start;
+        let log_storage = SharedLogStorage::new(LogStorage::open(store)?);
+        let start = log_storage.lock().state.start;
         let peers: Vec<VoterId> = nodes.iter().copied().filter(|node| *node != id).collect();
         let cluster = ClusterConfig { configuration_id: 1, nodes, flexible_quorum: None };
         let server = ServerConfig {
@@ -62,11 +68,12 @@
             leader_priority: u32::try_from((seed ^ id.wrapping_mul(0x9e37_79b9)) % 1_000).unwrap_or(0),
             ..ServerConfig::default()
         };
-        let omni = cluster.build_for_server(server, log_storage.clone()).map_err(|_| StartError::Voters)?;
-        let history = History::of(&log_storage.lock().image);
+        let omni_paxos =
+            cluster.build_for_server(server, log_storage.clone()).map_err(|_| StartError::Voters)?;
+        let history = History::from_log(&log_storage.lock().state);
         let mut voter = Voter {
             id,
-            omni,
+            omni_paxos,
             log_storage,
             sessions: Sessions::new(start, peers.into_iter()),
             start,
@@ -75,86 +82,90 @@
             history,
             proposals: Proposals::default(),
             outgoing: VecDeque::new(),
-            log_bound: limits::MAX_DECIDED_LOG_ENTRIES,
-            surpassed_since: None,
+            max_log_entries: limits::MAX_DECIDED_LOG_ENTRIES,
+            higher_ballot_since: None,
         };
-        voter.step(&[]);
-        if voter.stopped { Err(StartError::Store(StoreError::Refusing)) } else { Ok(voter) }
+        voter.process_results(&[]);
+        if voter.stopped { Err(StartError::Store(StoreError::Failed)) } else { Ok(voter) }
     }
 
-    /// This voter's number.
+    /// The number of this voter.
     #[must_use]
     pub fn id(&self) -> VoterId {
         self.id
     }
 
-    /// Folds the log into a snapshot whenever it has this many decided entries, 1 to [`limits::MAX_DECIDED_LOG_ENTRIES`].
+    /// Sets the number of decided entries at which the log is compacted into a snapshot, clamped to 1 to
+    /// [`limits::MAX_DECIDED_LOG_ENTRIES`].
     pub fn set_max_log_entries(&mut self, entries: usize) {
-        self.log_bound = entries.clamp(1, limits::MAX_DECIDED_LOG_ENTRIES);
+        self.max_log_entries = entries.clamp(1, limits::MAX_DECIDED_LOG_ENTRIES);
     }
 
-    /// To be called at a steady pace, say every 100 ms. When the host was held up for longer, it tells the ticks that
-    /// it missed by [`Voter::skip_ticks`] before it does anything else.
+    /// Advances the time by one tick. The host calls this at a steady interval, such as 100 ms. A host that was
+    /// delayed for longer first reports the missed ticks by [`Voter::skip_ticks`].
     pub fn tick(&mut self) {
         self.tick += 1;
-        self.sessions.pass(1);
-        self.guarded(&[], OmniPaxos::tick);
-        self.pass_promises();
-        self.proposals.give_up(self.tick);
+        self.sessions.advance_ticks(1);
+        self.run_consensus(&[], OmniPaxos::tick);
+        self.outbid_higher_ballots();
+        self.proposals.expire(self.tick);
         let seq = self.decided_version().seq;
-        if self.proposals.is_due_again(seq, self.tick) && self.has_majority() {
-            self.send(seq);
+        if self.proposals.needs_resend(seq, self.tick) && self.has_majority() {
+            self.send_first(seq);
         }
     }
 
-    /// Ticks that the host missed: what was heard before counts as that much older.
+    /// Records ticks that the host missed. All received messages count as that many ticks older.
     pub fn skip_ticks(&mut self, ticks: u64) {
         self.tick = self.tick.saturating_add(ticks);
-        self.sessions.pass(ticks);
+        self.sessions.advance_ticks(ticks);
     }
 
-    /// Takes in a message of another voter. What isn't one is dropped.
+    /// Processes a message of another voter. Invalid messages are ignored.
     pub fn receive(&mut self, from: VoterId, bytes: &[u8]) {
         let Some(envelope) = Envelope::decode(bytes, from, self.id).filter(|_| !self.stopped) else { return };
-        let verdict = self.sessions.judge(from, &envelope);
+        let verdict = self.sessions.classify(from, &envelope);
         if verdict == Verdict::Drop {
             return;
         }
-        let mut body = envelope.body;
-        let passing = match &mut body {
+        let mut message = envelope.message;
+        let skipped_entries = match &mut message {
             Message::SequencePaxos(message) => match &mut message.msg {
-                PaxosMsg::ProposalForward(entries) if !self.takes_forwarded(entries) => return,
-                PaxosMsg::AcceptSync(sync) if sync.log_sync.sync_idx < self.omni.get_decided_idx() => return,
-                PaxosMsg::AcceptSync(sync) => self.complete(&mut sync.log_sync),
+                PaxosMsg::ProposalForward(entries) if !self.accepts_forwarded(entries) => return,
+                PaxosMsg::AcceptSync(sync) if sync.log_sync.sync_idx < self.omni_paxos.get_decided_idx() => {
+                    return;
+                }
+                PaxosMsg::AcceptSync(sync) => self.complete_snapshot(&mut sync.log_sync),
                 PaxosMsg::Promise(promise) => {
-                    if self.leads() {
-                        // A leader that accepts takes no log from a late promise; it may have moved on since.
+                    if self.is_leader() {
+                        // A leader that already accepts entries must not adopt a log from a late promise, since its
+                        // own log may have advanced since.
                         promise.log_sync = None;
                     }
-                    promise.log_sync.as_mut().map_or(Some(vec![]), |sync| self.complete(sync))
+                    promise.log_sync.as_mut().map_or(Some(vec![]), |sync| self.complete_snapshot(sync))
                 }
                 _ => Some(vec![]),
             },
             Message::BLE(_) => Some(vec![]),
         };
-        let Some(passing) = passing else { return };
-        self.guarded(&passing, |omni| {
-            omni.handle_incoming(body);
-            if verdict == Verdict::TakeAndReconnect {
-                omni.reconnected(from);
+        let Some(skipped_entries) = skipped_entries else { return };
+        self.run_consensus(&skipped_entries, |omni_paxos| {
+            omni_paxos.handle_incoming(message);
+            if verdict == Verdict::AcceptAndReconnect {
+                omni_paxos.reconnected(from);
             }
         });
     }
 
-    /// Messages to send, with their receivers. Each may get lost.
+    /// Returns the messages to send, with their receivers. Each of them may be lost.
     pub fn take_outgoing(&mut self) -> Vec<(VoterId, Vec<u8>)> {
         self.outgoing.drain(..).collect()
     }
 
-    /// Proposes a change. What becomes of it is told by [`Voter::take_outcomes`].
+    /// Proposes a change. [`Voter::take_outcomes`] returns its outcome.
     ///
     /// # Errors
-    /// Why not; nothing has changed then.
+    /// The reason why the change was not accepted as a proposal. Nothing has changed then.
     pub fn propose(&mut self, change: Change, check: &dyn Check) -> Result<Ticket, ProposeError> {
         if self.stopped {
             return Err(ProposeError::Stopped);
@@ -165,17 +176,18 @@
         if self.proposals.is_full() {
             return Err(ProposeError::TooManyProposals);
         }
-        usable(&change, &self.decided_version().document, check).map_err(ProposeError::Invalid)?;
+        validate_change(&change, &self.decided_version().document, check).map_err(ProposeError::Invalid)?;
         let ticket = self.proposals.push(change, self.tick);
         self.send_next(check);
         Ok(ticket)
     }
 
-    /// What became of proposals since the last call. To be called after each message and tick: it is here that a
-    /// change that was overtaken by another is checked on the version that is there now, and sent again or void.
+    /// Returns the outcomes of proposals since the last call. The host calls this after each message and each tick,
+    /// because it also validates a proposal that another change has overtaken against the current version, and sends
+    /// it again or finishes it as invalidated.
     pub fn take_outcomes(&mut self, check: &dyn Check) -> Vec<(Ticket, Outcome)> {
         self.send_next(check);
-        self.proposals.take_settled()
+        self.proposals.take_outcomes()
     }
 
     /// The latest version that this voter knows to be decided.
@@ -184,145 +196,161 @@
         self.history.version()
     }
 
-    /// Whether this voter is in touch with a majority and has all that its leader had when last heard. It turns
-    /// false at most [`limits::MAJORITY_LOSS_TICKS`] after the voter was cut off.
+    /// Returns whether this voter is in contact with a majority and has all entries that its leader had at the last
+    /// contact. Becomes false at most [`limits::MAJORITY_LOSS_TICKS`] ticks after the voter was disconnected.
     #[must_use]
     pub fn has_majority(&self) -> bool {
         if self.stopped {
             return false;
         }
-        match self.omni.get_current_leader() {
-            Some((leader, true)) if leader == self.id => self.sessions.is_followed(self.id),
-            Some((leader, true)) => self.sessions.follows(leader, self.omni.get_decided_idx()),
+        match self.omni_paxos.get_current_leader() {
+            Some((leader, true)) if leader == self.id => self.sessions.has_follower_majority(self.id),
+            Some((leader, true)) => {
+                self.sessions.is_up_to_date_with(leader, self.omni_paxos.get_decided_idx())
+            }
             _ => false,
         }
     }
 
-    /// Whom this voter follows, itself included.
+    /// The voter that this one follows, which may be this one itself.
     #[must_use]
     pub fn leader(&self) -> Option<VoterId> {
-        self.omni.get_current_leader().map(|(leader, _)| leader)
+        self.omni_paxos.get_current_leader().map(|(leader, _)| leader)
     }
 
-    /// Whether the store failed (or the log broke); such a voter is silent until it is started anew.
+    /// Returns whether the voter has stopped because its store failed or its log became inconsistent. A stopped voter
+    /// sends nothing until it is restarted.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// Entries of the log that aren't folded into its snapshot.
+    /// The number of log entries that are not compacted into the snapshot.
     #[must_use]
     pub fn log_entries(&self) -> usize {
-        self.log_storage.lock().image.log.len()
+        self.log_storage.lock().state.log.len()
     }
 
-    /// Bytes that the store takes up.
+    /// The size of the store in bytes.
     #[must_use]
     pub fn store_bytes(&self) -> u64 {
-        self.log_storage.lock().bytes()
+        self.log_storage.lock().store_bytes()
     }
 
-    /// What a learner lacks that has this version.
+    /// The changes that a learner with this version lacks.
     #[must_use]
     pub fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp {
         self.history.changes_since(seq, digest)
     }
 
-    /// Makes the snapshot of a message whole when it holds only the entries since this voter's decided ones, and
-    /// returns these; none when they don't follow them. The consensus crate would merge them itself, but onto a
-    /// snapshot of its log up to the other's decided index, of which this voter may have less, or other entries.
-    fn complete(&self, sync: &mut LogSync<Entry>) -> Option<Vec<Entry>> {
-        let Some(SnapshotType::Delta(Snapshot::Since(entries))) = &mut sync.decided_snapshot else {
+    /// Completes the snapshot of a message that contains only the entries since this voter's decided ones, and
+    /// returns these entries. Returns `None` if they do not directly follow this voter's decided entries. The
+    /// consensus library would merge the entries itself, but onto a snapshot of its own log up to the sender's
+    /// decided index; up to there, this voter may have fewer or other entries.
+    fn complete_snapshot(&self, sync: &mut LogSync<Entry>) -> Option<Vec<Entry>> {
+        let Some(SnapshotType::Delta(Snapshot::Entries(entries))) = &mut sync.decided_snapshot else {
             return Some(vec![]);
         };
         let entries = std::mem::take(entries);
-        if self.omni.get_decided_idx().checked_add(entries.len()) != Some(sync.sync_idx) {
+        if self.omni_paxos.get_decided_idx().checked_add(entries.len()) != Some(sync.sync_idx) {
             return None;
         }
         let mut replica = self.history.replica().clone();
-        replica.take_all(&entries);
-        sync.decided_snapshot = Some(SnapshotType::Complete(Snapshot::Whole(replica)));
+        replica.apply_all(&entries);
+        sync.decided_snapshot = Some(SnapshotType::Complete(Snapshot::Full(replica)));
         Some(entries)
     }
 
-    /// A leader takes a forwarded proposal only within the bounds.
-    fn takes_forwarded(&self, entries: &[Entry]) -> bool {
-        let bytes: usize = entries.iter().map(|entry| entry.change.bytes()).sum();
-        self.leads() && self.undecided() < limits::MAX_UNDECIDED_ENTRIES && bytes <= limits::MAX_CHANGE_BYTES
+    /// Returns whether to accept a forwarded proposal: only as the leader, and only within the limits.
+    fn accepts_forwarded(&self, entries: &[Entry]) -> bool {
+        let bytes: usize = entries.iter().map(|entry| entry.change.size_bytes()).sum();
+        self.is_leader()
+            && self.undecided_entries() < limits::MAX_UNDECIDED_ENTRIES
+            && bytes <= limits::MAX_CHANGE_BYTES
     }
 
-    /// A voter that promised more than this leader's ballot, to one that went away before a majority did, waits for
-    /// that one for ever: the consensus crate changes no leader that a majority follows. So the leader, when it sees
-    /// such a voter for long enough, leads on by a higher ballot.
-    fn pass_promises(&mut self) {
-        let surpassed =
-            !self.stopped && self.leads() && self.sessions.is_surpassed(self.id, self.omni.get_promise());
-        if !surpassed {
-            self.surpassed_since = None;
+    /// Starts a higher ballot if a peer has long known a higher one. A peer that promised a higher ballot than this
+    /// leader's to a voter that disappeared before it had a majority would wait for that voter forever, since the
+    /// consensus library does not replace a leader that a majority follows.
+    fn outbid_higher_ballots(&mut self) {
+        let higher_ballot_known = !self.stopped
+            && self.is_leader()
+            && self.sessions.is_higher_ballot_known(self.id, self.omni_paxos.get_promise());
+        if !higher_ballot_known {
+            self.higher_ballot_since = None;
             return;
         }
-        if self.tick - *self.surpassed_since.get_or_insert(self.tick) >= limits::HIGHER_BALLOT_DELAY_TICKS {
-            self.surpassed_since = None;
-            self.guarded(&[], OmniPaxos::try_become_leader);
+        if self.tick - *self.higher_ballot_since.get_or_insert(self.tick) >= limits::HIGHER_BALLOT_DELAY_TICKS
+        {
+            self.higher_ballot_since = None;
+            self.run_consensus(&[], OmniPaxos::try_become_leader);
         }
     }
 
-    /// Whether this voter leads and has got so far as to accept entries.
-    fn leads(&self) -> bool {
-        self.omni.get_current_leader() == Some((self.id, true))
+    /// Returns whether this voter is the leader and ready to accept entries.
+    fn is_leader(&self) -> bool {
+        self.omni_paxos.get_current_leader() == Some((self.id, true))
     }
 
-    fn undecided(&self) -> usize {
-        self.omni.get_accepted_idx().saturating_sub(self.omni.get_decided_idx())
+    /// The number of entries that are accepted but not decided.
+    fn undecided_entries(&self) -> usize {
+        self.omni_paxos.get_accepted_idx().saturating_sub(self.omni_paxos.get_decided_idx())
     }
 
-    /// Lets the consensus crate act, then takes up what came of it. The crate panics on what it holds for impossible:
-    /// a voter to which that happens is silent from then on.
-    fn guarded(&mut self, passing: &[Entry], act: impl FnOnce(&mut OmniPaxos<Entry, Shared<S>>)) {
+    /// Runs the consensus library and processes its results. The library panics on states that it considers
+    /// impossible. The voter stops after such a panic.
+    fn run_consensus(
+        &mut self,
+        skipped_entries: &[Entry],
+        action: impl FnOnce(&mut OmniPaxos<Entry, SharedLogStorage<S>>),
+    ) {
         if self.stopped {
             return;
         }
-        if catch_unwind(AssertUnwindSafe(|| act(&mut self.omni))).is_err() {
+        if catch_unwind(AssertUnwindSafe(|| action(&mut self.omni_paxos))).is_err() {
             self.stop();
             return;
         }
-        self.step(passing);
+        self.process_results(skipped_entries);
     }
 
+    /// Stops the voter for good. Pending proposals end with an unknown outcome.
     fn stop(&mut self) {
         self.stopped = true;
         self.outgoing.clear();
-        self.proposals.give_up_all();
+        self.proposals.abandon_all();
     }
 
-    fn step(&mut self, passing: &[Entry]) {
+    /// Commits the writes of the consensus library, applies decided entries, compacts the log if necessary, and
+    /// queues the outgoing messages.
+    fn process_results(&mut self, skipped_entries: &[Entry]) {
         if self.log_storage.lock().commit().is_err() {
             self.stop();
             return;
         }
-        self.history.advance(&self.log_storage.lock().image, passing);
+        self.history.advance(&self.log_storage.lock().state, skipped_entries);
         let first = self.proposals.first().map(|first| self.proposal_id(first.ticket));
-        if let Some(mark) = first.and_then(|id| self.history.replica().made_by(id)) {
-            self.proposals.agree(mark);
+        if let Some(version) = first.and_then(|id| self.history.replica().version_made_by(id)) {
+            self.proposals.finish_decided(version);
         }
-        if self.log_storage.lock().is_long(self.log_bound) {
-            let folded = self.omni.snapshot(None, true).is_ok();
-            if !folded || self.log_storage.lock().commit().is_err() {
+        if self.log_storage.lock().needs_compaction(self.max_log_entries) {
+            let compacted = self.omni_paxos.snapshot(None, true).is_ok();
+            if !compacted || self.log_storage.lock().commit().is_err() {
                 self.stop();
                 return;
             }
         }
         let mut messages = Vec::new();
-        self.omni.take_outgoing_messages(&mut messages);
-        let leader = self.omni.get_current_leader();
-        let own = Own {
-            decided: self.omni.get_decided_idx(),
+        self.omni_paxos.take_outgoing_messages(&mut messages);
+        let leader = self.omni_paxos.get_current_leader();
+        let status = VoterStatus {
+            decided_index: self.omni_paxos.get_decided_idx(),
             leader: leader.filter(|(_, accepts)| *accepts).map_or(0, |(leader, _)| leader),
-            leads: self.leads() && self.sessions.is_followed(self.id),
+            has_majority: self.is_leader() && self.sessions.has_follower_majority(self.id),
         };
         for message in messages {
-            let wrapped = self.sessions.wrap(message, own);
-            if let Some((to, bytes)) = wrapped.and_then(|(to, envelope)| Some((to, envelope.encode()?))) {
+            let envelope = self.sessions.wrap(message, status);
+            if let Some((to, bytes)) = envelope.and_then(|(to, envelope)| Some((to, envelope.encode()?))) {
                 self.outgoing.push_back((to, bytes));
             }
         }
@@ -331,40 +359,44 @@
         }
     }
 
+    /// The identifier of a proposal across all voters.
     fn proposal_id(&self, ticket: Ticket) -> ProposalId {
         ProposalId { voter: self.id, start: self.start, number: ticket.0 }
     }
 
-    /// Sends the first proposal when it wasn't yet, or when it was overtaken and can't count any more.
+    /// Sends the first proposal if it has not been sent on the current version: it is new, or another change has
+    /// overtaken it.
     fn send_next(&mut self, check: &dyn Check) {
         while !self.stopped && self.has_majority() {
             let version = self.history.version();
-            let Some(first) = self.proposals.unsent(version.seq) else { return };
-            match usable(&first.change, &version.document, check) {
-                Ok(()) => return self.send(version.seq),
-                Err(fault) => self.proposals.settle(Outcome::Invalidated(fault)),
+            let Some(first) = self.proposals.first_unsent(version.seq) else { return };
+            match validate_change(&first.change, &version.document, check) {
+                Ok(()) => return self.send_first(version.seq),
+                Err(error) => self.proposals.finish_first(Outcome::Invalidated(error)),
             }
         }
     }
 
-    /// Sends the first proposal, unless too many entries wait for a decision.
-    fn send(&mut self, base: u64) {
-        let Some(first) = self.proposals.first().filter(|_| self.undecided() < limits::MAX_UNDECIDED_ENTRIES)
+    /// Sends the first proposal, unless there are too many undecided entries.
+    fn send_first(&mut self, base: u64) {
+        let Some(first) =
+            self.proposals.first().filter(|_| self.undecided_entries() < limits::MAX_UNDECIDED_ENTRIES)
         else {
             return;
         };
         let entry = Entry { id: self.proposal_id(first.ticket), base, change: first.change.clone() };
         self.proposals.mark_sent(base, self.tick);
-        self.guarded(&[], |omni| {
-            // Refused only while the five are being changed, which isn't done.
-            let _ = omni.append(entry);
+        self.run_consensus(&[], |omni_paxos| {
+            // Rejected only during a change of the set of voters, which is never started.
+            let _ = omni_paxos.append(entry);
         });
     }
 }
 
-fn usable(change: &Change, document: &Document, check: &dyn Check) -> Result<(), ValidationError> {
-    change_within_bounds(change)?;
-    let whole = change.on(document);
-    within_bounds(&whole)?;
-    check.check(&whole)
+/// Validates a change against the limits of this crate and against the program's check.
+fn validate_change(change: &Change, document: &Document, check: &dyn Check) -> Result<(), ValidationError> {
+    check_change_limits(change)?;
+    let result = change.applied_to(document);
+    check_document_limits(&result)?;
+    check.check(&result)
 }
--- a/crates/consensus/tests/changes.rs
+++ b/crates/consensus/tests/changes.rs
@@ -1,6 +1,6 @@
 //! Changes, deltas and digests.
 
-use calicolb_consensus::{Change, Delta, Digest, Document, Mismatch, NotADigest, Version};
+use calicolb_consensus::{Change, Delta, DeltaError, Digest, Document, ParseDigestError, Version};
 use serde_json::{Value, json};
 
 fn document(pairs: &[(&str, Value)]) -> Document {
@@ -13,17 +13,23 @@
     let change = Change { set: document(&[("a", json!(3))]), unset: ["b".to_owned()].into() };
     let to = Version::new(5, document(&[("a", json!(3))]));
     let delta = Delta { seq: 5, from_digest: from.digest, digest: to.digest, change };
-    assert_eq!(from.with(&delta), Ok(to.clone()));
-    assert_eq!(from.with(&Delta { seq: 6, ..delta.clone() }), Err(Mismatch::Start));
-    assert_eq!(from.with(&Delta { from_digest: to.digest, ..delta.clone() }), Err(Mismatch::Start));
-    assert_eq!(from.with(&Delta { digest: from.digest, ..delta.clone() }), Err(Mismatch::End));
-    assert_eq!(to.with(&delta), Err(Mismatch::Start));
+    assert_eq!(from.with_delta(&delta), Ok(to.clone()));
+    assert_eq!(from.with_delta(&Delta { seq: 6, ..delta.clone() }), Err(DeltaError::WrongBase));
+    assert_eq!(
+        from.with_delta(&Delta { from_digest: to.digest, ..delta.clone() }),
+        Err(DeltaError::WrongBase)
+    );
+    assert_eq!(
+        from.with_delta(&Delta { digest: from.digest, ..delta.clone() }),
+        Err(DeltaError::WrongDigest)
+    );
+    assert_eq!(to.with_delta(&delta), Err(DeltaError::WrongBase));
 }
 
 #[test]
 fn what_is_set_and_unset_is_set() {
     let change = Change { set: document(&[("a", json!(1))]), unset: ["a".to_owned()].into() };
-    assert_eq!(change.on(&document(&[("a", json!(0))])), document(&[("a", json!(1))]));
+    assert_eq!(change.applied_to(&document(&[("a", json!(0))])), document(&[("a", json!(1))]));
 }
 
 #[test]
@@ -38,7 +44,7 @@
     let [first, second] = texts.map(|text| Digest::of(&serde_json::from_str(text).unwrap()));
     assert_eq!(first, second, "whatever the order of nested keys");
     for text in ["", "44", &"g".repeat(64), &format!("{empty}0"), &empty.replace('4', "é")] {
-        assert_eq!(text.parse::<Digest>(), Err(NotADigest), "{text}");
+        assert_eq!(text.parse::<Digest>(), Err(ParseDigestError), "{text}");
     }
 }
 
@@ -51,6 +57,6 @@
         let version = Version::new(1, document(&[("a", value)]));
         let text = serde_json::to_string(&version).unwrap();
         let back: Version = serde_json::from_str(&text).unwrap();
-        assert!(back == version && back.is_sound(), "{text}");
+        assert!(back == version && back.digest_matches(), "{text}");
     }
 }
--- a/crates/consensus/tests/contract/mod.rs
+++ b/crates/consensus/tests/contract/mod.rs
@@ -204,7 +204,7 @@
     bytes[12..16].copy_from_slice(&sum.to_le_bytes());
     rig.set_bytes(&bytes);
     let error = rig.open().map(drop).err();
-    ensure(matches!(error, Some(StoreError::Version { found: 2, known: 1 })), || {
+    ensure(matches!(error, Some(StoreError::Version { found: 2, supported: 1 })), || {
         format!("opened: {error:?}")
     })?;
     ensure(rig.bytes() == bytes, || "it was touched".to_owned())
--- a/crates/consensus/tests/failures.rs
+++ b/crates/consensus/tests/failures.rs
@@ -12,7 +12,7 @@
     let mut five = Five::ready();
     let leader = five.voters[&1].leader().unwrap();
     for id in [leader % 5 + 1, leader] {
-        five.platters[&id].fail_syncs(true);
+        five.disks[&id].fail_syncs(true);
         let voter = five.voters.get_mut(&leader).unwrap();
         let ticket = voter.propose(set([("k".to_owned(), json!(id))]), &anything);
         five.deliver();
@@ -26,7 +26,7 @@
             let told = voter.take_outcomes(&anything);
             assert_eq!(told.last(), Some(&(ticket.unwrap(), Outcome::Unknown { sent: true })));
         }
-        five.platters[&id].fail_syncs(false);
+        five.disks[&id].fail_syncs(false);
     }
     let others: Vec<u64> = IDS.into_iter().filter(|id| !five.voters[id].is_stopped()).collect();
     assert_eq!(others.len(), 3);
@@ -34,7 +34,7 @@
     let seq = five.change(others[0], set([("three".to_owned(), json!(1))]));
     for id in [leader % 5 + 1, leader] {
         five.voters.remove(&id);
-        five.platters[&id].crash(0);
+        five.disks[&id].crash(0);
         five.start(id);
     }
     five.until(|five| five.voters.values().all(|v| v.has_majority() && v.decided_version().seq >= seq));
@@ -129,12 +129,12 @@
     let mut five = Five::ready();
     five.change(1, set([("k".to_owned(), json!(1))]));
     five.voters.remove(&2);
-    let mut bytes = five.platters[&2].bytes();
+    let mut bytes = five.disks[&2].bytes();
     let last = bytes.len() - 3;
     bytes[last] ^= 1;
-    five.platters[&2].set_bytes(bytes.clone());
-    assert!(matches!(five.platters[&2].open(), Err(StoreError::Corrupt { .. })));
-    assert_eq!(five.platters[&2].bytes(), bytes, "untouched");
+    five.disks[&2].set_bytes(bytes.clone());
+    assert!(matches!(five.disks[&2].open(), Err(StoreError::Corrupt { .. })));
+    assert_eq!(five.disks[&2].bytes(), bytes, "untouched");
 }
 
 #[test]
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -3,8 +3,8 @@
 //! same in every run.
 
 use calicolb_consensus::{
-    Ask, Change, Check, Delta, Document, Learner, Rules, TighteningDirection, UpdateOutcome, ValidationError,
-    Version, VersionInForce, VersionMessage, tightened,
+    Change, Check, Delta, Document, Learner, Rules, TighteningDirection, UpdateOutcome, ValidationError,
+    Version, VersionId, VersionInForce, VersionMessage, apply_tightening,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
@@ -42,7 +42,7 @@
     let mut chain = Chain { versions: vec![Version::default()], deltas: Vec::new() };
     for change in changes {
         let from = chain.versions.last().unwrap();
-        let next = Version::new(from.seq + 1, change.on(&from.document));
+        let next = Version::new(from.seq + 1, change.applied_to(&from.document));
         chain.deltas.push(Delta { seq: next.seq, from_digest: from.digest, digest: next.digest, change });
         chain.versions.push(next);
     }
@@ -108,7 +108,7 @@
             (VersionMessage::Delta { delta, majority: true }, Defect::AnyDelta) => {
                 let in_force = self.in_force(now);
                 if delta.seq > in_force.seq {
-                    let document = Arc::new(delta.change.on(&in_force.document));
+                    let document = Arc::new(delta.change.applied_to(&in_force.document));
                     let (seq, digest) = (delta.seq, delta.digest);
                     self.force = Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
                 }
@@ -178,8 +178,9 @@
             && version.seq > before.tightened_to.unwrap_or(before.seq)
             && version.seq > after.seq
         {
-            let least =
-                tightened(&before.document, &version.document, &|key| Limits.tightening_direction(key));
+            let least = apply_tightening(&before.document, &version.document, &|key| {
+                Limits.tightening_direction(key)
+            });
             prop_assert!(*after.document == least, "what tightens didn't count at once");
         }
         prop_assert!(heard.is_some() || subject.is_behind(now), "level without a majority");
@@ -188,7 +189,7 @@
     prop_assert!(subject.is_behind(silent.max(now)), "not behind in silence");
     // Messages flow again: the changes since what it holds, or the whole.
     let last = chain.versions.last().unwrap();
-    let Ask { seq, .. } = subject.learner.held_version();
+    let VersionId { seq, .. } = subject.learner.held_version();
     if tolds.len().is_multiple_of(2) {
         for delta in &chain.deltas[seq as usize..] {
             subject.receive(now, VersionMessage::Delta { delta: delta.clone(), majority: true });
@@ -320,9 +321,12 @@
     assert_eq!(receive(&mut learner, 0), UpdateOutcome::InForce);
     let fault = ValidationError { key: "a".into(), reason: "13".into() };
     assert_eq!(receive(&mut learner, 1), UpdateOutcome::Invalid(fault.clone()));
-    assert_eq!((learner.in_force(1).seq, learner.fault(), learner.is_behind(1)), (1, Some(&fault), true));
+    assert_eq!(
+        (learner.in_force(1).seq, learner.validation_error(), learner.is_behind(1)),
+        (1, Some(&fault), true)
+    );
     assert_eq!(receive(&mut learner, 2), UpdateOutcome::InForce);
-    assert_eq!((learner.in_force(2).seq, learner.fault(), learner.is_behind(2)), (3, None, false));
+    assert_eq!((learner.in_force(2).seq, learner.validation_error(), learner.is_behind(2)), (3, None, false));
 }
 
 #[test]
@@ -335,7 +339,7 @@
         learner.receive(1, VersionMessage::Delta { delta: chain.deltas[2].clone(), majority: true }),
         UpdateOutcome::Gap
     );
-    let ask = Ask { seq: 1, digest: chain.versions[1].digest };
+    let ask = VersionId { seq: 1, digest: chain.versions[1].digest };
     let times: Vec<u64> =
         (1..20_000_000).step_by(10_000).filter(|now| learner.next_request(*now) == Some(ask)).collect();
     let pauses: Vec<u64> = times.windows(2).map(|pair| pair[1] - pair[0]).collect();
--- a/crates/consensus/tests/limits.rs
+++ b/crates/consensus/tests/limits.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use calicolb_consensus::{
-    CatchUp, Change, Digest, Document, Outcome, ProposeError, Ticket, Version, Voter, limits, size,
+    CatchUp, Change, Digest, Document, Outcome, ProposeError, Ticket, Version, Voter, document_size, limits,
 };
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -18,9 +18,9 @@
     let mut document: Document =
         (0..100).map(|i| (format!("k{i}"), json!("x".repeat(bytes / 101)))).collect();
     document.insert("last".into(), json!(""));
-    let lacking = bytes - size(&document);
+    let lacking = bytes - document_size(&document);
     document.insert("last".into(), json!("x".repeat(lacking)));
-    assert_eq!(size(&document), bytes);
+    assert_eq!(document_size(&document), bytes);
     document
 }
 
@@ -28,28 +28,37 @@
 fn a_document_has_its_bounds() {
     let mut five = Five::ready();
     let keys = |count: usize| set((0..count).map(|i| (format!("k{i}"), json!(i))));
-    assert_eq!(five.refusal(keys(limits::MAX_KEYS + 1)).reason, "4097 keys, 4096 at most");
+    assert_eq!(
+        five.refusal(keys(limits::MAX_KEYS + 1)).reason,
+        "the document has 4097 keys, but the maximum is 4096"
+    );
     five.change(1, keys(limits::MAX_KEYS));
-    assert_eq!(five.refusal(set([("one.more".into(), json!(1))])).reason, "4097 keys, 4096 at most");
+    assert_eq!(
+        five.refusal(set([("one.more".into(), json!(1))])).reason,
+        "the document has 4097 keys, but the maximum is 4096"
+    );
     let all = Change {
         unset: five.voters[&1].decided_version().document.keys().cloned().collect(),
         ..Change::default()
     };
     five.change(2, all);
     let key = |bytes| set([("k".repeat(bytes), json!(1))]);
-    assert_eq!(five.refusal(key(limits::MAX_KEY_BYTES + 1)).reason, "a key has 1 to 256 bytes, not 257");
-    assert_eq!(five.refusal(key(0)).reason, "a key has 1 to 256 bytes, not 0");
+    assert_eq!(
+        five.refusal(key(limits::MAX_KEY_BYTES + 1)).reason,
+        "a key must have 1 to 256 bytes, but has 257"
+    );
+    assert_eq!(five.refusal(key(0)).reason, "a key must have 1 to 256 bytes, but has 0");
     five.change(3, key(limits::MAX_KEY_BYTES));
     assert_eq!(
         five.refusal(set([("n".into(), nested(limits::MAX_NESTING_DEPTH + 1))])).reason,
-        "nested more than 16 deep"
+        "the value is nested more than 16 levels deep"
     );
     five.change(4, set([("n".into(), nested(limits::MAX_NESTING_DEPTH))]));
     let long = Change { unset: ["k".repeat(limits::MAX_KEY_BYTES + 1)].into(), ..Change::default() };
-    assert_eq!(five.refusal(long).reason, "a key has 256 bytes at most, not 257");
+    assert_eq!(five.refusal(long).reason, "a key must have at most 256 bytes, but has 257");
     let many = (0..3_000).map(|i| format!("{i:0>200}")).collect();
     let many = five.refusal(Change { unset: many, ..Change::default() });
-    assert!(many.reason.ends_with("524288 at most"), "{many}");
+    assert!(many.reason.ends_with("but the maximum is 524288"), "{many}");
     let agreed = five.voters[&1].decided_version().clone();
     assert!(five.voters.values().all(|voter| *voter.decided_version() == agreed));
 }
@@ -60,7 +69,7 @@
     let too_large = of_bytes(limits::MAX_DOCUMENT_BYTES + 1);
     assert_eq!(
         five.refusal(Change { set: too_large, ..Change::default() }).reason,
-        "262145 bytes, 262144 at most"
+        "the document has 262145 bytes, but the maximum is 262144"
     );
     five.voters.values_mut().for_each(|voter| voter.set_max_log_entries(1));
     five.voters.remove(&5);
@@ -197,6 +206,6 @@
         let stopped: Vec<_> =
             five.voters.values().filter(|voter| voter.is_stopped()).map(Voter::id).collect();
         assert!(stopped.is_empty(), "{stopped:?} stopped in round {i}");
-        assert!(five.voters.values().all(|voter| voter.decided_version().is_sound()));
+        assert!(five.voters.values().all(|voter| voter.decided_version().digest_matches()));
     }
 }
--- a/crates/consensus/tests/net/claims.rs
+++ b/crates/consensus/tests/net/claims.rs
@@ -67,7 +67,7 @@
     }
 
     fn link(&mut self, who: u64, version: &Version) -> Result<(), Broken> {
-        if !version.is_sound() {
+        if !version.digest_matches() {
             return broken(HALF, format!("voter {who}: version {} isn't what its digest says", version.seq));
         }
         let entry = (version.digest, version.document.clone());
@@ -93,7 +93,7 @@
             let document = self.chain[&seq].1.clone();
             let mut at = Version { seq, digest, document };
             for delta in deltas {
-                at = at.with(&delta).map_err(|error| Broken { claim: HALF, how: error.to_string() })?;
+                at = at.with_delta(&delta).map_err(|error| Broken { claim: HALF, how: error.to_string() })?;
                 self.link(id, &at)?;
             }
         }
--- a/crates/consensus/tests/net/parts.rs
+++ b/crates/consensus/tests/net/parts.rs
@@ -2,8 +2,9 @@
 
 use calicolb_consensus::store::{MemoryDisk, MemoryStore, Store, StoreError};
 use calicolb_consensus::{
-    Ask, CatchUp, Change, Check, Delta, Digest, Document, Learner, Outcome, ProposeError, Rules, Ticket,
-    TighteningDirection, UpdateOutcome, ValidationError, Version, VersionInForce, VersionMessage, Voter,
+    CatchUp, Change, Check, Delta, Digest, Document, Learner, Outcome, ProposeError, Rules, Ticket,
+    TighteningDirection, UpdateOutcome, ValidationError, Version, VersionId, VersionInForce, VersionMessage,
+    Voter,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -82,14 +83,14 @@
     fn receive(&mut self, now: u64, message: VersionMessage) -> UpdateOutcome;
     fn in_force(&self, now: u64) -> Arc<VersionInForce>;
     fn is_behind(&self, now: u64) -> bool;
-    fn next_request(&mut self, now: u64) -> Option<Ask>;
-    fn held_version(&self) -> Ask;
+    fn next_request(&mut self, now: u64) -> Option<VersionId>;
+    fn held_version(&self) -> VersionId;
 }
 
 /// A store that may say it has synced when it hasn't.
 pub struct SimStore {
     store: MemoryStore,
-    platter: MemoryDisk,
+    disk: MemoryDisk,
     lazy: Option<(usize, Vec<u8>)>,
 }
 
@@ -112,8 +113,8 @@
     fn drop(&mut self) {
         // What was never synced goes with the process: the disk is as it was when it started, some bytes added.
         if let Some((kept, before)) = self.lazy.take() {
-            let bytes = self.platter.bytes();
-            self.platter.set_bytes(bytes[..bytes.len().min(before.len() + kept)].to_vec());
+            let bytes = self.disk.bytes();
+            self.disk.set_bytes(bytes[..bytes.len().min(before.len() + kept)].to_vec());
         }
     }
 }
@@ -128,12 +129,12 @@
 }
 
 impl Part {
-    pub fn start(id: u64, platter: &MemoryDisk, seed: u64, defect: Defect) -> Box<dyn Control> {
+    pub fn start(id: u64, disk: &MemoryDisk, seed: u64, defect: Defect) -> Box<dyn Control> {
         if defect == Defect::StoreForgets {
-            platter.set_bytes(Vec::new());
+            disk.set_bytes(Vec::new());
         }
-        let lazy = (defect == Defect::StoreNeverSyncs).then(|| (40, platter.bytes()));
-        let store = SimStore { store: platter.open().unwrap(), platter: platter.clone(), lazy };
+        let lazy = (defect == Defect::StoreNeverSyncs).then(|| (40, disk.bytes()));
+        let store = SimStore { store: disk.open().unwrap(), disk: disk.clone(), lazy };
         let voter = Voter::new(id, &IDS, store, seed).unwrap();
         Box::new(Part { voter, defect, ticks: 0, had_majority: false, early: VecDeque::new(), shown: None })
     }
@@ -162,7 +163,7 @@
     fn propose(&mut self, change: Change) -> Result<Ticket, ProposeError> {
         let ticket = self.voter.propose(change.clone(), &Usable)?;
         let now = self.decided_version();
-        let next = Version::new(now.seq + 1, change.on(&now.document));
+        let next = Version::new(now.seq + 1, change.applied_to(&now.document));
         if self.defect == Defect::AcknowledgesEarly {
             self.early.push_back((ticket, Outcome::Decided { seq: next.seq, digest: next.digest }));
         }
@@ -236,7 +237,7 @@
     fn receive(&mut self, now: u64, message: VersionMessage) -> UpdateOutcome {
         match (self.defect, message) {
             (Defect::AnyDelta, VersionMessage::Delta { delta, .. }) if delta.seq > self.loose.seq => {
-                let version = Version::new(delta.seq, delta.change.on(&self.loose.document));
+                let version = Version::new(delta.seq, delta.change.applied_to(&self.loose.document));
                 self.force(now, version)
             }
             (Defect::KeyByKey, VersionMessage::Delta { delta, .. })
@@ -246,14 +247,14 @@
                 let mut first = delta.change.clone();
                 first.set = first.set.into_iter().take(1).collect();
                 first.unset.clear();
-                let document = Arc::new(first.on(&self.loose.document));
+                let document = Arc::new(first.applied_to(&self.loose.document));
                 let version = Version { seq: delta.seq, digest: delta.digest, document };
                 self.half = Some(delta);
                 self.force(now, version)
             }
             (Defect::KeyByKey, message) => {
                 if let Some(delta) = self.half.take() {
-                    let version = Version::new(delta.seq, delta.change.on(&self.loose.document));
+                    let version = Version::new(delta.seq, delta.change.applied_to(&self.loose.document));
                     self.force(now, version);
                 }
                 self.learner.receive(now, message)
@@ -282,10 +283,10 @@
     fn is_behind(&self, now: u64) -> bool {
         self.learner.is_behind(now)
     }
-    fn next_request(&mut self, now: u64) -> Option<Ask> {
+    fn next_request(&mut self, now: u64) -> Option<VersionId> {
         if self.defect == Defect::NeverAsks { None } else { self.learner.next_request(now) }
     }
-    fn held_version(&self) -> Ask {
+    fn held_version(&self) -> VersionId {
         self.learner.held_version()
     }
 }
--- a/crates/consensus/tests/net/world.rs
+++ b/crates/consensus/tests/net/world.rs
@@ -5,7 +5,7 @@
 use super::parts::{Control, Defect, Ear, Hearing, IDS, Part};
 use calicolb_consensus::store::MemoryDisk;
 use calicolb_consensus::{
-    Ask, CatchUp, Change, Digest, Document, Outcome, ProposeError, Ticket, VersionMessage,
+    CatchUp, Change, Digest, Document, Outcome, ProposeError, Ticket, VersionId, VersionMessage,
 };
 use fastrand::Rng;
 use serde_json::json;
@@ -24,7 +24,7 @@
 
 enum Parcel {
     Talk { from: u64, bytes: Vec<u8> },
-    Ask { learner: usize, ask: Ask },
+    Ask { learner: usize, ask: VersionId },
     Tell { learner: usize, message: VersionMessage },
 }
 
@@ -36,7 +36,7 @@
 
 pub struct Node {
     pub part: Option<Box<dyn Control>>,
-    platter: MemoryDisk,
+    disk: MemoryDisk,
     pub paused_until: u64,
     watches: BTreeMap<usize, Watch>,
     starts: u64,
@@ -79,9 +79,9 @@
 impl World {
     pub fn new(seed: u64, defect: Defect) -> World {
         let nodes = IDS.map(|id| {
-            let platter = MemoryDisk::default();
-            let part = Some(Part::start(id, &platter, seed, Defect::None));
-            (id, Node { part, platter, paused_until: 0, watches: BTreeMap::new(), starts: 1 })
+            let disk = MemoryDisk::default();
+            let part = Some(Part::start(id, &disk, seed, Defect::None));
+            (id, Node { part, disk, paused_until: 0, watches: BTreeMap::new(), starts: 1 })
         });
         let seat = |i| Seat {
             ear: Ear::listen(SILENCE_MS * 1_000, defect),
@@ -113,7 +113,7 @@
     pub fn start(&mut self, id: u64) {
         let node = self.nodes.get_mut(&id).unwrap();
         node.part = None;
-        node.part = Some(Part::start(id, &node.platter, self.seed, self.defect));
+        node.part = Some(Part::start(id, &node.disk, self.seed, self.defect));
         node.starts += 1;
         node.watches.clear();
         node.paused_until = 0;
@@ -124,7 +124,7 @@
         let kept = self.rng.usize(..60);
         let node = self.nodes.get_mut(&id).unwrap();
         node.part = None;
-        node.platter.crash(kept);
+        node.disk.crash(kept);
         node.watches.clear();
     }
 
--- a/crates/consensus/tests/stores.rs
+++ b/crates/consensus/tests/stores.rs
@@ -132,7 +132,7 @@
     type Store = Journal<Faulty>;
     fn open(&self) -> Result<Journal<Faulty>, StoreError> {
         let file = FileMedium::open(&self.folder.0)?;
-        Journal::on(Faulty { file, folder: self.folder.0.clone(), faults: self.faults.clone() })
+        Journal::with_medium(Faulty { file, folder: self.folder.0.clone(), faults: self.faults.clone() })
     }
     fn bytes(&self) -> Vec<u8> {
         fs::read(journal(&self.folder.0)).unwrap()
@@ -172,11 +172,11 @@
 /// A journal in memory with a defect.
 #[derive(Clone)]
 struct Broken {
-    platter: MemoryDisk,
+    disk: MemoryDisk,
     defect: Defect,
 }
 
-/// A medium with a defect; without the platter's lock when that is the defect.
+/// A medium with a defect; without the disk's lock when that is the defect.
 struct Warped {
     held: Option<MemoryMedium>,
     rig: Broken,
@@ -216,7 +216,7 @@
 
 impl Medium for Warped {
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        let bytes = self.rig.platter.bytes();
+        let bytes = self.rig.disk.bytes();
         Ok(match self.rig.defect {
             Defect::NoSums => resum(bytes, false),
             Defect::KeepsTorn => resum(bytes, true),
@@ -243,7 +243,7 @@
         let Some(held) = &mut self.held else { return Ok(()) };
         let replaced = held.replace(bytes);
         if replaced.is_err() && self.rig.defect == Defect::TearsReplacement {
-            self.rig.platter.set_bytes(bytes[..bytes.len() / 2].to_vec());
+            self.rig.disk.set_bytes(bytes[..bytes.len() / 2].to_vec());
         }
         replaced
     }
@@ -271,27 +271,27 @@
 impl Rig for Broken {
     type Store = Lax;
     fn open(&self) -> Result<Lax, StoreError> {
-        let held = match MemoryMedium::open(&self.platter) {
+        let held = match MemoryMedium::open(&self.disk) {
             Err(StoreError::Locked) if self.defect == Defect::NoLock => None,
             held => Some(held?),
         };
-        let journal = Journal::on(Warped { held, rig: self.clone() })?;
+        let journal = Journal::with_medium(Warped { held, rig: self.clone() })?;
         Ok(Lax { journal, defect: self.defect, failed: false })
     }
     fn bytes(&self) -> Vec<u8> {
-        self.platter.bytes()
+        self.disk.bytes()
     }
     fn set_bytes(&self, bytes: &[u8]) {
-        self.platter.set_bytes(bytes.to_vec());
+        self.disk.set_bytes(bytes.to_vec());
     }
     fn fail_syncs(&self, fail: bool) {
-        self.platter.fail_syncs(fail);
+        self.disk.fail_syncs(fail);
     }
     fn set_capacity(&self, bytes: Option<usize>) {
-        self.platter.set_capacity(bytes);
+        self.disk.set_capacity(bytes);
     }
     fn crash(&self, kept: usize) {
-        self.platter.crash(kept);
+        self.disk.crash(kept);
     }
 }
 
@@ -314,7 +314,7 @@
         let breakers: Vec<_> = defects.iter().filter(|(claim, _)| *claim == name).collect();
         assert!(!breakers.is_empty(), "nothing breaks '{name}'");
         for (_, defect) in breakers {
-            let broken = claim(&Broken { platter: MemoryDisk::default(), defect: *defect });
+            let broken = claim(&Broken { disk: MemoryDisk::default(), defect: *defect });
             assert!(broken.is_err(), "'{name}' doesn't catch {defect:?}");
         }
     }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -18,16 +18,16 @@
 
 /// The voters by their numbers, and what their stores are on.
 pub struct Five {
-    pub platters: BTreeMap<u64, MemoryDisk>,
+    pub disks: BTreeMap<u64, MemoryDisk>,
     pub voters: BTreeMap<u64, Voter<MemoryStore>>,
     pub largest: usize,
 }
 
 impl Five {
     pub fn starting() -> Five {
-        let platters: BTreeMap<u64, MemoryDisk> =
+        let disks: BTreeMap<u64, MemoryDisk> =
             IDS.into_iter().map(|id| (id, MemoryDisk::default())).collect();
-        let mut five = Five { platters, voters: BTreeMap::new(), largest: 0 };
+        let mut five = Five { disks, voters: BTreeMap::new(), largest: 0 };
         IDS.into_iter().for_each(|id| five.start(id));
         five
     }
@@ -39,7 +39,7 @@
     }
 
     pub fn start(&mut self, id: u64) {
-        let store = self.platters[&id].open().unwrap();
+        let store = self.disks[&id].open().unwrap();
         self.voters.insert(id, Voter::new(id, &IDS, store, 7).unwrap());
     }
 
