--- a/crates/agreed/tests/contract/mod.rs
+++ b/crates/consensus/tests/contract/mod.rs
@@ -1,7 +1,7 @@
 //! What every store of a voter has to keep, as claims that any implementation can be put to. A claim returns what
 //! broke it, so that broken implementations can be shown to break it.
 
-use calicolb_agreed::store::{Store, StoreError};
+use calicolb_consensus::store::{Store, StoreError};
 
 /// One kind of store with the disk under it.
 pub trait Rig {
@@ -204,7 +204,7 @@
     bytes[12..16].copy_from_slice(&sum.to_le_bytes());
     rig.set_bytes(&bytes);
     let error = rig.open().map(drop).err();
-    ensure(matches!(error, Some(StoreError::Version { found: 2, known: 1 })), || {
+    ensure(matches!(error, Some(StoreError::Version { found: 2, supported: 1 })), || {
         format!("opened: {error:?}")
     })?;
     ensure(rig.bytes() == bytes, || "it was touched".to_owned())
--- a/crates/simulation/src/config_learner.rs
+++ b/crates/simulation/src/config_learner.rs
@@ -1,5 +1,5 @@
 //! A scheduler's learner of the agreed settings: one watch at one of the control machines, and a report of the version in
-//! force. It follows the rules of the program's own learner; [`calicolb_agreed::Learner`] decides which messages take effect.
+//! force. It follows the rules of the program's own learner; [`calicolb_consensus::Learner`] decides which messages take effect.
 
 use crate::Micros;
 use crate::control_machines::{self, Lines, SharedSettingsCheck};
@@ -8,7 +8,9 @@
 use calicolb::api::Settings;
 use calicolb::settings_update;
 use calicolb::wire::Names;
-use calicolb_agreed::{Change, Delta, Digest, InForce, Learner, Message, Taken, Version};
+use calicolb_consensus::{
+    Change, Delta, Digest, Learner, UpdateOutcome, Version, VersionInForce, VersionMessage,
+};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -36,7 +38,7 @@
     /// Call [`ConfigLearner::timer_fired`] at this time.
     SetTimer(Micros),
     /// Put these settings into force.
-    ApplySettings(Box<Settings>, Arc<InForce>),
+    ApplySettings(Box<Settings>, Arc<VersionInForce>),
 }
 
 /// The learner of one scheduler process.
@@ -57,7 +59,7 @@
     report_deadline: Option<Micros>,
     reported_seq: Option<u64>,
     rng: StdRng,
-    in_force: Arc<InForce>,
+    in_force: Arc<VersionInForce>,
     timer_at: Option<Micros>,
     /// Time at which the last write on the watch arrives.
     last_arrival: Micros,
@@ -71,7 +73,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut machines: Vec<u32> = (0..control_machines::MACHINE_COUNT).collect();
         machines.shuffle(&mut rng);
-        let learner = Learner::with(MAJORITY_TIMEOUT, Box::new(SharedSettingsCheck), first);
+        let learner = Learner::with_version(MAJORITY_TIMEOUT, Box::new(SharedSettingsCheck), first);
         ConfigLearner {
             machines,
             machine_index: 0,
@@ -108,7 +110,7 @@
 
     /// True if a later version may be in force elsewhere.
     pub(crate) fn is_behind(&self, now: Micros) -> bool {
-        self.learner.behind(now)
+        self.learner.is_behind(now)
     }
 
     /// Arrival time of a write that would arrive at `at` on its own: never before that of an earlier write.
@@ -125,7 +127,7 @@
     }
 
     fn open_watch(&mut self, now: Micros) {
-        let known = self.learner.holds();
+        let known = self.learner.held_version();
         self.calls += 1;
         (self.opened_at, self.last_received_at, self.reported_seq, self.retry_at) = (now, None, None, None);
         self.watch_call = Some(self.calls);
@@ -198,21 +200,21 @@
         let message = if line.whole {
             let Some(digest) = digest(&line.digest) else { return false };
             let version = Version { seq, digest, document: Arc::new(line.settings.clone()) };
-            Message::Whole { version, majority }
+            VersionMessage::Full { version, majority }
         } else if line.from.is_empty() {
-            Message::Here { seq, majority }
+            VersionMessage::Current { seq, majority }
         } else {
             let Some((from_digest, digest)) = digest(&line.from).zip(digest(&line.digest)) else {
                 return false;
             };
             let change = Change { set: line.set.clone(), unset: line.unset.clone() };
-            Message::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
+            VersionMessage::Delta { delta: Delta { seq, from_digest, digest, change }, majority }
         };
-        self.learner.hear(now, message) != Taken::Gap
+        self.learner.receive(now, message) != UpdateOutcome::Gap
     }
 
     /// Reads the version in force and passes the settings to the module. Names keep their indices.
-    fn apply_settings(&mut self, in_force: Arc<InForce>) {
+    fn apply_settings(&mut self, in_force: Arc<VersionInForce>) {
         let Ok((new, names)) = control_machines::settings_from_document(&in_force.document) else { return };
         let (rank, instances, zone) = (self.settings.rank, self.settings.instances, self.settings.zone);
         let new = Settings { rank, instances, zone, ..new };
--- a/crates/simulation/src/control_machines.rs
+++ b/crates/simulation/src/control_machines.rs
@@ -6,9 +6,10 @@
 use crate::plan::{MILLI, Plan, SECOND};
 use calicolb::api::Settings;
 use calicolb::wire::{self, Names};
-use calicolb_agreed::store::{MemoryStore, Platter};
-use calicolb_agreed::{
-    Answer, Change, Check, Digest, Document, Fault, Outcome, Refused, Rules, Ticket, Tighter, Voter, VoterId,
+use calicolb_consensus::store::{MemoryDisk, MemoryStore};
+use calicolb_consensus::{
+    CatchUp, Change, Check, Digest, Document, Outcome, ProposeError, Rules, Ticket, TighteningDirection,
+    ValidationError, Voter, VoterId,
 };
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -66,7 +67,7 @@
 }
 
 /// The settings of a document, with the names of classes and tenants by index, parsed by the program's own parser.
-pub(crate) fn settings_from_document(document: &Document) -> Result<(Settings, Names), Fault> {
+pub(crate) fn settings_from_document(document: &Document) -> Result<(Settings, Names), ValidationError> {
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
     let mut by_class: BTreeMap<&str, BTreeMap<&str, &Value>> = BTreeMap::new();
@@ -101,21 +102,22 @@
         root.insert(list.to_owned(), each.collect());
     }
     let text = Value::Object(root).to_string();
-    wire::parse_settings(&text).map_err(|error| Fault { key: String::new(), why: error.to_string() })
+    wire::parse_settings(&text)
+        .map_err(|error| ValidationError { key: String::new(), reason: error.to_string() })
 }
 
 /// Check of a version, and the direction in which each key becomes stricter.
 pub(crate) struct SharedSettingsCheck;
 
 impl Check for SharedSettingsCheck {
-    fn check(&self, document: &Document) -> Result<(), Fault> {
+    fn check(&self, document: &Document) -> Result<(), ValidationError> {
         settings_from_document(document).map(drop)
     }
 }
 
 impl Rules for SharedSettingsCheck {
-    fn tighter(&self, key: &str) -> Tighter {
-        if key.ends_with(".quota_rps") { Tighter::Less } else { Tighter::Unknown }
+    fn tightening_direction(&self, key: &str) -> TighteningDirection {
+        if key.ends_with(".quota_rps") { TighteningDirection::Less } else { TighteningDirection::Unknown }
     }
 }
 
@@ -155,7 +157,7 @@
 pub(crate) struct ControlMachine {
     id: VoterId,
     pub(crate) zone: usize,
-    disk: Platter,
+    disk: MemoryDisk,
     seed: u64,
     pub(crate) voter: Option<Voter<MemoryStore>>,
     watches: BTreeMap<u32, Watch>,
@@ -171,7 +173,7 @@
         let mut machine = ControlMachine {
             id,
             zone,
-            disk: Platter::default(),
+            disk: MemoryDisk::default(),
             seed,
             voter: None,
             watches: BTreeMap::new(),
@@ -203,8 +205,13 @@
     }
 
     /// Proposes a change. Fails if the process is down or the voter refuses the proposal.
-    pub(crate) fn propose(&mut self, now: Micros, index: Option<u32>, change: Change) -> Result<(), Refused> {
-        let Some(voter) = &mut self.voter else { return Err(Refused::Stopped) };
+    pub(crate) fn propose(
+        &mut self,
+        now: Micros,
+        index: Option<u32>,
+        change: Change,
+    ) -> Result<(), ProposeError> {
+        let Some(voter) = &mut self.voter else { return Err(ProposeError::Stopped) };
         let ticket = voter.propose(change, &SharedSettingsCheck)?;
         self.pending.push(PendingChange { ticket, change: index, deadline: now + AGREEMENT_TIMEOUT });
         Ok(())
@@ -212,7 +219,7 @@
 
     /// Proposes the initial settings if this machine is the leader and there are no agreed settings.
     pub(crate) fn propose_initial(&mut self, now: Micros, initial: &Document) {
-        let no_settings = self.voter.as_ref().is_some_and(|voter| voter.agreed().seq == 0);
+        let no_settings = self.voter.as_ref().is_some_and(|voter| voter.decided_version().seq == 0);
         if no_settings && self.is_leader() && self.pending.is_empty() {
             let change = Change { set: initial.clone(), ..Change::default() };
             // A refused proposal is repeated at the next tick.
@@ -224,26 +231,26 @@
     pub(crate) fn process_outcomes(&mut self, now: Micros) -> (Vec<(VoterId, Vec<u8>)>, Vec<ChangeOutcome>) {
         let Some(voter) = &mut self.voter else { return Default::default() };
         let mut outcomes = Vec::new();
-        for (ticket, outcome) in voter.settled(&SharedSettingsCheck) {
+        for (ticket, outcome) in voter.take_outcomes(&SharedSettingsCheck) {
             let Some(at) = self.pending.iter().position(|pending| pending.ticket == ticket) else { continue };
             let change = self.pending.swap_remove(at).change;
             outcomes.push(match outcome {
-                Outcome::Agreed { seq, digest } => ChangeOutcome::Accepted { change, seq, digest },
-                Outcome::Void(_) | Outcome::Unknown { .. } => ChangeOutcome::Failed(change),
+                Outcome::Decided { seq, digest } => ChangeOutcome::Accepted { change, seq, digest },
+                Outcome::Invalidated(_) | Outcome::Unknown { .. } => ChangeOutcome::Failed(change),
             });
         }
         let expired = self.pending.extract_if(.., |pending| pending.deadline <= now);
         outcomes.extend(expired.map(|pending| ChangeOutcome::Failed(pending.change)));
-        (voter.outgoing(), outcomes)
+        (voter.take_outgoing(), outcomes)
     }
 
     /// The versions that the machine has learned since the last call.
     pub(crate) fn learned_versions(&mut self) -> Vec<(u64, Digest)> {
         let Some(voter) = &self.voter else { return Vec::new() };
-        let learned = match voter.since(self.last_seen.0, self.last_seen.1) {
-            Answer::Level | Answer::Ahead => Vec::new(),
-            Answer::Whole(version) => vec![(version.seq, version.digest)],
-            Answer::Deltas(deltas) => deltas.into_iter().map(|delta| (delta.seq, delta.digest)).collect(),
+        let learned = match voter.changes_since(self.last_seen.0, self.last_seen.1) {
+            CatchUp::UpToDate | CatchUp::Ahead => Vec::new(),
+            CatchUp::FullVersion(version) => vec![(version.seq, version.digest)],
+            CatchUp::Deltas(deltas) => deltas.into_iter().map(|delta| (delta.seq, delta.digest)).collect(),
         };
         self.last_seen = learned.last().copied().unwrap_or(self.last_seen);
         learned
@@ -251,7 +258,7 @@
 
     fn status_lines(&self) -> Lines {
         let Some(voter) = &self.voter else { return watch_lines(Vec::new()) };
-        let (agreed, majority) = (voter.agreed(), voter.has_majority());
+        let (agreed, majority) = (voter.decided_version(), voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
         watch_lines(vec![ControlLine { seq: agreed.seq, majority, digest, ..ControlLine::default() }])
     }
@@ -260,9 +267,9 @@
     fn lines_since(&self, seq: u64, digest: Digest) -> Lines {
         let Some(voter) = &self.voter else { return watch_lines(Vec::new()) };
         let majority = voter.has_majority();
-        match voter.since(seq, digest) {
-            Answer::Level | Answer::Ahead => self.status_lines(),
-            Answer::Whole(version) => watch_lines(vec![ControlLine {
+        match voter.changes_since(seq, digest) {
+            CatchUp::UpToDate | CatchUp::Ahead => self.status_lines(),
+            CatchUp::FullVersion(version) => watch_lines(vec![ControlLine {
                 seq: version.seq,
                 whole: true,
                 majority,
@@ -270,8 +277,8 @@
                 settings: (*version.document).clone(),
                 ..ControlLine::default()
             }]),
-            Answer::Deltas(deltas) => {
-                let line = |delta: calicolb_agreed::Delta| ControlLine {
+            CatchUp::Deltas(deltas) => {
+                let line = |delta: calicolb_consensus::Delta| ControlLine {
                     seq: delta.seq,
                     majority,
                     digest: delta.digest.to_string(),
@@ -292,7 +299,7 @@
         call: u64,
         (seq, digest): (u64, Digest),
     ) -> Option<Lines> {
-        let agreed = self.voter.as_ref()?.agreed();
+        let agreed = self.voter.as_ref()?.decided_version();
         let known = if seq > agreed.seq { (seq, digest) } else { (agreed.seq, agreed.digest) };
         let lines = self.lines_since(seq, digest);
         self.watches.insert(process, Watch { call, seq: known.0, digest: known.1 });
@@ -310,7 +317,7 @@
     /// lines.
     pub(crate) fn watch_updates(&mut self) -> Vec<(u32, u64, Rc<Lines>)> {
         let Some(voter) = &self.voter else { return Vec::new() };
-        let agreed = (voter.agreed().seq, voter.agreed().digest);
+        let agreed = (voter.decided_version().seq, voter.decided_version().digest);
         let current = (agreed.0, voter.has_majority());
         if current == self.last_announced {
             return Vec::new();
--- a/crates/simulation/src/simulation/agreement.rs
+++ b/crates/simulation/src/simulation/agreement.rs
@@ -7,7 +7,7 @@
 };
 use crate::recorder::ConfigOutcome;
 use calicolb::wire;
-use calicolb_agreed::{Change, Digest, Document, Version, VoterId};
+use calicolb_consensus::{Change, Digest, Document, Version, VoterId};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -426,7 +426,7 @@
     pub(super) fn config_outcome(&self) -> Option<ConfigOutcome> {
         let agreement = self.agreement.as_ref()?;
         let voters = agreement.machines.iter().filter_map(|machine| machine.voter.as_ref());
-        let last = voters.map(|voter| voter.agreed().seq).max().unwrap_or(0);
+        let last = voters.map(|voter| voter.decided_version().seq).max().unwrap_or(0);
         let known =
             |seq: u64, digest: Digest| seq <= last && agreement.known_versions.get(&seq) == Some(&digest);
         let lost = agreement.accepted.iter().filter(|(seq, digest, _)| !known(*seq, *digest)).count() as u64;
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -4,7 +4,7 @@
 use super::document;
 use super::operator::parse_kdl;
 use super::settings_reader::{DiagnosticCollector, SettingsReader, suggest_name};
-use calicolb_agreed::{Check, Document};
+use calicolb_consensus::{Check, Document};
 use kdl::KdlDocument;
 use miette::{IntoDiagnostic, Report, WrapErr};
 use std::net::SocketAddr;
@@ -137,6 +137,6 @@
     let settings = shared_settings(document::to_document(json.get("settings").unwrap_or(&json)));
     match SharedSettingsCheck.check(&settings) {
         Ok(()) => Some(settings),
-        Err(error) => report(format!("{}: '{}' {}", path.display(), error.key, error.why)),
+        Err(error) => report(format!("{}: '{}' {}", path.display(), error.key, error.reason)),
     }
 }
