--- a/crates/simulation/src/control_machines.rs
+++ b/crates/simulation/src/control_machines.rs
@@ -155,10 +155,13 @@
 pub(crate) struct ControlMachine {
     id: VoterId,
     pub(crate) zone: usize,
+    /// Stable storage, which survives a kill of the process.
     disk: Platter,
     seed: u64,
+    /// The running process, or `None` while it is down.
     pub(crate) voter: Option<Voter<MemoryStore>>,
     watches: BTreeMap<u32, Watch>,
+    /// The version and majority state that the watches were sent last.
     last_announced: (u64, bool),
     pending: Vec<PendingChange>,
     /// The version that [`ControlMachine::learned_versions`] returned last.
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -14,7 +14,7 @@
 pub(crate) const WORKER_SLOTS: u32 = 12;
 /// Accelerators of a worker of the accelerated kind; each is a slot.
 pub(crate) const ACCELERATORS_PER_WORKER: u32 = 8;
-/// Running tasks per worker at the default size: the operators' figures of 3,400 running tasks on 690 workers.
+/// Running tasks per worker at the default size: the operators stated 3,400 running tasks on 690 workers.
 const RUNNING_TASKS_PER_WORKER: f64 = 3_400.0 / 690.0;
 /// Demand of most tenants, as a fraction of their quota.
 const MODERATE_DEMAND: f64 = 0.8;
@@ -111,10 +111,13 @@
     pub(crate) request_share: f64,
     /// Mean work of the class, as a multiple of the mean work of all classes.
     relative_work: f64,
+    /// Constant part of the aim.
     aim: Micros,
+    /// Part of the aim that grows with the work, as a multiple of the work.
     stretch: f64,
     /// Time after which clients of this class give up, in microseconds.
     pub(crate) client_timeout: Micros,
+    /// Worth of an answer after the aim, as a fraction of `worth`.
     late_worth: f64,
     worth: f64,
     priority: i64,
@@ -134,6 +137,7 @@
 /// Time within which an urgent job has to start.
 pub(crate) const URGENT_MAX_START_DELAY: Micros = 7_100 * MILLI;
 
+/// A class with default values for the fields that most classes share.
 const fn class(
     name: &'static str,
     effect: &'static str,
--- a/crates/simulation/src/recorder.rs
+++ b/crates/simulation/src/recorder.rs
@@ -28,13 +28,17 @@
     Watch,
     /// Loads of workers, sent to the schedulers of a cohort.
     PeerLoads,
+    /// First messages of schedulers to others, and the answers.
     Hellos,
+    /// Reports of faults of workers.
     FaultReports,
+    /// Probe requests and responses.
     Probes,
     /// Watches at control machines, and reports of the version in force.
     Config,
 }
 
+/// The control functions by their names in [`Summary::traffic`].
 const FUNCTIONS: [(&str, Function); 7] = [
     ("list", Function::List),
     ("watch", Function::Watch),
@@ -183,10 +187,14 @@
     seconds: usize,
     /// By scheduler and second: index `rank * seconds + second`.
     usage: Vec<SecondUsage>,
+    /// Bytes in and out of discovery, by second.
     discovery_bytes: Vec<u64>,
     traffic: [Traffic; FUNCTIONS.len()],
+    /// Task starts, by bins of [`START_BIN`].
     starts_by_bin: Vec<u32>,
+    /// Number of tasks that run now.
     running: u64,
+    /// Delays from the arrival to the first start of urgent requests, in microseconds.
     urgent_start_delays: Histogram<u64>,
     started_at: Instant,
     /// Time that reading the thread clock itself takes, in nanoseconds.
@@ -200,6 +208,7 @@
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
+/// Processor time of this thread since `started`, in nanoseconds.
 fn since(started: u64) -> u64 {
     thread_nanos().saturating_sub(started)
 }
@@ -353,6 +362,7 @@
     pub(crate) over_quota: f64,
 }
 
+/// Peak resident memory of this process in megabytes, or 0 if the system does not report it.
 fn peak_rss_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/simulation/src/schedulers.rs
+++ b/crates/simulation/src/schedulers.rs
@@ -43,23 +43,45 @@
 /// A deadline of a scheduler process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Deadline {
+    /// A timer that the decision module set.
     DispatcherTimer(TimerId),
+    /// Time limit of an attempt.
     AttemptTimeout(AttemptId),
+    /// Time limit for the acceptance of an attempt by the worker.
     AcceptanceTimeout(AttemptId),
+    /// Time at which a cancelled attempt is cancelled at the worker even if it was not accepted.
     CancelUnaccepted(AttemptId),
+    /// Time at which the cancellation has reached the worker.
     CancelDelivered(AttemptId),
+    /// Next deadline of the list lease.
     DiscoveryWatch,
 }
 
 /// A command of a scheduler process that the simulation executes.
 pub(crate) enum Command {
-    SendAnswer { job: u32, answer: Answer },
-    SendAttempt { id: AttemptId, worker: WorkerId },
-    Cancel { id: AttemptId, worker: WorkerId, accepted: bool },
+    SendAnswer {
+        job: u32,
+        answer: Answer,
+    },
+    SendAttempt {
+        id: AttemptId,
+        worker: WorkerId,
+    },
+    Cancel {
+        id: AttemptId,
+        worker: WorkerId,
+        accepted: bool,
+    },
     SendProbe(WorkerId),
-    SendPeerMessage { to: Option<u32>, body: Vec<u8> },
+    /// Sends a message to the scheduler of rank `to`, or to all others if `to` is `None`.
+    SendPeerMessage {
+        to: Option<u32>,
+        body: Vec<u8>,
+    },
+    /// Opens a watch of the list, or closes it if false.
     SetWatch(bool),
     FetchList,
+    /// Calls [`Process::handle_deadline`] at this time.
     SetDeadline(Micros, Deadline),
 }
 
@@ -104,6 +126,7 @@
     next_request: u32,
     events: VecDeque<Event>,
     commands: Vec<Command>,
+    /// Requests that may be finished; checked at the end of [`Process::process_events`].
     finished_candidates: Vec<u32>,
     max_attempts: u32,
     concurrent_attempts: bool,
@@ -116,6 +139,7 @@
     list_timer_at: Option<Micros>,
     lease_end: Option<Micros>,
     pub(crate) list_version: u64,
+    /// Time at which `list_version` was received.
     list_version_at: Micros,
     /// Number of the watch request that opened the current watch.
     pub(crate) watch_call: Option<u64>,
--- a/crates/simulation/src/simulation/agreement.rs
+++ b/crates/simulation/src/simulation/agreement.rs
@@ -310,7 +310,7 @@
                     let at = self.now + self.links.delay(machine_zone, zone);
                     self.schedule_agreement(at, AgreementEvent::WatchFailed { process, call });
                 }
-                // The operators propose the unanswered changes of this machine again, at another machine.
+                // The operators propose the unanswered changes of this machine again, each at a random machine.
                 let open: Vec<u32> = self
                     .requested_changes
                     .extract_if(.., |requested| requested.1 == machine)
@@ -361,7 +361,7 @@
     fn process_machine(&mut self, index: u32) {
         let now = self.now;
         let Some(machine) = self.machine_mut(index) else { return };
-        let (messages, settled) = machine.process_outcomes(now);
+        let (messages, outcomes) = machine.process_outcomes(now);
         let (updates, zone, learned) = (machine.watch_updates(), machine.zone, machine.learned_versions());
         if let Some(agreement) = &mut self.agreement {
             for (seq, digest) in learned {
@@ -381,8 +381,8 @@
             }
         }
         self.write_lines(index, updates);
-        for settled in settled {
-            match settled {
+        for outcome in outcomes {
+            match outcome {
                 ChangeOutcome::Accepted { change, seq, digest } => {
                     if let (Some(change), Some(agreement)) = (change, &mut self.agreement) {
                         agreement.accepted.push((seq, digest, now));
