--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -24,7 +24,9 @@
 pub(crate) struct Job {
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
+    /// Work in microseconds at speed 1.
     pub(crate) work: f64,
+    /// Hint of the client about the work, in microseconds at speed 1.
     pub(crate) hint: f64,
     pub(crate) slots: u32,
     /// Rank of the scheduler that the client sends the request to.
@@ -70,12 +72,14 @@
 /// Random source of requests, with the distributions that the plan sets.
 pub(crate) struct Clients {
     rng: StdRng,
+    /// Times between requests, in microseconds.
     request_gaps: Exp<f64>,
     classes: WeightedAliasIndex<f64>,
     tenants: Option<WeightedAliasIndex<f64>>,
     schedulers: WeightedAliasIndex<f64>,
     slots: WeightedAliasIndex<f64>,
     accelerators: WeightedAliasIndex<f64>,
+    /// Mean work of each class, in microseconds at speed 1.
     work: Vec<f64>,
 }
 
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -27,6 +27,7 @@
     pub(crate) origin: Origin,
     pub(crate) job: u32,
     pub(crate) slots: u32,
+    /// Work in microseconds at speed 1.
     pub(crate) work: f64,
     /// Start and planned end, once the task has started.
     pub(crate) run_span: Option<(Micros, Micros)>,
@@ -51,9 +52,11 @@
     pub(crate) kind: usize,
     pub(crate) cell: u32,
     pub(crate) slots: u32,
+    /// Speed at full capacity: work done per microsecond.
     pub(crate) speed: f64,
     pub(crate) state: WorkerState,
     pub(crate) draining: bool,
+    /// Start of the process, or `None` if it started long before the simulation.
     pub(crate) started_at: Option<Micros>,
     /// Number of the process at this worker. Events that were scheduled for an earlier process are ignored.
     pub(crate) incarnation: u32,
@@ -89,7 +92,10 @@
 
     /// Fraction of the full capacity, which grows linearly from [`START_CAPACITY`] to 1 within [`WARM_UP_TIME`] of the start.
     pub(crate) fn capacity_fraction(&self, now: Micros) -> f64 {
-        let age = self.started_at.map_or(WARM_UP_TIME, |born| now.saturating_sub(born)).min(WARM_UP_TIME);
+        let age = self
+            .started_at
+            .map_or(WARM_UP_TIME, |started_at| now.saturating_sub(started_at))
+            .min(WARM_UP_TIME);
         START_CAPACITY + (1.0 - START_CAPACITY) * age as f64 / WARM_UP_TIME as f64
     }
 
