--- a/crates/consensus/examples/figures.rs
+++ b/crates/consensus/examples/figures.rs
@@ -1,5 +1,5 @@
-//! Prints what agreement costs: `cargo run --release -p calicolb-consensus --example figures [FOLDER]`. The folder is
-//! where the stores are put whose syncs are timed; a temporary one by default.
+//! Measures the cost of the agreement: `cargo run --release -p calicolb-consensus --example figures [DIRECTORY]`. The
+//! stores whose syncs are measured are created in the directory, by default a temporary one.
 
 use calicolb_consensus::store::{FileStore, MemoryDisk, MemoryStore, Store};
 use calicolb_consensus::{
@@ -11,51 +11,51 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-const IDS: [u64; 5] = [1, 2, 3, 4, 5];
-/// Ticks a second that the figures are for.
+const VOTER_IDS: [u64; 5] = [1, 2, 3, 4, 5];
+/// The number of ticks per second that the results are computed for.
 const TICKS_PER_S: u64 = 10;
 
-type Outcomes<T> = Result<T, Box<dyn Error>>;
+type MeasurementResult<T> = Result<T, Box<dyn Error>>;
 
-fn anything(_: &Document) -> Result<(), ValidationError> {
+fn accept_all(_: &Document) -> Result<(), ValidationError> {
     Ok(())
 }
 
-struct Five<S: Store> {
+struct Cluster<S: Store> {
     voters: BTreeMap<u64, Voter<S>>,
     messages: u64,
     bytes: u64,
-    worst: BTreeMap<u64, u64>,
+    bytes_by_voter: BTreeMap<u64, u64>,
 }
 
-impl<S: Store> Five<S> {
-    fn new(store: impl Fn(u64) -> Outcomes<S>, seed: u64) -> Outcomes<Five<S>> {
+impl<S: Store> Cluster<S> {
+    fn new(store: impl Fn(u64) -> MeasurementResult<S>, seed: u64) -> MeasurementResult<Cluster<S>> {
         let mut voters = BTreeMap::new();
-        for id in IDS {
-            voters.insert(id, Voter::new(id, &IDS, store(id)?, seed)?);
+        for id in VOTER_IDS {
+            voters.insert(id, Voter::new(id, &VOTER_IDS, store(id)?, seed)?);
         }
-        let mut five = Five { voters, messages: 0, bytes: 0, worst: BTreeMap::new() };
+        let mut cluster = Cluster { voters, messages: 0, bytes: 0, bytes_by_voter: BTreeMap::new() };
         for _ in 0..100 {
-            five.tick();
+            cluster.tick();
         }
-        Ok(five)
+        Ok(cluster)
     }
 
     fn deliver(&mut self) {
         loop {
-            let taken = self
+            let outgoing = self
                 .voters
                 .iter_mut()
-                .flat_map(|(id, v)| v.take_outgoing().into_iter().map(move |m| (*id, m)));
-            let messages: Vec<_> = taken.collect();
+                .flat_map(|(id, voter)| voter.take_outgoing().into_iter().map(move |message| (*id, message)));
+            let messages: Vec<_> = outgoing.collect();
             if messages.is_empty() {
                 return;
             }
             for (from, (to, bytes)) in messages {
                 self.messages += 1;
                 self.bytes += bytes.len() as u64;
-                *self.worst.entry(from).or_default() += bytes.len() as u64;
-                *self.worst.entry(to).or_default() += bytes.len() as u64;
+                *self.bytes_by_voter.entry(from).or_default() += bytes.len() as u64;
+                *self.bytes_by_voter.entry(to).or_default() += bytes.len() as u64;
                 if let Some(voter) = self.voters.get_mut(&to) {
                     voter.receive(from, &bytes);
                 }
@@ -69,29 +69,33 @@
     }
 
     fn leader(&self) -> Option<u64> {
-        self.voters.values().find(|v| v.has_majority() && v.leader() == Some(v.id())).map(Voter::id)
+        self.voters
+            .values()
+            .find(|voter| voter.has_majority() && voter.leader() == Some(voter.id()))
+            .map(Voter::id)
     }
 
     fn clear(&mut self) {
         (self.messages, self.bytes) = (0, 0);
-        self.worst.clear();
+        self.bytes_by_voter.clear();
     }
 
-    /// Proposes and delivers until it is agreed.
-    fn change(&mut self, at: u64, change: Change) -> Outcomes<u64> {
-        let voter = self.voters.get_mut(&at).ok_or("no such voter")?;
-        voter.propose(change, &anything)?;
+    /// Proposes a change and delivers messages until it is decided.
+    fn change(&mut self, voter_id: u64, change: Change) -> MeasurementResult<u64> {
+        let voter = self.voters.get_mut(&voter_id).ok_or("no such voter")?;
+        voter.propose(change, &accept_all)?;
         self.deliver();
-        let told = self.voters.get_mut(&at).map(|voter| voter.take_outcomes(&anything)).unwrap_or_default();
-        match told.first() {
+        let outcomes =
+            self.voters.get_mut(&voter_id).map(|voter| voter.take_outcomes(&accept_all)).unwrap_or_default();
+        match outcomes.first() {
             Some((_, Outcome::Decided { seq, .. })) => Ok(*seq),
             other => Err(format!("{other:?}").into()),
         }
     }
 }
 
-/// 240 tenants with 10 keys each, 3 classes with 10.
-fn letter() -> Document {
+/// A document of 240 tenants with 10 keys each and 3 classes with 10 keys each.
+fn sample_document() -> Document {
     let mut document = Document::new();
     for i in 0..240 {
         for key in 0..10 {
@@ -106,7 +110,7 @@
     document
 }
 
-fn one(i: u64) -> Change {
+fn set_tenant_key(i: u64) -> Change {
     let key = format!("tenants.team-{:03}.setting_3_per_s", i % 240);
     Change { set: Document::from([(key, json!(i))]), ..Change::default() }
 }
@@ -117,7 +121,7 @@
     line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).unwrap_or(0)
 }
 
-fn memory(_: u64) -> Outcomes<MemoryStore> {
+fn memory_store(_: u64) -> MeasurementResult<MemoryStore> {
     Ok(MemoryDisk::default().open()?)
 }
 
@@ -125,102 +129,108 @@
     times.iter().sum::<Duration>().as_secs_f64() * 1e6 / times.len() as f64
 }
 
-fn row(what: &str, figure: impl std::fmt::Display) {
-    println!("{what:<74} {figure}");
+fn print_row(what: &str, value: impl std::fmt::Display) {
+    println!("{what:<74} {value}");
 }
 
-fn main() -> Outcomes<()> {
-    println!("five voters, {TICKS_PER_S} ticks a second, messages without HTTP heads");
-    document()?;
-    traffic()?;
-    deaths()?;
-    stores()
+fn main() -> MeasurementResult<()> {
+    println!("five voters, {TICKS_PER_S} ticks per second, message sizes without HTTP headers");
+    measure_document()?;
+    measure_traffic()?;
+    measure_failover()?;
+    measure_stores()
 }
 
-fn document() -> Outcomes<()> {
+fn measure_document() -> MeasurementResult<()> {
     let before = resident_kib();
-    let copies: Vec<Document> = (0..100).map(|_| letter()).collect();
-    let each = (resident_kib() - before) as f64 / copies.len() as f64;
+    let copies: Vec<Document> = (0..100).map(|_| sample_document()).collect();
+    let kib_per_copy = (resident_kib() - before) as f64 / copies.len() as f64;
     drop(copies);
-    let document = letter();
-    row("document of 240 tenants and 3 classes with 10 keys each: keys", document.len());
-    row("  bytes in canonical form (bound 262144)", document_size(&document));
-    row("  resident KiB each, over 100 copies", format!("{each:.0}"));
+    let document = sample_document();
+    print_row("document of 240 tenants and 3 classes with 10 keys each: keys", document.len());
+    print_row("  bytes in canonical form (maximum 262144)", document_size(&document));
+    print_row("  resident KiB per copy (mean of 100 copies)", format!("{kib_per_copy:.0}"));
     let version = Version::new(1, document);
-    let change = one(7);
-    let (mut whole, mut apply) = (Vec::new(), Vec::new());
+    let change = set_tenant_key(7);
+    let (mut apply_times, mut digest_times) = (Vec::new(), Vec::new());
     for i in 0..500 {
         let start = Instant::now();
         let next = change.applied_to(&version.document);
-        whole.push(start.elapsed());
+        apply_times.push(start.elapsed());
         let start = Instant::now();
         let next = Version::new(2 + i, next);
-        apply.push(start.elapsed());
+        digest_times.push(start.elapsed());
         std::hint::black_box(&next);
     }
-    row("  microseconds to put a change on it (mean of 500)", format!("{:.0}", mean(&whole)));
-    row("  microseconds for the digest of it (mean of 500)", format!("{:.0}", mean(&apply)));
-    let mut five = Five::new(memory, 1)?;
-    five.change(1, Change { set: letter(), ..Change::default() })?;
-    let voter = five.voters.get_mut(&1).ok_or("no voter")?;
+    print_row("  microseconds to apply a change (mean of 500)", format!("{:.0}", mean(&apply_times)));
+    print_row("  microseconds to compute the digest (mean of 500)", format!("{:.0}", mean(&digest_times)));
+    let mut cluster = Cluster::new(memory_store, 1)?;
+    cluster.change(1, Change { set: sample_document(), ..Change::default() })?;
+    let voter = cluster.voters.get_mut(&1).ok_or("voter 1 is missing")?;
     let mut times = Vec::new();
     for i in 0..50 {
         let start = Instant::now();
-        voter.propose(one(i), &anything)?;
+        voter.propose(set_tenant_key(i), &accept_all)?;
         times.push(start.elapsed());
     }
-    row(
-        "  microseconds to check a proposal on it, bounds included (mean of 50)",
+    print_row(
+        "  microseconds to check a proposal, limits included (mean of 50)",
         format!("{:.0}", mean(&times[1..])),
     );
     Ok(())
 }
 
-fn traffic() -> Outcomes<()> {
-    let mut five = Five::new(memory, 1)?;
-    five.clear();
+fn measure_traffic() -> MeasurementResult<()> {
+    let mut cluster = Cluster::new(memory_store, 1)?;
+    cluster.clear();
     let seconds = 100;
     for _ in 0..seconds * TICKS_PER_S {
-        five.tick();
+        cluster.tick();
     }
-    row("idle: messages a second, all five", format!("{:.1}", five.messages as f64 / seconds as f64));
-    row("idle: bytes a second, all five", five.bytes / seconds);
-    let worst = five.worst.values().max().copied().unwrap_or(0);
-    row("idle: bytes a second in and out of the voter worst off", worst / seconds);
-    five.change(1, Change { set: letter(), ..Change::default() })?;
-    let leader = five.leader().ok_or("no leader")?;
-    let other = IDS.into_iter().find(|id| *id != leader).ok_or("no other")?;
-    for (name, at) in [("leader", leader), ("another voter", other)] {
-        five.clear();
+    print_row(
+        "idle: messages per second, all voters",
+        format!("{:.1}", cluster.messages as f64 / seconds as f64),
+    );
+    print_row("idle: bytes per second, all voters", cluster.bytes / seconds);
+    let max_bytes = cluster.bytes_by_voter.values().max().copied().unwrap_or(0);
+    print_row("idle: bytes per second in and out of the busiest voter", max_bytes / seconds);
+    cluster.change(1, Change { set: sample_document(), ..Change::default() })?;
+    let leader = cluster.leader().ok_or("there is no leader")?;
+    let other = VOTER_IDS.into_iter().find(|id| *id != leader).ok_or("there is no other voter")?;
+    for (name, voter_id) in [("leader", leader), ("another voter", other)] {
+        cluster.clear();
         for i in 0..100 {
-            five.change(at, one(i))?;
+            cluster.change(voter_id, set_tenant_key(i))?;
         }
-        row(
+        print_row(
             &format!("a change of one key at the {name}: messages"),
-            format!("{:.1}", five.messages as f64 / 100.0),
+            format!("{:.1}", cluster.messages as f64 / 100.0),
         );
-        row(&format!("a change of one key at the {name}: bytes, all five"), five.bytes / 100);
+        print_row(&format!("a change of one key at the {name}: bytes, all voters"), cluster.bytes / 100);
     }
-    let digest = five.voters[&other].decided_version().digest;
-    let seq = five.voters[&other].decided_version().seq;
+    let digest = cluster.voters[&other].decided_version().digest;
+    let seq = cluster.voters[&other].decided_version().seq;
     let start = Instant::now();
-    let level = five.voters[&other].changes_since(seq, digest) == CatchUp::UpToDate;
-    row("microseconds to answer a learner that is level", start.elapsed().as_micros());
+    let is_up_to_date = cluster.voters[&other].changes_since(seq, digest) == CatchUp::UpToDate;
+    print_row("microseconds to answer an up-to-date learner", start.elapsed().as_micros());
     let start = Instant::now();
-    let whole =
-        matches!(five.voters[&other].changes_since(0, Digest::of(&Document::new())), CatchUp::FullVersion(_));
-    row("microseconds to answer a learner that has nothing", start.elapsed().as_micros());
-    if level && whole { Ok(()) } else { Err("answers".into()) }
+    let is_full = matches!(
+        cluster.voters[&other].changes_since(0, Digest::of(&Document::new())),
+        CatchUp::FullVersion(_)
+    );
+    print_row("microseconds to answer a learner without a version", start.elapsed().as_micros());
+    if is_up_to_date && is_full { Ok(()) } else { Err("a voter returned a wrong answer to a learner".into()) }
 }
 
-fn deaths() -> Outcomes<()> {
+fn measure_failover() -> MeasurementResult<()> {
     let (mut first, mut next) = (Vec::new(), Vec::new());
     for seed in 0..100 {
-        let mut five = Five::new(memory, seed)?;
+        let mut cluster = Cluster::new(memory_store, seed)?;
         let mut ticks = 0;
-        let mut fresh = Five { voters: BTreeMap::new(), messages: 0, bytes: 0, worst: BTreeMap::new() };
-        for id in IDS {
-            fresh.voters.insert(id, Voter::new(id, &IDS, memory(id)?, seed)?);
+        let mut fresh =
+            Cluster { voters: BTreeMap::new(), messages: 0, bytes: 0, bytes_by_voter: BTreeMap::new() };
+        for id in VOTER_IDS {
+            fresh.voters.insert(id, Voter::new(id, &VOTER_IDS, memory_store(id)?, seed)?);
         }
         while !fresh.voters.values().all(Voter::has_majority) {
             fresh.tick();
@@ -228,62 +238,59 @@
         }
         first.push(ticks);
         for _ in 0..seed % 7 {
-            five.tick();
+            cluster.tick();
         }
-        let leader = five.leader().ok_or("no leader")?;
-        five.voters.remove(&leader);
+        let leader = cluster.leader().ok_or("there is no leader")?;
+        cluster.voters.remove(&leader);
         let mut ticks = 0;
-        while five.leader().is_none() || !five.voters.values().all(Voter::has_majority) {
-            five.tick();
+        while cluster.leader().is_none() || !cluster.voters.values().all(Voter::has_majority) {
+            cluster.tick();
             ticks += 1;
         }
         next.push(ticks);
     }
-    row("ticks from the start until all five have a majority (100 seeds): least, most", span(&first));
-    row("ticks from a leader's death until all four have a majority (100 seeds)", span(&next));
-    row("ticks after which a voter that is cut off says so, at most", limits::MAJORITY_LOSS_TICKS);
+    print_row("ticks from the start until all five have a majority (100 seeds): min, max", range(&first));
+    print_row("ticks from a leader's failure until the others have a majority (100 seeds)", range(&next));
+    print_row("maximum ticks until a disconnected voter reports no majority", limits::MAJORITY_LOSS_TICKS);
     Ok(())
 }
 
-fn span(ticks: &[u64]) -> String {
-    let (least, most) = (ticks.iter().min().unwrap_or(&0), ticks.iter().max().unwrap_or(&0));
-    format!("{least}, {most}")
+fn range(ticks: &[u64]) -> String {
+    let (min, max) = (ticks.iter().min().unwrap_or(&0), ticks.iter().max().unwrap_or(&0));
+    format!("{min}, {max}")
 }
 
-fn stores() -> Outcomes<()> {
-    let folder = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
-    let folder = folder.join(format!("agreed-figures-{}", std::process::id()));
-    let mut five = Five::new(|id| Ok(FileStore::open(&folder.join(id.to_string()))?), 1)?;
-    five.change(1, Change { set: letter(), ..Change::default() })?;
+fn measure_stores() -> MeasurementResult<()> {
+    let directory = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
+    let directory = directory.join(format!("consensus-figures-{}", std::process::id()));
+    let mut cluster = Cluster::new(|id| Ok(FileStore::open(&directory.join(id.to_string()))?), 1)?;
+    cluster.change(1, Change { set: sample_document(), ..Change::default() })?;
     let start = Instant::now();
     for i in 0..490 {
-        five.change(1 + i % 5, one(i))?;
+        cluster.change(1 + i % 5, set_tenant_key(i))?;
     }
-    let each = start.elapsed().as_secs_f64() * 1e3 / 490.0;
-    row("490 changes on files: milliseconds each, all five in one thread", format!("{each:.2}"));
-    row("490 changes on files: bytes of a store", five.voters[&1].store_bytes());
-    drop(five);
+    let per_change = start.elapsed().as_secs_f64() * 1e3 / 490.0;
+    print_row("490 changes in file stores: milliseconds per change, one thread", format!("{per_change:.2}"));
+    print_row("490 changes in file stores: bytes per store", cluster.voters[&1].store_bytes());
+    drop(cluster);
     let start = Instant::now();
-    let five = Five::new(|id| Ok(FileStore::open(&folder.join(id.to_string()))?), 1)?;
-    row(
-        "  milliseconds until five voters are back from them, 100 ticks included",
-        start.elapsed().as_millis(),
-    );
-    drop(five);
-    std::fs::remove_dir_all(folder)?;
-    let disks: Vec<MemoryDisk> = IDS.iter().map(|_| MemoryDisk::default()).collect();
-    let mut five = Five::new(|id| Ok(disks[id as usize - 1].open()?), 1)?;
-    five.change(1, Change { set: letter(), ..Change::default() })?;
-    let leader = five.leader().ok_or("no leader")?;
+    let cluster = Cluster::new(|id| Ok(FileStore::open(&directory.join(id.to_string()))?), 1)?;
+    print_row("  milliseconds to restart five voters, including 100 ticks", start.elapsed().as_millis());
+    drop(cluster);
+    std::fs::remove_dir_all(directory)?;
+    let disks: Vec<MemoryDisk> = VOTER_IDS.iter().map(|_| MemoryDisk::default()).collect();
+    let mut cluster = Cluster::new(|id| Ok(disks[id as usize - 1].open()?), 1)?;
+    cluster.change(1, Change { set: sample_document(), ..Change::default() })?;
+    let leader = cluster.leader().ok_or("there is no leader")?;
     let before: Vec<u64> = disks.iter().map(MemoryDisk::syncs).collect();
     for i in 0..100 {
-        five.change(leader, one(i))?;
+        cluster.change(leader, set_tenant_key(i))?;
     }
     let syncs: Vec<String> = disks
         .iter()
         .zip(&before)
-        .map(|(p, before)| format!("{:.1}", (p.syncs() - before) as f64 / 100.0))
+        .map(|(disk, before)| format!("{:.1}", (disk.syncs() - before) as f64 / 100.0))
         .collect();
-    row(&format!("syncs a change at each voter (leader is {leader})"), syncs.join(" "));
+    print_row(&format!("syncs per change at each voter (the leader is {leader})"), syncs.join(" "));
     Ok(())
 }
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -1,6 +1,6 @@
-//! Whatever reaches a learner, in whatever order, from fresh and stale control machines: what it has in force was
-//! agreed, or is the stated tightening of it; it never goes back; it ends level once messages flow. The cases are the
-//! same in every run.
+//! A learner receives any messages in any order from current and outdated control machines. The version in force must
+//! always be a decided one or its defined tightening, it must never return to an older one, and the learner must
+//! converge when messages arrive again. The cases are the same in every run.
 
 use calicolb_consensus::{
     Change, Check, Delta, Document, Learner, Rules, TighteningDirection, UpdateOutcome, ValidationError,
@@ -11,17 +11,17 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-const SILENCE_US: u64 = 3_000_000;
+const MAX_SILENCE_US: u64 = 3_000_000;
 
-struct Limits;
+struct TestRules;
 
-impl Check for Limits {
+impl Check for TestRules {
     fn check(&self, _: &Document) -> Result<(), ValidationError> {
         Ok(())
     }
 }
 
-impl Rules for Limits {
+impl Rules for TestRules {
     fn tightening_direction(&self, key: &str) -> TighteningDirection {
         match key.as_bytes()[0] {
             b'l' => TighteningDirection::Less,
@@ -31,14 +31,14 @@
     }
 }
 
-/// Versions from 0 on, and the deltas between them.
+/// The versions starting with 0, and the deltas between them.
 #[derive(Debug, Clone)]
 struct Chain {
     versions: Vec<Version>,
     deltas: Vec<Delta>,
 }
 
-fn chain(changes: Vec<Change>) -> Chain {
+fn build_chain(changes: Vec<Change>) -> Chain {
     let mut chain = Chain { versions: vec![Version::default()], deltas: Vec::new() };
     for change in changes {
         let from = chain.versions.last().unwrap();
@@ -49,164 +49,182 @@
     chain
 }
 
-/// What a control machine told: which version, in which form, and whether it had a majority.
+/// A message of a control machine: the index of the version, the form, and whether the machine has a majority.
 #[derive(Debug, Clone)]
-struct Told {
-    at: prop::sample::Index,
+struct ReceivedMessage {
+    index: prop::sample::Index,
     form: u8,
     majority: bool,
 }
 
-fn message(chain: &Chain, told: &Told) -> VersionMessage {
-    let at = told.at.index(chain.versions.len());
-    let majority = told.majority;
-    match told.form {
-        0 => VersionMessage::Full { version: chain.versions[at].clone(), majority },
-        1 if at > 0 => VersionMessage::Delta { delta: chain.deltas[at - 1].clone(), majority },
-        _ => VersionMessage::Current { seq: at as u64, majority },
+fn message(chain: &Chain, received: &ReceivedMessage) -> VersionMessage {
+    let index = received.index.index(chain.versions.len());
+    let majority = received.majority;
+    match received.form {
+        0 => VersionMessage::Full { version: chain.versions[index].clone(), majority },
+        1 if index > 0 => VersionMessage::Delta { delta: chain.deltas[index - 1].clone(), majority },
+        _ => VersionMessage::Current { seq: index as u64, majority },
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Defect {
     None,
-    WidensAtOnce,
-    TrustsAll,
+    WidensImmediately,
+    TreatsAllAsMajority,
     IgnoresTightening,
-    AnyDelta,
-    GoesBack,
+    AcceptsAnyDelta,
+    Regresses,
     NeverBehind,
-    NeverTakesWhole,
+    IgnoresFullVersions,
 }
 
-/// A learner, or one with a defect.
-struct Subject {
+/// A learner that may have a defect.
+struct TestLearner {
     learner: Learner,
-    /// Hears the same, and has no defect.
-    sound: Learner,
+    /// A learner without a defect that receives the same messages.
+    reference: Learner,
     defect: Defect,
-    force: Option<Arc<VersionInForce>>,
+    overridden_version: Option<Arc<VersionInForce>>,
 }
 
-impl Subject {
-    fn new(defect: Defect) -> Subject {
-        let [learner, sound] = [0, 1].map(|_| Learner::new(SILENCE_US, Box::new(Limits)));
-        Subject { learner, sound, defect, force: None }
+impl TestLearner {
+    fn new(defect: Defect) -> TestLearner {
+        let [learner, reference] = [0, 1].map(|_| Learner::new(MAX_SILENCE_US, Box::new(TestRules)));
+        TestLearner { learner, reference, defect, overridden_version: None }
     }
 
     fn receive(&mut self, now: u64, mut message: VersionMessage) {
-        self.sound.receive(now, message.clone());
+        self.reference.receive(now, message.clone());
         let (VersionMessage::Full { majority, .. }
         | VersionMessage::Delta { majority, .. }
         | VersionMessage::Current { majority, .. }) = &mut message;
         match self.defect {
-            Defect::WidensAtOnce | Defect::TrustsAll => *majority = true,
+            Defect::WidensImmediately | Defect::TreatsAllAsMajority => *majority = true,
             Defect::IgnoresTightening if !*majority => return,
             _ => {}
         }
         match (&message, self.defect) {
-            (VersionMessage::Delta { delta, majority: true }, Defect::AnyDelta) => {
+            (VersionMessage::Delta { delta, majority: true }, Defect::AcceptsAnyDelta) => {
                 let in_force = self.in_force(now);
                 if delta.seq > in_force.seq {
                     let document = Arc::new(delta.change.applied_to(&in_force.document));
                     let (seq, digest) = (delta.seq, delta.digest);
-                    self.force = Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
+                    self.overridden_version =
+                        Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
                 }
             }
-            (VersionMessage::Full { version, majority: true }, Defect::GoesBack)
+            (VersionMessage::Full { version, majority: true }, Defect::Regresses)
                 if version.seq < self.in_force(now).seq =>
             {
                 let Version { seq, digest, document } = version.clone();
-                self.force = Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
+                self.overridden_version =
+                    Some(Arc::new(VersionInForce { seq, digest, document, tightened_to: None }));
             }
-            (VersionMessage::Full { .. }, Defect::NeverTakesWhole) => return,
+            (VersionMessage::Full { .. }, Defect::IgnoresFullVersions) => return,
             _ => {}
         }
         self.learner.receive(now, message);
     }
 
     fn in_force(&self, now: u64) -> Arc<VersionInForce> {
-        self.force.clone().unwrap_or_else(|| self.learner.in_force(now))
+        self.overridden_version.clone().unwrap_or_else(|| self.learner.in_force(now))
     }
 
     fn is_behind(&self, now: u64) -> bool {
         match self.defect {
             Defect::NeverBehind => false,
-            Defect::WidensAtOnce => self.sound.is_behind(now),
+            Defect::WidensImmediately => self.reference.is_behind(now),
             _ => self.learner.is_behind(now),
         }
     }
 }
 
-/// Each value was in force in the version below or is a tighter one of a version in between.
-fn is_tightened(chain: &Chain, now: &VersionInForce, to: u64) -> bool {
+/// Returns whether each value is that of the base version, or a tighter one from a version in between.
+fn is_valid_tightening(chain: &Chain, now: &VersionInForce, tightened_to: u64) -> bool {
     let base = &chain.versions[now.seq as usize].document;
-    let between = &chain.versions[now.seq as usize..=to as usize];
+    let between = &chain.versions[now.seq as usize..=tightened_to as usize];
     let number = |value: &Value| value.as_i64().unwrap_or(0);
     base.keys().eq(now.document.keys())
         && now.document.iter().all(|(key, value)| {
-            let tighter = match Limits.tightening_direction(key) {
+            let tighter = match TestRules.tightening_direction(key) {
                 TighteningDirection::Less => number(value) < number(&base[key]),
                 TighteningDirection::Greater => number(value) > number(&base[key]),
                 TighteningDirection::Unknown => false,
             };
-            *value == base[key] || (tighter && between.iter().any(|v| v.document.get(key) == Some(value)))
+            *value == base[key]
+                || (tighter && between.iter().any(|version| version.document.get(key) == Some(value)))
         })
 }
 
-fn tell(chain: &Chain, tolds: &[Told], defect: Defect) -> Result<(), TestCaseError> {
-    let mut subject = Subject::new(defect);
-    let (mut now, mut heard) = (0, None);
-    for told in tolds {
+fn check_messages(chain: &Chain, messages: &[ReceivedMessage], defect: Defect) -> Result<(), TestCaseError> {
+    let mut learner = TestLearner::new(defect);
+    let (mut now, mut last_majority) = (0, None);
+    for received in messages {
         now += 50_000;
-        let before = subject.in_force(now);
-        let message = message(chain, told);
-        subject.receive(now, message.clone());
-        let after = subject.in_force(now);
-        if told.majority {
-            heard = Some(now);
+        let previous = learner.in_force(now);
+        let message = message(chain, received);
+        learner.receive(now, message.clone());
+        let current = learner.in_force(now);
+        if received.majority {
+            last_majority = Some(now);
         }
-        let agreed = &chain.versions[after.seq as usize];
-        prop_assert_eq!(after.digest, agreed.digest, "a version that was never agreed");
-        match after.tightened_to {
-            None => prop_assert_eq!(&after.document, &agreed.document, "not the whole of its version"),
-            Some(to) => prop_assert!(is_tightened(chain, &after, to), "neither agreed nor tightened"),
+        let decided = &chain.versions[current.seq as usize];
+        prop_assert_eq!(current.digest, decided.digest, "a version in force was never decided");
+        match current.tightened_to {
+            None => {
+                prop_assert_eq!(
+                    &current.document,
+                    &decided.document,
+                    "the document is not that of its version"
+                )
+            }
+            Some(tightened_to) => prop_assert!(
+                is_valid_tightening(chain, &current, tightened_to),
+                "the document is neither decided nor tightened"
+            ),
         }
-        prop_assert!(after.seq >= before.seq, "went back");
-        prop_assert!(told.majority || after.seq == before.seq, "widened by a machine without a majority");
+        prop_assert!(current.seq >= previous.seq, "the version number decreased");
+        prop_assert!(
+            received.majority || current.seq == previous.seq,
+            "a machine without a majority caused a widening"
+        );
         if let VersionMessage::Full { version, majority: false } = &message
-            && version.seq > before.tightened_to.unwrap_or(before.seq)
-            && version.seq > after.seq
+            && version.seq > previous.tightened_to.unwrap_or(previous.seq)
+            && version.seq > current.seq
         {
-            let least = apply_tightening(&before.document, &version.document, &|key| {
-                Limits.tightening_direction(key)
+            let expected = apply_tightening(&previous.document, &version.document, &|key| {
+                TestRules.tightening_direction(key)
             });
-            prop_assert!(*after.document == least, "what tightens didn't count at once");
+            prop_assert!(*current.document == expected, "tightening keys did not come into force at once");
         }
-        prop_assert!(heard.is_some() || subject.is_behind(now), "level without a majority");
+        prop_assert!(
+            last_majority.is_some() || learner.is_behind(now),
+            "up to date without a message from a majority"
+        );
     }
-    let silent = heard.unwrap_or(0) + SILENCE_US + 1;
-    prop_assert!(subject.is_behind(silent.max(now)), "not behind in silence");
-    // Messages flow again: the changes since what it holds, or the whole.
+    let after_silence = last_majority.unwrap_or(0) + MAX_SILENCE_US + 1;
+    prop_assert!(learner.is_behind(after_silence.max(now)), "not behind after the maximum silence");
+    // Messages arrive again: either the deltas since the held version, or the complete version.
     let last = chain.versions.last().unwrap();
-    let VersionId { seq, .. } = subject.learner.held_version();
-    if tolds.len().is_multiple_of(2) {
+    let VersionId { seq, .. } = learner.learner.held_version();
+    if messages.len().is_multiple_of(2) {
         for delta in &chain.deltas[seq as usize..] {
-            subject.receive(now, VersionMessage::Delta { delta: delta.clone(), majority: true });
+            learner.receive(now, VersionMessage::Delta { delta: delta.clone(), majority: true });
         }
     } else {
-        subject.receive(now, VersionMessage::Full { version: last.clone(), majority: true });
+        learner.receive(now, VersionMessage::Full { version: last.clone(), majority: true });
     }
-    subject.receive(now, VersionMessage::Current { seq: last.seq, majority: true });
-    let after = subject.in_force(now);
+    learner.receive(now, VersionMessage::Current { seq: last.seq, majority: true });
+    let current = learner.in_force(now);
     let expected = VersionInForce {
         seq: last.seq,
         digest: last.digest,
         document: last.document.clone(),
         tightened_to: None,
     };
-    prop_assert_eq!(&*after, &expected, "not level at the end");
-    prop_assert!(!subject.is_behind(now), "behind at the end");
+    prop_assert_eq!(&*current, &expected, "not converged at the end");
+    prop_assert!(!learner.is_behind(now), "behind at the end although up to date");
     Ok(())
 }
 
@@ -221,50 +239,55 @@
     prop::collection::vec(change, 1..12)
 }
 
-fn told() -> impl Strategy<Value = Vec<Told>> {
-    let one = (any::<prop::sample::Index>(), 0..3_u8, any::<bool>());
-    prop::collection::vec(one.prop_map(|(at, form, majority)| Told { at, form, majority }), 0..40)
+fn received_messages() -> impl Strategy<Value = Vec<ReceivedMessage>> {
+    let message = (any::<prop::sample::Index>(), 0..3_u8, any::<bool>());
+    prop::collection::vec(
+        message.prop_map(|(index, form, majority)| ReceivedMessage { index, form, majority }),
+        0..40,
+    )
 }
 
-type Case = (Vec<Change>, Vec<Told>);
+type Case = (Vec<Change>, Vec<ReceivedMessage>);
 
-fn play(defect: Defect) -> Result<(), TestError<Case>> {
+fn run_cases(defect: Defect) -> Result<(), TestError<Case>> {
     let config = Config { cases: 600, failure_persistence: None, max_shrink_iters: 200, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    runner.run(&(changes(), told()), |(changes, told)| tell(&chain(changes), &told, defect))
+    runner.run(&(changes(), received_messages()), |(changes, received)| {
+        check_messages(&build_chain(changes), &received, defect)
+    })
 }
 
 #[test]
-fn whatever_it_hears_a_learner_keeps_to_what_was_agreed() {
-    if let Err(error) = play(Defect::None) {
+fn any_sequence_of_messages_leaves_only_agreed_or_tightened_versions_in_force() {
+    if let Err(error) = run_cases(Defect::None) {
         panic!("{error}");
     }
 }
 
 #[test]
-fn learners_with_defects_are_caught() {
+fn defective_learners_are_caught() {
     let defects = [
-        (Defect::WidensAtOnce, "widened by a machine without a majority"),
-        (Defect::IgnoresTightening, "what tightens didn't count at once"),
-        (Defect::AnyDelta, "not the whole of its version"),
-        (Defect::GoesBack, "went back"),
-        (Defect::TrustsAll, "level without a majority"),
-        (Defect::NeverBehind, "not behind in silence"),
-        (Defect::NeverTakesWhole, "not level at the end"),
+        (Defect::WidensImmediately, "a machine without a majority caused a widening"),
+        (Defect::IgnoresTightening, "tightening keys did not come into force at once"),
+        (Defect::AcceptsAnyDelta, "the document is not that of its version"),
+        (Defect::Regresses, "the version number decreased"),
+        (Defect::TreatsAllAsMajority, "up to date without a message from a majority"),
+        (Defect::NeverBehind, "not behind after the maximum silence"),
+        (Defect::IgnoresFullVersions, "not converged at the end"),
     ];
     for (defect, claim) in defects {
-        let error = play(defect).expect_err(&format!("{defect:?} isn't caught")).to_string();
-        assert!(error.contains(claim), "{defect:?} is caught, but by: {error}");
+        let error = run_cases(defect).expect_err(&format!("{defect:?} is not detected")).to_string();
+        assert!(error.contains(claim), "{defect:?} is detected by another assertion: {error}");
     }
 }
 
-fn one(key: &str, value: i64) -> Change {
+fn set_key(key: &str, value: i64) -> Change {
     Change { set: Document::from([(key.to_owned(), json!(value))]), ..Change::default() }
 }
 
 #[test]
-fn tightening_counts_at_once_and_widening_waits() {
-    let chain = chain(vec![
+fn tightening_applies_at_once_and_widening_waits_for_a_majority() {
+    let chain = build_chain(vec![
         Change {
             set: Document::from([("l".into(), json!(5)), ("g".into(), json!(5)), ("u".into(), json!(5))]),
             ..Change::default()
@@ -273,10 +296,10 @@
             set: Document::from([("l".into(), json!(3)), ("g".into(), json!(3)), ("u".into(), json!(3))]),
             ..Change::default()
         },
-        one("l", 9),
+        set_key("l", 9),
     ]);
-    let mut learner = Learner::new(SILENCE_US, Box::new(Limits));
-    let version = |at: usize| chain.versions[at].clone();
+    let mut learner = Learner::new(MAX_SILENCE_US, Box::new(TestRules));
+    let version = |index: usize| chain.versions[index].clone();
     assert_eq!(
         learner.receive(0, VersionMessage::Full { version: version(1), majority: true }),
         UpdateOutcome::InForce
@@ -287,7 +310,7 @@
     );
     let expected = Document::from([("g".into(), json!(5)), ("l".into(), json!(3)), ("u".into(), json!(5))]);
     assert_eq!((&*learner.in_force(1).document, learner.in_force(1).tightened_to), (&expected, Some(2)));
-    // A tightened key stays so although the next version, no less old, widens it.
+    // A tightened key stays tightened although a later version, also sent without a majority, widens it.
     learner.receive(2, VersionMessage::Delta { delta: chain.deltas[2].clone(), majority: false });
     assert_eq!(*learner.in_force(2).document, expected);
     assert!(learner.is_behind(2));
@@ -300,49 +323,56 @@
 }
 
 #[test]
-fn a_version_that_isnt_usable_here_doesnt_come_into_force() {
-    struct NoThirteen;
-    impl Check for NoThirteen {
+fn an_invalid_version_does_not_come_into_force() {
+    struct RejectsThirteen;
+    impl Check for RejectsThirteen {
         fn check(&self, whole: &Document) -> Result<(), ValidationError> {
-            let faulty = whole.iter().find(|(_, value)| **value == 13);
-            faulty.map_or(Ok(()), |(key, _)| Err(ValidationError { key: key.clone(), reason: "13".into() }))
+            let invalid_entry = whole.iter().find(|(_, value)| **value == 13);
+            invalid_entry.map_or(Ok(()), |(key, _)| {
+                Err(ValidationError { key: key.clone(), reason: "the value must not be 13".into() })
+            })
         }
     }
-    impl Rules for NoThirteen {
+    impl Rules for RejectsThirteen {
         fn tightening_direction(&self, _: &str) -> TighteningDirection {
             TighteningDirection::Less
         }
     }
-    let chain = chain(vec![one("a", 1), one("a", 13), one("a", 2)]);
-    let mut learner = Learner::new(SILENCE_US, Box::new(NoThirteen));
-    let receive = |learner: &mut Learner, at: usize| {
-        learner.receive(at as u64, VersionMessage::Delta { delta: chain.deltas[at].clone(), majority: true })
+    let chain = build_chain(vec![set_key("a", 1), set_key("a", 13), set_key("a", 2)]);
+    let mut learner = Learner::new(MAX_SILENCE_US, Box::new(RejectsThirteen));
+    let receive = |learner: &mut Learner, index: usize| {
+        learner.receive(
+            index as u64,
+            VersionMessage::Delta { delta: chain.deltas[index].clone(), majority: true },
+        )
     };
     assert_eq!(receive(&mut learner, 0), UpdateOutcome::InForce);
-    let fault = ValidationError { key: "a".into(), reason: "13".into() };
-    assert_eq!(receive(&mut learner, 1), UpdateOutcome::Invalid(fault.clone()));
+    let expected_error = ValidationError { key: "a".into(), reason: "the value must not be 13".into() };
+    assert_eq!(receive(&mut learner, 1), UpdateOutcome::Invalid(expected_error.clone()));
     assert_eq!(
         (learner.in_force(1).seq, learner.validation_error(), learner.is_behind(1)),
-        (1, Some(&fault), true)
+        (1, Some(&expected_error), true)
     );
     assert_eq!(receive(&mut learner, 2), UpdateOutcome::InForce);
     assert_eq!((learner.in_force(2).seq, learner.validation_error(), learner.is_behind(2)), (3, None, false));
 }
 
 #[test]
-fn a_gap_is_asked_for_and_questions_are_paced() {
-    let chain = chain(vec![one("a", 1), one("a", 2), one("a", 3)]);
-    let mut learner = Learner::new(SILENCE_US, Box::new(Limits));
+fn a_gap_is_requested_with_increasing_intervals() {
+    let chain = build_chain(vec![set_key("a", 1), set_key("a", 2), set_key("a", 3)]);
+    let mut learner = Learner::new(MAX_SILENCE_US, Box::new(TestRules));
     learner.receive(0, VersionMessage::Delta { delta: chain.deltas[0].clone(), majority: true });
-    assert_eq!(learner.next_request(0), None, "level");
+    assert_eq!(learner.next_request(0), None, "an up-to-date learner requests changes");
     assert_eq!(
         learner.receive(1, VersionMessage::Delta { delta: chain.deltas[2].clone(), majority: true }),
         UpdateOutcome::Gap
     );
-    let ask = VersionId { seq: 1, digest: chain.versions[1].digest };
-    let times: Vec<u64> =
-        (1..20_000_000).step_by(10_000).filter(|now| learner.next_request(*now) == Some(ask)).collect();
-    let pauses: Vec<u64> = times.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert_eq!(pauses[..5], [250_000, 500_000, 1_000_000, 2_000_000, 4_000_000]);
-    assert!(pauses[5..].iter().all(|pause| *pause == 4_000_000));
+    let expected_request = VersionId { seq: 1, digest: chain.versions[1].digest };
+    let times: Vec<u64> = (1..20_000_000)
+        .step_by(10_000)
+        .filter(|now| learner.next_request(*now) == Some(expected_request))
+        .collect();
+    let intervals: Vec<u64> = times.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert_eq!(intervals[..5], [250_000, 500_000, 1_000_000, 2_000_000, 4_000_000]);
+    assert!(intervals[5..].iter().all(|pause| *pause == 4_000_000));
 }
--- a/crates/consensus/tests/network.rs
+++ b/crates/consensus/tests/network.rs
@@ -1,147 +1,166 @@
-//! The claims on a simulated network, over many seeds; and for each claim, a defect that it catches.
+//! No invariant is violated on a simulated network over many seeds. For each invariant, a deliberate defect is
+//! detected.
 //!
-//! `AGREED_SEEDS=1000` plays more seeds, `AGREED_SEED=17` plays that one alone.
+//! `AGREED_SEEDS=1000` runs more seeds, `AGREED_SEED=17` runs only that one.
 
-mod net;
+mod fault_injection;
 
-use net::claims::{BACK, Broken, DEATH, HALF, LEVEL, LOST, MINORITY, UNAGREED};
-use net::parts::Defect;
-use net::plays::{Account, Death, leader_dies, pause, regions_apart, storm};
+use fault_injection::invariants::{
+    CONVERGENCE, FAILOVER_IN_TIME, MINORITY_DECIDES_NOTHING, NO_PARTIAL_VERSION, NO_REGRESSION,
+    NO_VERSION_LOST, ONLY_DECIDED_IN_FORCE, Violation,
+};
+use fault_injection::scenarios::{
+    LeaderFailure, Summary, leader_fails, partition_and_heal, pause_leader, random_faults,
+};
+use fault_injection::subjects::Defect;
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn seeds(short: u64) -> std::ops::Range<u64> {
-    match number("AGREED_SEED") {
+fn seed_range(default_count: u64) -> std::ops::Range<u64> {
+    match env_number("AGREED_SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..number("AGREED_SEEDS").unwrap_or(short),
+        None => 0..env_number("AGREED_SEEDS").unwrap_or(default_count),
     }
 }
 
-/// Ticks after which all are level again when the regions meet: 5 s.
-const TOGETHER_TICKS: u64 = 50;
+/// The number of ticks after the end of a partition within which all must converge: 5 s.
+const HEAL_TICKS: u64 = 50;
 
-/// Seeds of storms that once broke a claim. 410: two voters had promised more than the leader's ballot to a voter that
-/// went away, and waited for it for ever.
-const HARD: [u64; 1] = [410];
+/// Seeds with random faults that once violated an invariant. 410: two voters had promised a higher ballot than the
+/// leader's to a voter that disappeared, and waited for it forever.
+const REGRESSION_SEEDS: [u64; 1] = [410];
 
-/// Plays all seeds; a failure says how to play it again.
-fn sound<T>(name: &str, short: u64, play: impl Fn(u64) -> Result<T, Broken>) -> Vec<T> {
-    let played = seeds(short).map(|seed| {
-        play(seed).unwrap_or_else(|Broken { claim, how }| {
-            panic!("'{claim}': {how}; again: AGREED_SEED={seed} cargo test -p calicolb-consensus --test network {name}")
+/// Runs a scenario with all seeds. The panic message of a violation says how to repeat the run.
+fn run_seeds<T>(name: &str, default_count: u64, scenario: impl Fn(u64) -> Result<T, Violation>) -> Vec<T> {
+    let results = seed_range(default_count).map(|seed| {
+        scenario(seed).unwrap_or_else(|Violation { invariant, details }| {
+            panic!("violated '{invariant}': {details}; to repeat: AGREED_SEED={seed} cargo test -p calicolb-consensus --test network {name}")
         })
     });
-    played.collect()
+    results.collect()
 }
 
 #[test]
-fn storms() {
-    let mut accounts = sound("storms", 12, |seed| storm(seed, Defect::None));
-    if number("AGREED_SEED").is_none() {
-        accounts.extend(
-            HARD.map(|seed| storm(seed, Defect::None).unwrap_or_else(|broken| panic!("{seed}: {broken:?}"))),
-        );
+fn random_faults_violate_no_invariant() {
+    let mut summaries =
+        run_seeds("random_faults_violate_no_invariant", 12, |seed| random_faults(seed, Defect::None));
+    if env_number("AGREED_SEED").is_none() {
+        summaries.extend(REGRESSION_SEEDS.map(|seed| {
+            random_faults(seed, Defect::None).unwrap_or_else(|violation| panic!("{seed}: {violation:?}"))
+        }));
     }
-    let sum = |of: fn(&Account) -> u64| accounts.iter().map(of).sum::<u64>();
-    let level = accounts.iter().map(|account| account.level_ticks).max().unwrap_or(0);
-    let (agreed, void) = (sum(|a| a.agreed), sum(|a| a.void));
-    let (unknown, tightened) = (sum(|a| a.unknown), sum(|a| a.tightened));
+    let sum = |field: fn(&Summary) -> u64| summaries.iter().map(field).sum::<u64>();
+    let convergence_ticks = summaries.iter().map(|summary| summary.convergence_ticks).max().unwrap_or(0);
+    let (decided, invalidated) = (sum(|summary| summary.decided), sum(|summary| summary.invalidated));
+    let (unknown, tightened) = (sum(|summary| summary.unknown), sum(|summary| summary.tightened));
     println!(
-        "{} storms: {agreed} agreed, {void} void, {unknown} unknown, tightened {tightened} times, level in {level} ticks",
-        accounts.len()
+        "{} runs: {decided} decided, {invalidated} invalidated, {unknown} unknown, {tightened} tightened, convergence in at most {convergence_ticks} ticks",
+        summaries.len()
     );
     assert!(
-        agreed > 0 && (accounts.len() < 10 || (void > 0 && unknown > 0 && tightened > 0)),
-        "not much of a storm"
+        decided > 0 && (summaries.len() < 10 || (invalidated > 0 && unknown > 0 && tightened > 0)),
+        "the faults did not cause all outcomes"
     );
 }
 
 #[test]
-fn regions() {
-    let accounts = sound("regions", 12, |seed| regions_apart(seed, Defect::None));
-    let level = accounts.iter().map(|account| account.level_ticks).max().unwrap_or(0);
-    println!("regions together again: level in at most {level} ticks");
-    assert!(level <= TOGETHER_TICKS, "{level} ticks");
+fn a_partition_violates_no_invariant_and_heals_in_time() {
+    let summaries = run_seeds("a_partition_violates_no_invariant_and_heals_in_time", 12, |seed| {
+        partition_and_heal(seed, Defect::None)
+    });
+    let convergence_ticks = summaries.iter().map(|summary| summary.convergence_ticks).max().unwrap_or(0);
+    println!("convergence at most {convergence_ticks} ticks after the partition");
+    assert!(convergence_ticks <= HEAL_TICKS, "convergence took {convergence_ticks} ticks");
 }
 
 #[test]
-fn pauses() {
-    sound("pauses", 6, |seed| pause(seed, Defect::None));
+fn a_paused_leader_claims_no_majority_on_waking() {
+    run_seeds("a_paused_leader_claims_no_majority_on_waking", 6, |seed| pause_leader(seed, Defect::None));
 }
 
 #[test]
-fn deaths() {
-    for death in [Death::Process, Death::TwoProcesses, Death::Machine] {
-        let ticks = sound("deaths", 12, |seed| leader_dies(seed, Defect::None, death));
-        println!("{death:?}: in force everywhere after at most {:?} ticks", ticks.iter().max());
+fn a_change_is_in_force_in_time_after_the_leader_fails() {
+    for failure in [LeaderFailure::Process, LeaderFailure::TwoProcesses, LeaderFailure::Machine] {
+        let ticks = run_seeds("a_change_is_in_force_in_time_after_the_leader_fails", 12, |seed| {
+            leader_fails(seed, Defect::None, failure)
+        });
+        println!("{failure:?}: in force everywhere after at most {:?} ticks", ticks.iter().max());
     }
 }
 
-/// A defect is caught by one of these claims, on some seed of a play.
-fn caught<T>(defect: Defect, claims: &[&str], play: impl Fn(u64, Defect) -> Result<T, Broken>) {
-    let mut broken = (0..40).filter_map(|seed| Some((seed, play(seed, defect).err()?)));
-    let found = broken.find(|(_, broken)| claims.contains(&broken.claim));
+/// Asserts that a defect violates one of the invariants with at least one of 40 seeds.
+fn assert_caught<T>(
+    defect: Defect,
+    invariants: &[&str],
+    scenario: impl Fn(u64, Defect) -> Result<T, Violation>,
+) {
+    let mut violation = (0..40).filter_map(|seed| Some((seed, scenario(seed, defect).err()?)));
+    let found = violation.find(|(_, violation)| invariants.contains(&violation.invariant));
     println!("{defect:?}: {found:?}");
-    assert!(found.is_some(), "{defect:?} isn't caught by {claims:?}");
+    assert!(found.is_some(), "{defect:?} violates none of {invariants:?}");
 }
 
-fn killed(seed: u64, defect: Defect) -> Result<u64, Broken> {
-    leader_dies(seed, defect, Death::Process)
+fn leader_process_fails(seed: u64, defect: Defect) -> Result<u64, Violation> {
+    leader_fails(seed, defect, LeaderFailure::Process)
 }
 
 #[test]
-fn a_voter_that_acknowledges_early_is_caught() {
-    caught(Defect::AcknowledgesEarly, &[LOST], storm);
+fn a_voter_that_acknowledges_before_the_decision_is_caught() {
+    assert_caught(Defect::AcknowledgesEarly, &[NO_VERSION_LOST], random_faults);
 }
 
 #[test]
-fn a_voter_that_shows_what_isnt_decided_is_caught() {
-    caught(Defect::ShowsUndecided, &[LOST, UNAGREED, BACK], storm);
+fn a_voter_that_shows_undecided_changes_is_caught() {
+    assert_caught(
+        Defect::ShowsUndecided,
+        &[NO_VERSION_LOST, ONLY_DECIDED_IN_FORCE, NO_REGRESSION],
+        random_faults,
+    );
 }
 
 #[test]
-fn a_store_that_forgets_is_caught() {
-    caught(Defect::StoreForgets, &[LOST, BACK], storm);
+fn a_store_that_is_empty_after_a_restart_is_caught() {
+    assert_caught(Defect::StoreForgets, &[NO_VERSION_LOST, NO_REGRESSION], random_faults);
 }
 
 #[test]
 fn a_store_that_never_syncs_is_caught() {
-    caught(Defect::StoreNeverSyncs, &[LOST, BACK], storm);
+    assert_caught(Defect::StoreNeverSyncs, &[NO_VERSION_LOST, NO_REGRESSION], random_faults);
 }
 
 #[test]
 fn a_voter_that_always_claims_a_majority_is_caught() {
-    caught(Defect::AlwaysMajority, &[MINORITY], regions_apart);
+    assert_caught(Defect::AlwaysMajority, &[MINORITY_DECIDES_NOTHING], partition_and_heal);
 }
 
 #[test]
-fn a_pause_that_goes_unnoticed_is_caught() {
-    caught(Defect::PauseUnnoticed, &[MINORITY], pause);
+fn a_voter_that_ignores_a_pause_is_caught() {
+    assert_caught(Defect::IgnoresPause, &[MINORITY_DECIDES_NOTHING], pause_leader);
 }
 
 #[test]
-fn voters_that_are_slow_are_caught() {
-    caught(Defect::SlowTicks, &[DEATH], killed);
+fn voters_that_miss_ticks_are_caught() {
+    assert_caught(Defect::MissesTicks, &[FAILOVER_IN_TIME], leader_process_fails);
 }
 
 #[test]
-fn a_learner_that_takes_any_delta_is_caught() {
-    caught(Defect::AnyDelta, &[UNAGREED], storm);
+fn a_learner_that_applies_any_delta_is_caught() {
+    assert_caught(Defect::AcceptsAnyDelta, &[ONLY_DECIDED_IN_FORCE], random_faults);
 }
 
 #[test]
-fn a_learner_that_takes_a_change_key_by_key_is_caught() {
-    caught(Defect::KeyByKey, &[HALF], storm);
+fn a_learner_that_applies_a_change_key_by_key_is_caught() {
+    assert_caught(Defect::AppliesKeyByKey, &[NO_PARTIAL_VERSION], random_faults);
 }
 
 #[test]
-fn a_learner_that_goes_back_is_caught() {
-    caught(Defect::GoesBack, &[BACK], storm);
+fn a_learner_that_returns_to_an_old_version_is_caught() {
+    assert_caught(Defect::Regresses, &[NO_REGRESSION], random_faults);
 }
 
 #[test]
-fn a_learner_that_never_asks_is_caught() {
-    caught(Defect::NeverAsks, &[LEVEL], storm);
+fn a_learner_that_never_requests_changes_is_caught() {
+    assert_caught(Defect::NeverRequests, &[CONVERGENCE], random_faults);
 }
--- a/crates/consensus/tests/stores.rs
+++ b/crates/consensus/tests/stores.rs
@@ -1,29 +1,29 @@
-//! Every store is put to the contract; and for each claim, an implementation that breaks it is caught.
+//! Every store fulfils the contract, and each requirement of the contract rejects a defective store.
 
-mod contract;
+mod store_contract;
 
 use calicolb_consensus::store::{
     FileMedium, Journal, Medium, MemoryDisk, MemoryMedium, MemoryStore, Store, StoreError,
 };
-use contract::{Rig, claims, uphold};
 use std::cell::Cell;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
+use store_contract::{StoreFixture, assert_contract, requirements};
 
 #[test]
-fn memory_keeps_the_contract() {
-    uphold(MemoryDisk::default);
+fn memory_store_keeps_the_contract() {
+    assert_contract(MemoryDisk::default);
 }
 
 #[test]
-fn file_keeps_the_contract() {
-    uphold(FileRig::new);
+fn file_store_keeps_the_contract() {
+    assert_contract(FileFixture::new);
 }
 
-impl Rig for MemoryDisk {
+impl StoreFixture for MemoryDisk {
     type Store = MemoryStore;
     fn open(&self) -> Result<MemoryStore, StoreError> {
         MemoryDisk::open(self)
@@ -40,106 +40,113 @@
     fn set_capacity(&self, bytes: Option<usize>) {
         MemoryDisk::set_capacity(self, bytes);
     }
-    fn crash(&self, kept: usize) {
-        MemoryDisk::crash(self, kept);
+    fn crash(&self, kept_bytes: usize) {
+        MemoryDisk::crash(self, kept_bytes);
     }
 }
 
-/// A folder that goes with its owner.
-struct Folder(PathBuf);
+/// A directory that is removed on drop.
+struct TempDirectory(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TempDirectory {
+    fn new() -> TempDirectory {
         static COUNT: AtomicU64 = AtomicU64::new(0);
-        let name = format!("agreed-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
-        Folder(std::env::temp_dir().join(name))
+        let name = format!("consensus-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+        TempDirectory(std::env::temp_dir().join(name))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// What the disk under a file does.
+/// The injected faults of the disk under a file.
 #[derive(Default)]
 struct Faults {
     sync_fails: Cell<bool>,
     capacity: Cell<Option<usize>>,
-    durable: Cell<usize>,
+    durable_length: Cell<usize>,
 }
 
-/// The product's own file with a disk that may fail.
-struct Faulty {
+/// A file medium on a disk with injected faults.
+struct FaultyMedium {
     file: FileMedium,
-    folder: PathBuf,
+    directory: PathBuf,
     faults: Rc<Faults>,
 }
 
-fn journal(folder: &Path) -> PathBuf {
-    folder.join("journal")
+fn journal(directory: &Path) -> PathBuf {
+    directory.join("journal")
 }
 
-fn length(folder: &Path) -> usize {
-    fs::metadata(journal(folder)).map_or(0, |data| data.len() as usize)
+fn length(directory: &Path) -> usize {
+    fs::metadata(journal(directory)).map_or(0, |metadata| metadata.len() as usize)
 }
 
-impl Medium for Faulty {
+impl Medium for FaultyMedium {
     fn read(&mut self) -> io::Result<Vec<u8>> {
         self.file.read()
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let room =
-            self.faults.capacity.get().map_or(usize::MAX, |all| all.saturating_sub(length(&self.folder)));
-        self.file.append(&bytes[..bytes.len().min(room)])?;
-        if bytes.len() > room { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        let available = self
+            .faults
+            .capacity
+            .get()
+            .map_or(usize::MAX, |capacity| capacity.saturating_sub(length(&self.directory)));
+        self.file.append(&bytes[..bytes.len().min(available)])?;
+        if bytes.len() > available { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.file.truncate(length)
     }
     fn sync(&mut self) -> io::Result<()> {
         if self.faults.sync_fails.get() {
-            return Err(io::Error::other("the sync failed"));
+            return Err(io::Error::other("injected sync failure"));
         }
         self.file.sync()?;
-        self.faults.durable.set(length(&self.folder));
+        self.faults.durable_length.set(length(&self.directory));
         Ok(())
     }
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         if self.faults.sync_fails.get() {
-            fs::write(self.folder.join("journal.new"), &bytes[..bytes.len() / 2])?;
-            return Err(io::Error::other("the sync failed"));
+            fs::write(self.directory.join("journal.new"), &bytes[..bytes.len() / 2])?;
+            return Err(io::Error::other("injected sync failure"));
         }
         self.file.replace(bytes)?;
-        self.faults.durable.set(length(&self.folder));
+        self.faults.durable_length.set(length(&self.directory));
         Ok(())
     }
 }
 
-struct FileRig {
-    folder: Folder,
+struct FileFixture {
+    directory: TempDirectory,
     faults: Rc<Faults>,
 }
 
-impl FileRig {
-    fn new() -> FileRig {
-        FileRig { folder: Folder::new(), faults: Rc::default() }
+impl FileFixture {
+    fn new() -> FileFixture {
+        FileFixture { directory: TempDirectory::new(), faults: Rc::default() }
     }
 }
 
-impl Rig for FileRig {
-    type Store = Journal<Faulty>;
-    fn open(&self) -> Result<Journal<Faulty>, StoreError> {
-        let file = FileMedium::open(&self.folder.0)?;
-        Journal::with_medium(Faulty { file, folder: self.folder.0.clone(), faults: self.faults.clone() })
+impl StoreFixture for FileFixture {
+    type Store = Journal<FaultyMedium>;
+    fn open(&self) -> Result<Journal<FaultyMedium>, StoreError> {
+        let file = FileMedium::open(&self.directory.0)?;
+        Journal::with_medium(FaultyMedium {
+            file,
+            directory: self.directory.0.clone(),
+            faults: self.faults.clone(),
+        })
     }
     fn bytes(&self) -> Vec<u8> {
-        fs::read(journal(&self.folder.0)).unwrap()
+        fs::read(journal(&self.directory.0)).unwrap()
     }
     fn set_bytes(&self, bytes: &[u8]) {
-        fs::write(journal(&self.folder.0), bytes).unwrap();
-        self.faults.durable.set(bytes.len());
+        fs::write(journal(&self.directory.0), bytes).unwrap();
+        self.faults.durable_length.set(bytes.len());
     }
     fn fail_syncs(&self, fail: bool) {
         self.faults.sync_fails.set(fail);
@@ -147,115 +154,116 @@
     fn set_capacity(&self, bytes: Option<usize>) {
         self.faults.capacity.set(bytes);
     }
-    fn crash(&self, kept: usize) {
-        let length = length(&self.folder.0).min(self.faults.durable.get() + kept);
+    fn crash(&self, kept_bytes: usize) {
+        let length = length(&self.directory.0).min(self.faults.durable_length.get() + kept_bytes);
         let bytes = self.bytes();
         self.set_bytes(&bytes[..length]);
     }
 }
 
-/// What is wrong with a store.
+/// A defect of a store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Defect {
     Forgets,
     NeverSyncs,
-    SwallowsSync,
-    SwallowsFull,
-    GoesOn,
-    NoSums,
-    KeepsTorn,
-    TearsReplacement,
-    Overwrites,
-    NoLock,
+    IgnoresSyncError,
+    IgnoresFullDisk,
+    ContinuesAfterFailure,
+    IgnoresChecksums,
+    KeepsIncompleteFrame,
+    PartialReplacement,
+    OverwritesUnknownVersion,
+    IgnoresLock,
 }
 
 /// A journal in memory with a defect.
 #[derive(Clone)]
-struct Broken {
+struct DefectiveFixture {
     disk: MemoryDisk,
     defect: Defect,
 }
 
-/// A medium with a defect; without the disk's lock when that is the defect.
-struct Warped {
-    held: Option<MemoryMedium>,
-    rig: Broken,
+/// A medium with a defect. `medium` is `None` if the defect is to ignore the disk's lock.
+struct DefectiveMedium {
+    medium: Option<MemoryMedium>,
+    fixture: DefectiveFixture,
 }
 
-struct Lax {
-    journal: Journal<Warped>,
+struct DefectiveStore {
+    journal: Journal<DefectiveMedium>,
     defect: Defect,
     failed: bool,
 }
 
-/// Works out all checksums anew; `pad` makes a torn batch whole.
-fn resum(mut bytes: Vec<u8>, pad: bool) -> Vec<u8> {
+/// Recomputes all checksums. With `pad_incomplete`, an incomplete frame is completed with zeros.
+fn recompute_checksums(mut bytes: Vec<u8>, pad_incomplete: bool) -> Vec<u8> {
     if bytes.len() < 16 {
         return bytes;
     }
-    let sum = crc32c::crc32c(&bytes[..12]);
-    bytes[12..16].copy_from_slice(&sum.to_le_bytes());
-    let mut at = 16;
-    while bytes.len() >= at + 12 {
-        let batch = u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap()) as usize;
-        let end = at + 12 + batch;
+    let checksum = crc32c::crc32c(&bytes[..12]);
+    bytes[12..16].copy_from_slice(&checksum.to_le_bytes());
+    let mut offset = 16;
+    while bytes.len() >= offset + 12 {
+        let batch = u32::from_le_bytes(bytes[offset..offset + 4].try_into().unwrap()) as usize;
+        let end = offset + 12 + batch;
         if end > bytes.len() {
-            if !pad || batch > 1_000 {
+            if !pad_incomplete || batch > 1_000 {
                 break;
             }
             bytes.resize(end, 0);
         }
-        let sum = crc32c::crc32c(&bytes[at + 12..end]);
-        bytes[at + 4..at + 8].copy_from_slice(&sum.to_le_bytes());
-        let sum = crc32c::crc32c_append(crc32c::crc32c(&(at as u64).to_le_bytes()), &bytes[at..at + 8]);
-        bytes[at + 8..at + 12].copy_from_slice(&sum.to_le_bytes());
-        at = end;
+        let checksum = crc32c::crc32c(&bytes[offset + 12..end]);
+        bytes[offset + 4..offset + 8].copy_from_slice(&checksum.to_le_bytes());
+        let checksum =
+            crc32c::crc32c_append(crc32c::crc32c(&(offset as u64).to_le_bytes()), &bytes[offset..offset + 8]);
+        bytes[offset + 8..offset + 12].copy_from_slice(&checksum.to_le_bytes());
+        offset = end;
     }
     bytes
 }
 
-impl Medium for Warped {
+impl Medium for DefectiveMedium {
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        let bytes = self.rig.disk.bytes();
-        Ok(match self.rig.defect {
-            Defect::NoSums => resum(bytes, false),
-            Defect::KeepsTorn => resum(bytes, true),
-            Defect::Overwrites if bytes.len() > 8 && bytes[8] != 1 => Vec::new(),
+        let bytes = self.fixture.disk.bytes();
+        Ok(match self.fixture.defect {
+            Defect::IgnoresChecksums => recompute_checksums(bytes, false),
+            Defect::KeepsIncompleteFrame => recompute_checksums(bytes, true),
+            Defect::OverwritesUnknownVersion if bytes.len() > 8 && bytes[8] != 1 => Vec::new(),
             _ => bytes,
         })
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let Some(held) = &mut self.held else { return Ok(()) };
-        let appended = held.append(bytes);
-        if self.rig.defect == Defect::SwallowsFull { Ok(()) } else { appended }
+        let Some(medium) = &mut self.medium else { return Ok(()) };
+        let appended = medium.append(bytes);
+        if self.fixture.defect == Defect::IgnoresFullDisk { Ok(()) } else { appended }
     }
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        self.held.as_mut().map_or(Ok(()), |held| held.truncate(length))
+        self.medium.as_mut().map_or(Ok(()), |medium| medium.truncate(length))
     }
     fn sync(&mut self) -> io::Result<()> {
-        let Some(held) = self.held.as_mut().filter(|_| self.rig.defect != Defect::NeverSyncs) else {
+        let Some(medium) = self.medium.as_mut().filter(|_| self.fixture.defect != Defect::NeverSyncs) else {
             return Ok(());
         };
-        let synced = held.sync();
-        if self.rig.defect == Defect::SwallowsSync { Ok(()) } else { synced }
+        let synced = medium.sync();
+        if self.fixture.defect == Defect::IgnoresSyncError { Ok(()) } else { synced }
     }
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let Some(held) = &mut self.held else { return Ok(()) };
-        let replaced = held.replace(bytes);
-        if replaced.is_err() && self.rig.defect == Defect::TearsReplacement {
-            self.rig.disk.set_bytes(bytes[..bytes.len() / 2].to_vec());
+        let Some(medium) = &mut self.medium else { return Ok(()) };
+        let replaced = medium.replace(bytes);
+        if replaced.is_err() && self.fixture.defect == Defect::PartialReplacement {
+            self.fixture.disk.set_bytes(bytes[..bytes.len() / 2].to_vec());
         }
         replaced
     }
 }
 
-impl Store for Lax {
+impl Store for DefectiveStore {
     fn load(&mut self) -> Result<Vec<Vec<u8>>, StoreError> {
         let batches = self.journal.load()?;
         Ok(if self.defect == Defect::Forgets { Vec::new() } else { batches })
     }
     fn append(&mut self, batch: &[u8]) -> Result<(), StoreError> {
-        if self.failed && self.defect == Defect::GoesOn {
+        if self.failed && self.defect == Defect::ContinuesAfterFailure {
             return Ok(());
         }
         self.journal.append(batch).inspect_err(|_| self.failed = true)
@@ -268,15 +276,15 @@
     }
 }
 
-impl Rig for Broken {
-    type Store = Lax;
-    fn open(&self) -> Result<Lax, StoreError> {
-        let held = match MemoryMedium::open(&self.disk) {
-            Err(StoreError::Locked) if self.defect == Defect::NoLock => None,
-            held => Some(held?),
+impl StoreFixture for DefectiveFixture {
+    type Store = DefectiveStore;
+    fn open(&self) -> Result<DefectiveStore, StoreError> {
+        let medium = match MemoryMedium::open(&self.disk) {
+            Err(StoreError::Locked) if self.defect == Defect::IgnoresLock => None,
+            medium => Some(medium?),
         };
-        let journal = Journal::with_medium(Warped { held, rig: self.clone() })?;
-        Ok(Lax { journal, defect: self.defect, failed: false })
+        let journal = Journal::with_medium(DefectiveMedium { medium, fixture: self.clone() })?;
+        Ok(DefectiveStore { journal, defect: self.defect, failed: false })
     }
     fn bytes(&self) -> Vec<u8> {
         self.disk.bytes()
@@ -290,32 +298,33 @@
     fn set_capacity(&self, bytes: Option<usize>) {
         self.disk.set_capacity(bytes);
     }
-    fn crash(&self, kept: usize) {
-        self.disk.crash(kept);
+    fn crash(&self, kept_bytes: usize) {
+        self.disk.crash(kept_bytes);
     }
 }
 
 #[test]
-fn every_claim_catches_a_store_that_breaks_it() {
+fn each_requirement_rejects_a_store_that_violates_it() {
     let defects = [
-        ("reopen gives back all", Defect::Forgets),
-        ("durable at the return", Defect::NeverSyncs),
-        ("torn tail", Defect::KeepsTorn),
-        ("flipped bit", Defect::NoSums),
-        ("moved batch", Defect::NoSums),
-        ("failed sync", Defect::SwallowsSync),
-        ("failed sync", Defect::GoesOn),
-        ("disk full", Defect::SwallowsFull),
-        ("replacement is whole", Defect::TearsReplacement),
-        ("unknown version", Defect::Overwrites),
-        ("locked", Defect::NoLock),
+        ("a reopened store returns all batches", Defect::Forgets),
+        ("appended batches survive a crash", Defect::NeverSyncs),
+        ("an incomplete frame is removed", Defect::KeepsIncompleteFrame),
+        ("a flipped bit is detected", Defect::IgnoresChecksums),
+        ("a moved batch is detected", Defect::IgnoresChecksums),
+        ("a store rejects writes after a failed sync", Defect::IgnoresSyncError),
+        ("a store rejects writes after a failed sync", Defect::ContinuesAfterFailure),
+        ("a store rejects writes after the disk was full", Defect::IgnoresFullDisk),
+        ("a replacement is atomic", Defect::PartialReplacement),
+        ("an unknown version is rejected", Defect::OverwritesUnknownVersion),
+        ("a store in use is locked", Defect::IgnoresLock),
     ];
-    for (name, claim) in claims::<Broken>() {
-        let breakers: Vec<_> = defects.iter().filter(|(claim, _)| *claim == name).collect();
-        assert!(!breakers.is_empty(), "nothing breaks '{name}'");
-        for (_, defect) in breakers {
-            let broken = claim(&Broken { disk: MemoryDisk::default(), defect: *defect });
-            assert!(broken.is_err(), "'{name}' doesn't catch {defect:?}");
+    for (name, requirement) in requirements::<DefectiveFixture>() {
+        let matching_defects: Vec<_> =
+            defects.iter().filter(|(requirement, _)| *requirement == name).collect();
+        assert!(!matching_defects.is_empty(), "no defect violates '{name}'");
+        for (_, defect) in matching_defects {
+            let broken = requirement(&DefectiveFixture { disk: MemoryDisk::default(), defect: *defect });
+            assert!(broken.is_err(), "'{name}' does not detect {defect:?}");
         }
     }
 }
