--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -37,7 +37,7 @@
         if let Some(key) = LOCAL_KEYS.iter().find(|key| version.contains_key(**key)) {
             return Err(to_agreed_error(SettingsError::new(
                 *key,
-                "is set by each scheduler for itself and cannot be agreed",
+                "is each scheduler's own, and is agreed for none",
             )));
         }
         // A version must be valid for at least one scheduler. Since it has no local keys, those of a scheduler in the first
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -178,10 +178,7 @@
 /// The first key that cannot be part of settings, and the reason.
 pub fn from_document(document: &Document) -> Result<Value, SettingsError> {
     if document.len() > MAX_KEYS {
-        return Err(SettingsError::new(
-            "",
-            format!("has {} keys: the maximum is {MAX_KEYS}", document.len()),
-        ));
+        return Err(SettingsError::new("", format!("has {} keys: {MAX_KEYS} are the most", document.len())));
     }
     let mut root = Map::new();
     let mut named: BTreeMap<&str, BTreeMap<&str, Map<String, Value>>> = BTreeMap::new();
@@ -202,10 +199,10 @@
                 Some((name, field)) if !name.is_empty() && !field.is_empty() && field != "name" => {
                     (name, Some(field))
                 }
-                _ => return Err(SettingsError::new(key.clone(), "is not of the form list.name.field")),
+                _ => return Err(SettingsError::new(key.clone(), "names no field of something with a name")),
             };
             if name.is_empty() {
-                return Err(SettingsError::new(key.clone(), "has an empty entry name"));
+                return Err(SettingsError::new(key.clone(), "has no name in it"));
             }
             let fields = entries.entry(name).or_default();
             if let Some(field) = field {
@@ -225,7 +222,7 @@
         if let Some(name) = values.keys().find(|name| !classes.contains(name)) {
             return Err(SettingsError::new(
                 format!("{EXTRA}.{list}.{name}"),
-                "belongs to a class that does not exist",
+                "is of a class that there is not",
             ));
         }
         let default =
@@ -253,10 +250,7 @@
 /// Checks that the document has no value for the group that a key belongs to.
 fn check_group_has_no_value(document: &Document, key: &str, group: &str) -> Result<(), SettingsError> {
     match document.contains_key(group) {
-        true => Err(SettingsError::new(
-            key,
-            format!("cannot be set beside '{group}', which has a value of its own"),
-        )),
+        true => Err(SettingsError::new(key, format!("stands beside '{group}', which is one value"))),
         false => Ok(()),
     }
 }
@@ -272,7 +266,7 @@
     if parts.len() > MAX_KEY_PARTS || parts.iter().any(|part| part.is_empty()) {
         return Err(SettingsError::new(
             key,
-            format!("is not a valid key: it has an empty part or more than {MAX_KEY_PARTS} parts"),
+            format!("is no key: it has an empty part, or more than {MAX_KEY_PARTS}"),
         ));
     }
     let dots = key.char_indices().filter(|(_, letter)| *letter == '.');
@@ -283,7 +277,7 @@
     for part in &parts[..parts.len() - 1] {
         let group = object.entry(*part).or_insert_with(|| Value::Object(Map::new()));
         let Some(next) = group.as_object_mut() else {
-            return Err(SettingsError::new(key, "belongs to a key that has a value of its own"));
+            return Err(SettingsError::new(key, "stands in what is no group of keys"));
         };
         object = next;
     }
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -1,7 +1,10 @@
 //! Tests of the conversion between settings and documents, and of the validation of documents.
 
 use super::*;
+use crate::config::agreed::SharedSettingsCheck;
+use crate::net::control::messages::{ChangeRequest, InForceReport};
 use calicolb::api::{Effect, Settings};
+use calicolb_agreed::Check;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
@@ -266,3 +269,49 @@
         assert_eq!(tightening_direction(key), direction, "{key}");
     }
 }
+
+/// A control machine sends these reasons in its error responses, so their texts must not change.
+#[test]
+fn rejections_that_a_control_machine_sends_have_fixed_texts() {
+    let assert_reason = |key: &str, value: Value, reason: &str| {
+        let mut document = to_document(&full_settings());
+        document.insert(key.to_owned(), value);
+        let error = check(&document).err().unwrap_or_else(|| panic!("{key} was accepted"));
+        assert_eq!(error.reason, reason, "{key}");
+    };
+    assert_reason("orgs.zeta", json!(7), "names no field of something with a name");
+    assert_reason("orgs..share", json!(1), "names no field of something with a name");
+    assert_reason("orgs.", json!({}), "has no name in it");
+    assert_reason("extra.class_kind.lost", json!(1), "is of a class that there is not");
+    assert_reason("orgs", json!([]), "stands beside 'orgs', which is one value");
+    assert_reason("a..b", json!(1), "is no key: it has an empty part, or more than 8");
+    assert_reason(&"a".repeat(300), json!(1), "is longer than 256 bytes");
+    assert_reason("ceilings.max_open", json!("50"), "is not a number from 0 on");
+    let too_long = "is 315360000000001: 315360000000000 microseconds are the most";
+    assert_reason("request_classes.look.aim_us", json!(315_360_000_000_001_u64), too_long);
+    assert_reason("over_share_worth", json!(-0.5), "is -0.5: 0 is the least");
+    assert_reason("request_classes.look.effect", json!("odd"), "is of no effect known: 'odd'");
+    assert_reason("request_classes.look.group", json!("odd"), "is of no group known: 'odd'");
+    let reason_of = |key: &str, value: Value| {
+        let mut settings = full_settings();
+        settings[key] = value;
+        platform::parse_settings(&settings).err().map_or_else(String::new, |error| error.reason)
+    };
+    let unexpected =
+        |name: &str| format!("cannot be read: invalid type: string \"x\", expected struct {name}");
+    assert_eq!(reason_of("ceilings", json!("x")), unexpected("Ceilings"));
+    assert_eq!(reason_of("costs", json!("x")), unexpected("Costs"));
+    assert_eq!(reason_of("extra", json!("x")), unexpected("Particulars"));
+    assert_eq!(reason_of("orgs", json!(["x"])), unexpected("Org"));
+    assert_eq!(reason_of("orgs", json!([{"name": ""}])), "has one without a name");
+    assert_eq!(reason_of("orgs", json!([{"name": "a"}, {"name": "a"}])), "is there twice");
+    assert_eq!(reason_of("request_classes", json!([])), "is missing or empty");
+    let root = platform::parse_settings(&json!("x")).err().map_or_else(String::new, |error| error.reason);
+    assert_eq!(root, unexpected("Info"));
+    let changed = SharedSettingsCheck.check(&to_document(&full_settings())).err().map(|fault| fault.why);
+    assert_eq!(changed.as_deref(), Some("is each scheduler's own, and is agreed for none"));
+    let error = serde_json::from_str::<ChangeRequest>("7").expect_err("a number was accepted as a change");
+    assert_eq!(error.to_string(), "invalid type: integer `7`, expected struct Wanted at line 1 column 1");
+    let error = serde_json::from_str::<InForceReport>("7").expect_err("a number was accepted as a report");
+    assert_eq!(error.to_string(), "invalid type: integer `7`, expected struct InForce at line 1 column 1");
+}
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -132,7 +132,7 @@
             None => return Ok(default),
         };
         let value =
-            section.unsigned(key).map_err(|_| SettingsError::new(path, "is not a number of at least 0"))?;
+            section.unsigned(key).map_err(|_| SettingsError::new(path, "is not a number from 0 on"))?;
         Ok(value.unwrap_or(default))
     };
     let (mut parsed, names) = wire::settings_from_json(settings)?;
@@ -154,7 +154,7 @@
     if duration > MAX_DURATION {
         return Err(SettingsError::new(
             key,
-            format!("is {duration}: the maximum is {MAX_DURATION} microseconds"),
+            format!("is {duration}: {MAX_DURATION} microseconds are the most"),
         ));
     }
     Ok(())
@@ -166,7 +166,7 @@
         if value >= 0.0 {
             Ok(())
         } else {
-            Err(SettingsError::new(key, format!("is {value}: the minimum is 0")))
+            Err(SettingsError::new(key, format!("is {value}: 0 is the least")))
         }
     };
     check_unique("request_classes", names.classes())?;
@@ -208,10 +208,10 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() {
-            return Err(SettingsError::new(list, "contains an entry without a name"));
+            return Err(SettingsError::new(list, "has one without a name"));
         }
         if !seen.insert(name) {
-            return Err(SettingsError::new(format!("{list}.{name}"), "appears twice"));
+            return Err(SettingsError::new(format!("{list}.{name}"), "is there twice"));
         }
     }
     Ok(())
--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -22,7 +22,7 @@
                         token,
                         400,
                         "",
-                        "'from' is not the number of another control machine",
+                        "it does not say which control machine it is from",
                     );
                 };
                 // The voter ignores a message that it cannot parse. The sender only needs to know that the message arrived.
@@ -45,7 +45,7 @@
                     self.learners.record_version(now, report.name, report.seq);
                     self.respond(now, token, 204, &[], b"");
                 }
-                Ok(_) => self.respond_error(now, token, 400, "name", "is not a valid name"),
+                Ok(_) => self.respond_error(now, token, 400, "name", "it is no name"),
                 Err(error) => self.respond_error(now, token, 400, "", &error.to_string()),
             },
             ("POST", "/control/changes") => self.handle_change(now, token, &request.body),
@@ -54,9 +54,9 @@
                 "/control/talk" | "/control/versions" | "/control/state" | "/control/in-force"
                 | "/control/changes",
             ) => {
-                self.respond_error(now, token, 405, "", "the method is not allowed here");
+                self.respond_error(now, token, 405, "", "not by this method");
             }
-            _ => self.respond_error(now, token, 404, "", "there is no such resource"),
+            _ => self.respond_error(now, token, 404, "", "nothing is there"),
         }
     }
 
@@ -65,7 +65,8 @@
         inbound.respond(&mut io, token, status, extra, body);
     }
 
-    /// Sends an error response with the reason, and with the invalid key unless it is empty.
+    /// Sends an error response with the reason, and with the invalid key unless it is empty. The texts of reasons are part of
+    /// the interface: programs and operators' scripts may match them, so they do not change.
     fn respond_error(&mut self, now: Micros, token: usize, status: u16, key: &str, reason: &str) {
         let body = to_json(&Refusal { key: key.to_owned(), why: reason.to_owned() });
         match status {
@@ -136,7 +137,7 @@
 
     fn start_watch(&mut self, now: Micros, token: usize, target: &str) {
         let Some(name) = query_parameter(target, "name").filter(|name| is_valid_name(name)) else {
-            return self.respond_error(now, token, 400, "name", "is not a valid name");
+            return self.respond_error(now, token, 400, "name", "it is no name");
         };
         let seq = query_parameter(target, "from").and_then(|text| text.parse().ok()).unwrap_or(0);
         let digest = query_parameter(target, "digest").and_then(|text| text.parse::<Digest>().ok());
@@ -147,7 +148,7 @@
                 token,
                 503,
                 "",
-                "the maximum number of learners watch this machine: ask another one",
+                "as many learners watch here as may: ask another machine",
             );
         }
         let name = name.to_owned();
@@ -208,10 +209,10 @@
             Err(error) => return self.respond_error(now, token, 400, "", &error.to_string()),
         };
         if self.pending_changes.len() >= MAX_PENDING_CHANGES {
-            return self.respond_error(now, token, 503, "", "too many changes are pending");
+            return self.respond_error(now, token, 503, "", "too many changes wait to be agreed");
         }
         if self.shutting_down {
-            return self.respond_error(now, token, 503, "", "this machine is shutting down");
+            return self.respond_error(now, token, 503, "", "this machine is ending");
         }
         let change = Change { set: request.set, unset: request.unset };
         match self.voter.propose(change, &SharedSettingsCheck) {
@@ -241,7 +242,7 @@
                     token,
                     503,
                     "",
-                    "not agreed in time, but it may still be: check the current version",
+                    "not agreed in time; it may yet be: look at the versions",
                 );
             }
         }
@@ -253,8 +254,8 @@
             Refused::NoMajority => {
                 self.respond_error(now, token, 503, "", "there is no majority of the control machines");
             }
-            Refused::Stopped => self.respond_error(now, token, 503, "", "the store of this machine failed"),
-            Refused::TooMany => self.respond_error(now, token, 503, "", "too many changes are pending"),
+            Refused::Stopped => self.respond_error(now, token, 503, "", "this machine's store has failed"),
+            Refused::TooMany => self.respond_error(now, token, 503, "", "too many changes wait to be agreed"),
         }
     }
 }
--- a/src/net/control/messages.rs
+++ b/src/net/control/messages.rs
@@ -1,4 +1,6 @@
 //! The JSON bodies of the control machines' HTTP interface, used by servers and clients.
+//!
+//! A parse error of a request body is part of the response. `expecting` keeps its text independent of the structs' names.
 
 use calicolb_agreed::Document;
 use serde::{Deserialize, Serialize};
@@ -34,7 +36,7 @@
 
 /// The body of a request to change settings.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Wanted")]
 pub struct ChangeRequest {
     /// Keys to set, with their values.
     #[serde(default)]
@@ -46,6 +48,7 @@
 
 /// A learner's report of the version that it has in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(expecting = "struct InForce")]
 pub struct InForceReport {
     /// The learner's name.
     pub name: String,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -423,8 +423,10 @@
     text.replace(['\n', '\r', '\t'], " ")
 }
 
+// A control machine sends the errors of this parser to its clients. `expecting` keeps their texts independent of the
+// names of the structs.
 #[derive(Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "struct Info")]
 struct InstanceInfo {
     azs: Vec<String>,
     ceilings: CeilingsInfo,
@@ -470,7 +472,7 @@
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "struct Ceilings")]
 struct CeilingsInfo {
     cancelling: bool,
     connect_timeout_us: Micros,
@@ -483,7 +485,7 @@
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "struct Costs")]
 struct CostsInfo {
     cross_zone: f64,
     peer: f64,
@@ -492,7 +494,7 @@
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "struct Particulars")]
 struct ExtraInfo {
     class_kind: Vec<i64>,
     class_priority: Vec<i64>,
@@ -505,7 +507,7 @@
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "struct Org")]
 struct OrgInfo {
     name: String,
     quota_rps: f64,
@@ -574,7 +576,7 @@
             other => {
                 return Err(SettingsError::new(
                     class_key("group"),
-                    format!("has the unknown group '{other}'"),
+                    format!("is of no group known: '{other}'"),
                 ));
             }
         };
@@ -585,7 +587,7 @@
             other => {
                 return Err(SettingsError::new(
                     class_key("effect"),
-                    format!("has the unknown effect '{other}'"),
+                    format!("is of no effect known: '{other}'"),
                 ));
             }
         };
