--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Parser)]
 #[command(version, after_help = EXAMPLES)]
 pub struct Cli {
-    /// The command; without one, serve with the configuration file that RELAY_CONFIG names.
+    /// The command. Without a command, the program serves with the configuration file that RELAY_CONFIG names.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
@@ -59,16 +59,16 @@
 /// Options of the `serve` command.
 #[derive(Clone, Debug, Default, Args)]
 pub struct ServeArgs {
-    /// The operator file; without it, the configuration file that RELAY_CONFIG names.
+    /// The operator file. Without it, the configuration file that RELAY_CONFIG names is used.
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
-    /// The listen address for HTTP, instead of the operator file's.
+    /// The listen address for HTTP. Replaces the one in the operator file.
     #[arg(long, value_name = "ADDRESS", requires = "operator")]
     pub listen: Option<SocketAddr>,
-    /// The listen address for Gearman clients and workers, instead of the operator file's.
+    /// The listen address for Gearman clients and workers. Replaces the one in the operator file.
     #[arg(long, value_name = "ADDRESS", requires = "operator")]
     pub gearman: Option<SocketAddr>,
-    /// The listen address of the management interface, instead of the operator file's.
+    /// The listen address of the management interface. Replaces the one in the operator file.
     #[arg(long, value_name = "ADDRESS", requires = "operator")]
     pub mgmt: Option<SocketAddr>,
     /// The format of log lines.
@@ -80,7 +80,7 @@
 }
 
 impl ServeArgs {
-    /// The listen addresses that replace those of the operator file.
+    /// Returns the listen addresses that replace those in the operator file.
     pub fn addresses(&self) -> Addresses {
         Addresses { listen: self.listen, gearman: self.gearman, management: self.mgmt }
     }
--- a/src/config/agreed.rs
+++ b/src/config/agreed.rs
@@ -9,18 +9,18 @@
 /// Keys that each scheduler has for itself. Agreed versions do not contain them.
 pub const LOCAL_KEYS: [&str; 3] = ["n_instances", "rank", "zone"];
 
-/// The part of `settings` that each scheduler has for itself.
+/// Returns the part of `settings` that each scheduler has for itself.
 pub fn local_settings(settings: &Document) -> Document {
     LOCAL_KEYS.iter().filter_map(|key| Some(((*key).to_owned(), settings.get(*key)?.clone()))).collect()
 }
 
-/// The part of `settings` that is agreed for all schedulers.
+/// Returns the part of `settings` that is agreed for all schedulers.
 pub fn shared_settings(mut settings: Document) -> Document {
     LOCAL_KEYS.iter().for_each(|key| drop(settings.remove(*key)));
     settings
 }
 
-/// An agreed version, completed with a scheduler's own settings. `local` holds the keys of [`LOCAL_KEYS`].
+/// Returns an agreed version, completed with `local`, the settings that the scheduler has for itself.
 pub fn with_local_settings(version: &Document, local: &Document) -> Document {
     let mut settings = version.clone();
     settings.extend(local.iter().map(|(key, value)| (key.clone(), value.clone())));
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Learners that may watch one control machine at once, where the file does not set `learners`.
+/// The largest number of learners that may watch one control machine at once, if the file does not set `learners`.
 const DEFAULT_MAX_LEARNERS: u64 = 400;
 /// The largest number of control machines. More would only make agreement slower, since a larger majority must answer.
 const MAX_MACHINES: usize = 9;
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -11,7 +11,7 @@
 //!
 //! The name of an entry may contain dots, the key of a field may not.
 
-#![allow(dead_code, reason = "some functions are only used by the control role, not by SIGHUP")]
+#![allow(dead_code, reason = "`diff` is used only by tests")]
 
 use super::platform;
 use super::{SettingsError, SettingsUpdate};
@@ -27,10 +27,11 @@
 const MAX_KEY_PARTS: usize = 8;
 /// The maximum number of keys of a document.
 const MAX_KEYS: usize = 65_536;
-/// Keys of the lists whose entries have a name.
+/// Keys of the lists whose entries are objects with a name.
 const NAMED_LISTS: [&str; 2] = [CLASSES, "orgs"];
 const CLASSES: &str = "request_classes";
-/// Keys in `extra` of the lists with a value per class, and the value that stands for a class without one.
+/// Keys in `extra` of the lists that hold one value per class, each key with the value for classes that have none in the
+/// document.
 const PER_CLASS_LISTS: [(&str, i64); 3] = [("class_kind", -1), ("class_priority", 0), ("class_stretch", 0)];
 const EXTRA: &str = "extra";
 
@@ -41,7 +42,7 @@
     Less,
     /// A greater value.
     Greater,
-    /// Cannot be decided from the values of the key alone.
+    /// Cannot be decided from the old and the new value of the key alone.
     Unknown,
 }
 
@@ -54,7 +55,7 @@
     pub unset: BTreeSet<String>,
 }
 
-/// The changes that turn `old` into `new`.
+/// Returns the changes that turn `old` into `new`.
 pub fn diff(old: &Document, new: &Document) -> Diff {
     let changed = new.iter().filter(|(key, value)| old.get(*key) != Some(*value));
     Diff {
@@ -63,12 +64,12 @@
     }
 }
 
-/// The direction in which a change of this key tightens the settings. It only applies to a change from one value to
-/// another: a key that is set for the first time or removed is neither tightened nor loosened.
+/// Returns the direction in which a change of this key's value tightens the settings. A key that is added or
+/// removed counts as neither tightened nor loosened.
 pub fn tightening_direction(key: &str) -> Direction {
     use Direction::{Greater, Less, Unknown};
     let field = key.rsplit_once('.').map_or(key, |(_, field)| field);
-    let in_named_list = NAMED_LISTS.iter().any(|list| strip_group(key, list).is_some());
+    let in_named_list = NAMED_LISTS.iter().any(|list| strip_first_parts(key, list).is_some());
     match key {
         "over_share_worth" => Less,
         "ceilings.most_tries" | "ceilings.may_duplicate" | "ceilings.max_open" | "ceilings.probes" => Less,
@@ -116,8 +117,8 @@
     document
 }
 
-/// The names of the entries of a list, in its order; `None` unless all entries are objects with plain keys, no nested
-/// objects, and a name of their own.
+/// Returns the names of the entries of a list, in the order of the list. Returns `None` unless each entry is an object with
+/// plain keys, without nested objects, and with a name that no other entry has.
 fn unique_names(list: &Value) -> Option<Vec<&str>> {
     let mut seen = BTreeSet::new();
     let names = list.as_array()?.iter().map(|entry| {
@@ -129,16 +130,18 @@
     names.collect()
 }
 
-/// Whether all keys of an object can be parts of a dotted key: not empty and without a dot.
+/// Returns true if each key of an object can be a part of a dotted key: it is not empty and contains no dot.
 fn has_plain_keys(object: &Map<String, Value>) -> bool {
     object.keys().all(|key| !key.is_empty() && !key.contains('.'))
 }
 
+/// Returns true if `key` is the key in `extra` of a list that holds one value per class.
 fn is_per_class(key: &str) -> bool {
     PER_CLASS_LISTS.iter().any(|(list, _)| *list == key)
 }
 
-/// Adds an entry of a named list to the document, one key per field.
+/// Adds an entry of a named list to the document: one key per field, or, if the entry has only a name, one key with an empty
+/// object.
 fn flatten_named_entry(list: &str, entry: &Value, document: &mut Document) {
     let Some((fields, name)) =
         entry.as_object().and_then(|fields| Some((fields, fields.get("name")?.as_str()?)))
@@ -152,8 +155,8 @@
     }
 }
 
-/// Adds the value at a key to the document, objects with plain keys as one key per field. `parts` is the number of parts of
-/// the key.
+/// Adds a value under `key` to the document. An object with plain keys becomes one key per field, unless the key would get too
+/// many parts. `parts` is the number of parts that `key` has.
 fn flatten(key: String, value: &Value, parts: usize, document: &mut Document) {
     match value {
         Value::Object(fields) if !fields.is_empty() && has_plain_keys(fields) && parts < MAX_KEY_PARTS => {
@@ -167,15 +170,15 @@
     }
 }
 
-/// The rest of a key after the name of its group and a dot; `None` if the key is not in this group.
-fn strip_group<'a>(key: &'a str, group: &str) -> Option<&'a str> {
-    key.strip_prefix(group)?.strip_prefix('.')
+/// Returns the part of `key` after `first_parts` and a dot; `None` if `key` does not begin with them.
+fn strip_first_parts<'a>(key: &'a str, first_parts: &str) -> Option<&'a str> {
+    key.strip_prefix(first_parts)?.strip_prefix('.')
 }
 
 /// Converts a document back to settings. The entries of named lists are sorted by name.
 ///
 /// # Errors
-/// The first key that cannot be part of settings, and the reason.
+/// Returns the first key that cannot be a part of settings, and the reason.
 pub fn from_document(document: &Document) -> Result<Value, SettingsError> {
     if document.len() > MAX_KEYS {
         return Err(SettingsError::new("", format!("has {} keys: {MAX_KEYS} are the most", document.len())));
@@ -187,14 +190,15 @@
         if key.len() > MAX_KEY_BYTES {
             return Err(SettingsError::new(key.clone(), format!("is longer than {MAX_KEY_BYTES} bytes")));
         }
-        let named_list = NAMED_LISTS.iter().find_map(|list| Some((*list, strip_group(key, list)?)));
-        let per_class_value = strip_group(key, EXTRA)
+        let named_list = NAMED_LISTS.iter().find_map(|list| Some((*list, strip_first_parts(key, list)?)));
+        let per_class_value = strip_first_parts(key, EXTRA)
             .and_then(|rest| rest.split_once('.'))
             .filter(|(list, _)| is_per_class(list));
         if let Some((list, rest)) = named_list {
-            check_group_has_no_value(document, key, list)?;
+            check_no_value_at(document, key, list)?;
             let entries = named.entry(list).or_default();
             let (name, field) = match rest.rsplit_once('.') {
+                // An empty object stands for an entry that has only a name.
                 _ if value.as_object().is_some_and(Map::is_empty) => (rest, None),
                 Some((name, field)) if !name.is_empty() && !field.is_empty() && field != "name" => {
                     (name, Some(field))
@@ -209,8 +213,8 @@
                 fields.insert(field.to_owned(), value.clone());
             }
         } else if let Some((list, name)) = per_class_value {
-            check_group_has_no_value(document, key, EXTRA)?;
-            check_group_has_no_value(document, key, &format!("{EXTRA}.{list}"))?;
+            check_no_value_at(document, key, EXTRA)?;
+            check_no_value_at(document, key, &format!("{EXTRA}.{list}"))?;
             per_class.entry(list).or_default().insert(name, value);
         } else {
             insert_nested(document, key, value, &mut root)?;
@@ -227,6 +231,7 @@
         }
         let default =
             PER_CLASS_LISTS.iter().find(|(other, _)| *other == list).map_or(0, |(_, default)| *default);
+        // The list ends at the last class that has a value.
         let length = classes.iter().rposition(|name| values.contains_key(name)).map_or(0, |last| last + 1);
         let list_values = classes[..length].iter().map(|name| match values.get(name) {
             Some(value) => (*value).clone(),
@@ -247,15 +252,16 @@
     Ok(Value::Object(root))
 }
 
-/// Checks that the document has no value for the group that a key belongs to.
-fn check_group_has_no_value(document: &Document, key: &str, group: &str) -> Result<(), SettingsError> {
-    match document.contains_key(group) {
-        true => Err(SettingsError::new(key, format!("stands beside '{group}', which is one value"))),
+/// Checks that the document has no value under `first_parts`, the first parts of `key`. With a value there, `key` could not be
+/// one of its fields.
+fn check_no_value_at(document: &Document, key: &str, first_parts: &str) -> Result<(), SettingsError> {
+    match document.contains_key(first_parts) {
+        true => Err(SettingsError::new(key, format!("stands beside '{first_parts}', which is one value"))),
         false => Ok(()),
     }
 }
 
-/// Inserts a value into nested objects by the parts of its key, which are created as needed.
+/// Inserts a value into nested objects, one level for each part of its key. Missing objects are created.
 fn insert_nested(
     document: &Document,
     key: &str,
@@ -271,12 +277,12 @@
     }
     let dots = key.char_indices().filter(|(_, letter)| *letter == '.');
     for (dot, _) in dots {
-        check_group_has_no_value(document, key, &key[..dot])?;
+        check_no_value_at(document, key, &key[..dot])?;
     }
     let mut object = root;
     for part in &parts[..parts.len() - 1] {
-        let group = object.entry(*part).or_insert_with(|| Value::Object(Map::new()));
-        let Some(next) = group.as_object_mut() else {
+        let nested = object.entry(*part).or_insert_with(|| Value::Object(Map::new()));
+        let Some(next) = nested.as_object_mut() else {
             return Err(SettingsError::new(key, "stands in what is no group of keys"));
         };
         object = next;
@@ -290,7 +296,7 @@
 /// Converts a document to settings and validates them.
 ///
 /// # Errors
-/// The first invalid key and the reason.
+/// Returns the first invalid key and the reason.
 pub fn check(document: &Document) -> Result<SettingsUpdate, SettingsError> {
     platform::parse_settings(&from_document(document)?)
 }
--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -212,12 +212,15 @@
     for (list, key) in [("request_classes", "request_classes.look"), ("orgs", "orgs.zeta")] {
         let mut duplicated = full_settings();
         let first = duplicated[list][0].clone();
-        duplicated[list].as_array_mut().expect("the key holds a list").push(first);
+        duplicated[list].as_array_mut().expect("the setting is not a list").push(first);
         let document = to_document(&duplicated);
         assert!(document.contains_key(list), "{document:?}");
-        assert_eq!(platform::parse_settings(&duplicated).expect_err("a name occurs twice").key, key);
+        assert_eq!(
+            platform::parse_settings(&duplicated).expect_err("a list with a duplicate name was accepted").key,
+            key
+        );
     }
-    let empty = check(&Document::new()).expect_err("an empty document has no class");
+    let empty = check(&Document::new()).expect_err("an empty document was accepted");
     assert_eq!(empty.key, "request_classes");
 }
 
@@ -241,9 +244,9 @@
 fn removing_a_class_kind_leaves_the_class_without_kind() {
     let mut document = to_document(&full_settings());
     document.remove("extra.class_kind.book");
-    let update = check(&document).expect("class_kind is optional");
+    let update = check(&document).expect("the document without the kind of class book was rejected");
     let kind = |name: &str| {
-        let at = update.names.class(name).expect("the class exists").0;
+        let at = update.names.class(name).expect("the class is missing from the settings").0;
         update.settings.classes[at].kind.map(|kind| kind.0)
     };
     assert_eq!((kind("book"), kind("fit"), kind("look")), (None, Some(0), None));
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -47,7 +47,7 @@
 pub struct PriorityClass {
     /// The class of the jobs.
     pub class: ClassIx,
-    /// How long a client waits for the result, over all attempts.
+    /// The time in microseconds for which a client waits for the result, over all attempts.
     pub client_timeout: Micros,
 }
 
@@ -60,9 +60,9 @@
     pub skill: u32,
     /// Class and timeout of the function's jobs by priority: low, normal, high.
     pub priority_classes: [PriorityClass; 3],
-    /// How long a background job may take, over all attempts.
+    /// The time in microseconds that a background job may take, over all attempts.
     pub background_timeout: Micros,
-    /// Whether workers of the function also run HTTP jobs of its class.
+    /// True if workers of the function also run HTTP jobs of its class.
     pub takes_http_jobs: bool,
 }
 
@@ -79,7 +79,7 @@
     pub zone: ZoneIx,
     /// The kind of machine of workers that connect to this listener.
     pub kind: KindIx,
-    /// Whether admin commands that change state are carried out.
+    /// True if admin commands that change state are carried out.
     pub admin_changes: bool,
     /// The largest number of finished background jobs whose status is remembered.
     pub max_remembered_jobs: usize,
@@ -96,7 +96,7 @@
     pub settings: Settings,
     /// The names that belong to the indices in `settings`.
     pub names: Names,
-    /// How long a worker keeps an idle connection open before it closes it.
+    /// The time in microseconds after which a worker closes an idle connection.
     pub worker_idle_timeout: Micros,
     /// The largest number of requests that may be open at once.
     pub max_open_requests: usize,
@@ -106,7 +106,8 @@
 pub struct LearnerConfig {
     /// The addresses of the control machines.
     pub machines: Vec<SocketAddr>,
-    /// A learner that has heard from no majority of the control machines for this long counts as behind.
+    /// A learner counts as behind if no message of a control machine with a majority has arrived during this time, in
+    /// microseconds.
     pub max_silence: Micros,
     /// The settings in force until an agreed version is received, without the keys of `local_settings`.
     pub initial_settings: document::Document,
@@ -124,9 +125,10 @@
     pub discovery: Option<SocketAddr>,
     /// The listen address of the management interface, if it is enabled.
     pub management: Option<SocketAddr>,
-    /// The file descriptor of the HTTP listener that the platform passed, if it did.
+    /// The file descriptor of the HTTP listener that the platform passed; `None` if the program opens the listener itself.
     pub passed_socket: Option<i32>,
-    /// The path of the Unix socket over which predecessor and successor of an upgrade communicate.
+    /// The path of the Unix socket over which predecessor and successor of an upgrade communicate; `None` if upgrades are not
+    /// possible.
     pub upgrade_socket: Option<PathBuf>,
     /// The seed of the random number generators.
     pub seed: u64,
@@ -144,7 +146,7 @@
     pub settings: Settings,
     /// The names that belong to the indices in `settings`.
     pub names: Names,
-    /// How long a worker keeps an idle connection open before it closes it.
+    /// The time in microseconds after which a worker closes an idle connection.
     pub worker_idle_timeout: Micros,
     /// The largest number of requests that may be open at once.
     pub max_open_requests: usize,
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -20,7 +20,7 @@
 /// The largest Gearman workload, in bytes, that fits into the connection buffers.
 const MAX_WORKLOAD_BYTES: u64 = 64 * 1024;
 
-/// Listen addresses from the command line, each of which replaces the operator file's if it is set.
+/// Listen addresses from the command line. An address that is set replaces the one in the operator file.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Addresses {
     /// The HTTP listen address.
@@ -46,7 +46,7 @@
 ];
 
 impl Config {
-    /// Reads an operator file. Addresses in `overrides` replace the file's.
+    /// Reads an operator file. Addresses in `overrides` replace those in the file.
     ///
     /// # Errors
     /// A report that shows each error in the file with line, column, key and advice on how to correct it.
@@ -102,7 +102,7 @@
 }
 
 impl<'a> FileReader<'a> {
-    /// The top-level nodes with this name.
+    /// Returns the top-level nodes with this name.
     fn nodes(&self, node_name: &str) -> impl Iterator<Item = &'a KdlNode> {
         self.document.nodes().iter().filter(move |node| node.name().value() == node_name)
     }
@@ -121,7 +121,8 @@
         Some(SettingsReader::new(self.collector, first))
     }
 
-    /// Reads the whole file. Returns `None` if the HTTP listen address is missing; errors are recorded in the collector.
+    /// Reads all nodes of the file and records each error in the collector. Returns `None` only if there is no HTTP listen
+    /// address; other errors leave a configuration that must not be used.
     fn read(&self, overrides: Addresses) -> Option<Config> {
         for node in self.document.nodes() {
             let node_name = node.name().value();
@@ -194,7 +195,8 @@
         })
     }
 
-    /// The address under `key` of a node, which must be set if the node is there.
+    /// Returns the address under `key` of the node with this name. Records an error if the node has no valid address there;
+    /// a file without the node is no error.
     fn address(&self, node_name: &str, key: &'static str) -> Option<SocketAddr> {
         let reader = self.single_node(node_name)?;
         let address = reader.required(key, "\"127.0.0.1:8080\"", reader.address(key));
@@ -202,7 +204,8 @@
         address
     }
 
-    /// The classes, without those that have an invalid name, aim, deadline or effect.
+    /// Returns the classes. A class with a missing or invalid name, aim, deadline or effect is recorded as an error and left
+    /// out.
     fn classes(&self) -> Vec<NamedClass<'a>> {
         let mut classes: Vec<NamedClass<'a>> = Vec::new();
         for node in self.nodes("class") {
@@ -213,6 +216,7 @@
             let effects = [
                 ("safe", Effect::Safe),
                 ("once", Effect::Unsafe),
+                // The span 0 is replaced below by the value of `remembered`.
                 ("keyed", Effect::Keyed { group: Group::All, span: 0 }),
             ];
             let effect = reader.required("effect", "\"safe\"", reader.choice("effect", &effects));
@@ -249,6 +253,7 @@
                     "rename one of them",
                 );
             }
+            // An operator file cannot reserve a kind of machine for a class.
             let kind = None;
             let class = Class { aim, stretch, deadline, late_worth, worth, effect, kind, priority, slots };
             classes.push(NamedClass { name, class });
@@ -260,16 +265,19 @@
         classes
     }
 
-    /// The functions, each with its name and whether HTTP workers may run its jobs.
-    fn functions(&self, classes: &[NamedClass<'a>], names: &[&str]) -> Vec<(&'a str, Function, bool)> {
+    /// Returns the functions in the order of the file, each with its name and the value of `on-http`, which is true if HTTP
+    /// workers may run its jobs. `class_names` are the names of `classes`.
+    fn functions(&self, classes: &[NamedClass<'a>], class_names: &[&str]) -> Vec<(&'a str, Function, bool)> {
         let mut functions: Vec<(&str, Function, bool)> = Vec::new();
         for node in self.nodes("function") {
             let reader = SettingsReader::new(self.collector, node);
             let name = reader.name();
-            let class = reader.name_index("class", "class", names);
+            let class = reader.name_index("class", "class", class_names);
             let class = reader.required("class", "\"stock-check\"", class);
-            let (low, high) =
-                (reader.name_index("low", "class", names), reader.name_index("high", "class", names));
+            let (low_class, high_class) = (
+                reader.name_index("low", "class", class_names),
+                reader.name_index("high", "class", class_names),
+            );
             let background_timeout = reader.duration("background", MILLI, DAY);
             let takes_http_jobs = reader.flag("takes-http").unwrap_or(false);
             let runs_on_http = reader.flag("on-http").unwrap_or(false);
@@ -287,22 +295,25 @@
                 client_timeout: classes[index].class.deadline,
             };
             let priority_classes = [
-                priority_class(low.unwrap_or(class)),
+                priority_class(low_class.unwrap_or(class)),
                 priority_class(class),
-                priority_class(high.unwrap_or(class)),
+                priority_class(high_class.unwrap_or(class)),
             ];
             if priority_classes
                 .iter()
                 .any(|other| classes[other.class.0].class.effect != classes[class].class.effect)
             {
-                let help = "name classes with the same effect: it describes the function, whatever the priority of a job";
+                let help =
+                    "name classes with the same effect: a job's effect must not depend on its priority";
                 reader.report(
                     "class",
                     format!("the classes of function \"{name}\" have different effects"),
                     help,
                 );
             }
+            // Index 1 is normal priority.
             let background_timeout = background_timeout.unwrap_or(priority_classes[1].client_timeout);
+            // Skills are numbered from 0: first the classes, then the functions.
             let skill = (classes.len() + functions.len()) as u32;
             let owned_name = name.to_owned();
             let function =
@@ -317,7 +328,7 @@
         functions
     }
 
-    /// The kinds of machine of all workers in the file, without duplicates.
+    /// Returns the kinds of machine of all workers in the file, without duplicates; [`DEFAULT_KIND`] if there are none.
     fn kinds(&self) -> Vec<&'a str> {
         let mut kinds: Vec<&str> = Vec::new();
         for node in self.nodes("http-worker").chain(self.nodes("gearman")) {
@@ -332,7 +343,7 @@
         kinds
     }
 
-    /// The HTTP workers.
+    /// Returns the HTTP workers. A worker with a missing or invalid name or address is recorded as an error and left out.
     fn static_workers(
         &self,
         classes: &[&str],
@@ -349,6 +360,7 @@
             let weight = reader.number("weight", 0.001, 1e6).unwrap_or(1.0);
             let class_names = reader.texts("classes");
             let kind = reader.kind();
+            // `kind()` neither checks the value nor marks the key as known; `text()` does both.
             reader.text("kind");
             reader.report_unknown_keys();
             let mut accepted_skills = 0_u64;
@@ -365,6 +377,7 @@
             if class_names.is_none() {
                 accepted_skills = (0..classes.len() as u32).map(skill_bit).sum();
             }
+            // The worker also runs the `on-http` functions whose class at normal priority (index 1) it runs.
             for (_, function, _) in functions.iter().filter(|(.., runs_on_http)| *runs_on_http) {
                 if accepted_skills & skill_bit(function.priority_classes[1].class.0 as u32) != 0 {
                     accepted_skills |= skill_bit(function.skill);
@@ -390,7 +403,8 @@
         workers.into_iter().map(|(_, worker)| worker).collect()
     }
 
-    /// The Gearman listener's settings, `None` if it is not enabled.
+    /// Returns the settings of the Gearman listener. Returns `None` if neither the file nor the command line enables it, or if
+    /// its address is missing or invalid.
     fn gearman(
         &self,
         name: &str,
@@ -425,6 +439,7 @@
             .unwrap_or(MAX_WORKLOAD_BYTES);
         let kind = reader.map_or(DEFAULT_KIND, SettingsReader::kind);
         if let Some(reader) = reader {
+            // `kind()` neither checks the value nor marks the key as known; `text()` does both.
             reader.text("kind");
             reader.report_unknown_keys();
         }
@@ -441,7 +456,7 @@
         })
     }
 
-    /// The tenants and their names.
+    /// Returns the tenants and their names.
     fn tenants(&self) -> Vec<(&'a str, Tenant)> {
         let mut tenants: Vec<(&str, Tenant)> = Vec::new();
         for node in self.nodes("tenant") {
@@ -464,7 +479,8 @@
         tenants
     }
 
-    /// The decision module's settings, and how long an HTTP worker keeps an idle connection open.
+    /// Returns the settings of the decision module, and the time in microseconds after which an HTTP worker closes an idle
+    /// connection.
     fn settings(
         &self,
         classes: Vec<Class>,
@@ -514,8 +530,8 @@
             weights: true,
             limits: Limits {
                 max_attempts,
-                // No copies: once part of one attempt's output has been forwarded to the client, another attempt cannot
-                // continue it.
+                // A job has one attempt at a time: once the client has received a part of one attempt's output, the output of
+                // another attempt cannot continue it.
                 concurrent_attempts: false,
                 cancel: true,
                 probes,
@@ -540,17 +556,17 @@
     }
 }
 
-/// The kind of machine of workers whose node does not set `kind`.
+/// The kind of machine of a worker whose node does not set `kind`.
 const DEFAULT_KIND: &str = "worker";
 
 impl<'a> SettingsReader<'a> {
-    /// The kind of machine, [`DEFAULT_KIND`] if the node sets none.
+    /// Returns the kind of machine that a worker's node sets, or [`DEFAULT_KIND`] if the node sets none.
     fn kind(&self) -> &'a str {
         self.peek_text("kind").unwrap_or(DEFAULT_KIND)
     }
 }
 
-/// The bit of a skill in a set of skills, 0 if the index is too large for the set.
+/// Returns the bit that stands for a skill in a set of skills, or 0 if the skill's index is too large for the set.
 fn skill_bit(skill: u32) -> u64 {
     1_u64.checked_shl(skill).unwrap_or(0)
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -23,7 +23,7 @@
     /// # Errors
     /// A message that names the invalid or missing key, or says why the file cannot be read.
     pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        // A variable is what a person sets to try something, so it overrides the file.
+        // Variables are set by hand, to try out a value, so they override the file.
         Config::load_from(env, Precedence::Environment)
     }
 
@@ -226,8 +226,8 @@
     number.ok_or_else(|| format!("'{key}': '{text}' is not a descriptor number of at least 3"))
 }
 
-/// The smallest value of `control_silence_ms`, in milliseconds. A shorter one could not be distinguished from the normal pause
-/// between two lines of a watch.
+/// The smallest value of `control_silence_ms`, in milliseconds. A shorter silence can also be the normal pause between two
+/// lines of a watch.
 const MIN_SILENCE_MS: u64 = 3_000;
 const DEFAULT_SILENCE_MS: u64 = 5_000;
 const MAX_SILENCE_MS: u64 = 3_600_000;
@@ -346,7 +346,7 @@
 
     #[test]
     fn valid_file_is_read_and_missing_keys_get_defaults() {
-        let config = read(VALID).expect("the file is valid");
+        let config = read(VALID).expect("a valid file was rejected");
         assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
         assert_eq!(
             (config.max_descriptors, config.max_open_requests, config.worker_idle_timeout),
@@ -362,7 +362,7 @@
     fn environment_overrides_file_at_start_and_file_overrides_environment_on_reload() {
         let env = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
         let listen = |text: &str, precedence| {
-            Config::read(text, env, precedence).expect("the file is valid").listen.to_string()
+            Config::read(text, env, precedence).expect("a valid file was rejected").listen.to_string()
         };
         assert_eq!(listen(VALID, Precedence::Environment), "127.0.0.9:1");
         assert_eq!(listen(VALID, Precedence::File), "127.0.0.1:8443");
@@ -378,12 +378,12 @@
         };
         let read =
             |passed: &'static str| Config::read(VALID, |name| variable(name, passed), Precedence::File);
-        let config = read("3").expect("the file is valid");
+        let config = read("3").expect("a valid file was rejected");
         assert_eq!(
             (config.passed_socket, config.upgrade_socket),
             (Some(3), Some(PathBuf::from("/t/calicolb.sock")))
         );
-        let config = read("").expect("the file is valid");
+        let config = read("").expect("a valid file was rejected");
         assert_eq!((config.passed_socket, config.upgrade_socket), (None, None));
         for invalid in ["three", "-1", "1"] {
             assert!(read(invalid).err().is_some_and(|message| message.contains("RELAY_PASSED_SOCKET")));
--- a/src/config/settings_reader.rs
+++ b/src/config/settings_reader.rs
@@ -72,14 +72,15 @@
 }
 
 /// Reads the arguments and settings of one node. A setting is either a property (`aim="1s"`) or a child node (`aim "1s"`).
-/// The methods that read a setting return `None` both where it is absent and where it is invalid; the latter is recorded.
+/// A method that reads a setting returns `None` if the setting is absent, and also if it is invalid, which is recorded as an
+/// error.
 pub struct SettingsReader<'a> {
     collector: &'a DiagnosticCollector,
     node_name: &'a str,
     span: SourceSpan,
     arguments: Vec<Entry<'a>>,
     settings: BTreeMap<&'a str, Vec<Entry<'a>>>,
-    /// The keys that were asked for so far; every other key is unknown.
+    /// The keys that were read so far. [`SettingsReader::report_unknown_keys`] rejects all others.
     known_keys: RefCell<Vec<&'static str>>,
 }
 
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The position of the node's name.
+    /// Returns the position of the node's name.
     pub fn span(&self) -> SourceSpan {
         self.span
     }
@@ -122,7 +123,7 @@
         self.collector.report(entry.map_or(self.span, |entry| entry.span), message, help);
     }
 
-    /// The node's first argument, which must be a valid name: 1 to 64 ASCII letters, digits, '-', '_' or '.'.
+    /// Returns the node's first argument, which must be a valid name: 1 to 64 ASCII letters, digits, '-', '_' or '.'.
     pub fn name(&self) -> Option<&'a str> {
         let name = self.arguments.first().and_then(|entry| entry.value.as_string());
         let is_valid = |name: &&str| {
@@ -138,7 +139,7 @@
         valid_name
     }
 
-    /// The first value of a key, if it is text. Neither records an error nor marks the key as known.
+    /// Returns the first value of a key, if it is text. Neither records an error nor marks the key as known.
     pub fn peek_text(&self, key: &str) -> Option<&'a str> {
         self.settings.get(key)?.first()?.value.as_string()
     }
@@ -255,7 +256,8 @@
         self.parse(key, "an address with a port: \"127.0.0.1:8080\"", parse)
     }
 
-    /// Reads the name of another node and returns its index in `names`. `kind` says in error messages what is named.
+    /// Reads the name of another node and returns its index in `names`. `kind` is the word for
+    /// such a node in error messages, for example `class`.
     pub fn name_index(&self, key: &'static str, kind: &str, names: &[&str]) -> Option<usize> {
         let name = self.text(key)?;
         let index = names.iter().position(|known| *known == name);
@@ -278,8 +280,8 @@
         value
     }
 
-    /// Records an error for every setting that was not asked for, so that a misspelt key is not ignored. To be called after
-    /// all settings of the node were read.
+    /// Records an error for each setting of the node that was not read, so that a misspelt key is not ignored. Must be called
+    /// after all known settings were read.
     pub fn report_unknown_keys(&self) {
         let known = self.known_keys.borrow();
         for (key, values) in self.settings.iter().filter(|(key, _)| !known.contains(*key)) {
@@ -290,7 +292,7 @@
     }
 }
 
-/// Help for an unknown name: the most similar known name, or, if none is similar, all of them.
+/// Returns the help for an unknown name: the most similar known name, or all known names if none is similar.
 pub fn suggest_name<'b>(name: &str, known: impl Iterator<Item = &'b str>) -> String {
     let mut known: Vec<&str> = known.collect();
     known.sort_by(|a, b| {
--- a/src/config/worker_list.rs
+++ b/src/config/worker_list.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A complete version of the list, or the changes since the version that the reader has.
+/// A complete version of the list, or the changes since the version that the receiver has.
 #[derive(Serialize, Deserialize)]
 pub struct ListUpdate {
     /// The number of the version.
     pub seq: u64,
-    /// Whether `hosts` is the complete list.
+    /// True if `hosts` is the complete list, false if it holds the changes.
     #[serde(default)]
     pub whole: bool,
     /// One JSON object for each worker, not yet parsed.
--- a/src/log.rs
+++ b/src/log.rs
@@ -6,7 +6,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::Level;
 
-/// Lines written per second at most, so that a flood of bad input does not become a flood of writes.
+/// The largest number of lines that are written per second, so that a flood of bad input does not become a flood of writes.
 const MAX_LINES_PER_SECOND: u64 = 40;
 
 /// The current second (Unix time) in the upper 40 bits and the number of lines requested in that second in the lower 24.
@@ -22,7 +22,7 @@
     Json,
 }
 
-/// Installs the global log writer. If nobody reads standard error any more, the program goes on.
+/// Installs the global log writer. The program continues even if standard error is closed at its reading end.
 pub fn start(format: LogFormat, level: Level) {
     let subscriber = tracing_subscriber::fmt().with_writer(io::stderr).with_max_level(level).with_ansi(false);
     let subscriber = subscriber.with_target(false);
@@ -33,8 +33,9 @@
     };
 }
 
-/// Counts one line against the limit of the current second. Returns `None` if the line must be dropped, else the number
-/// of lines that were dropped in the last second with any lines, when this is the first line of a new second, or 0.
+/// Counts one line against the limit of the current second. Returns `None` if the line must be dropped. Otherwise returns the
+/// number of dropped lines to report: the first line of a second gets the number of lines that were dropped in the latest
+/// earlier second in which lines were requested, and every other line gets 0.
 pub fn admit_line() -> Option<u64> {
     let second = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_secs());
     admit_line_at(&LINE_COUNTER, second)
@@ -61,7 +62,7 @@
             && let Some(dropped) = $crate::log::admit_line()
         {
             if dropped > 0 {
-                tracing::warn!(dropped, "log lines were dropped by the limit per second");
+                tracing::warn!(dropped, "log lines were dropped: more than the maximum were due in one second");
             }
             tracing::event!(tracing::Level::$level, $($token)*);
         }
--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -104,14 +104,14 @@
         })
     }
 
-    /// The line that says that there is no newer version.
+    /// Returns the line that says that there is no newer version.
     pub(super) fn unchanged_line(&self) -> Vec<u8> {
         let (agreed, majority) = (self.voter.agreed(), self.voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
         serialize_line(&WatchLine { seq: agreed.seq, majority, digest, ..WatchLine::default() })
     }
 
-    /// The lines that bring a learner from this version to the agreed one.
+    /// Returns the lines that take a learner from the version with this number and digest to the agreed one.
     fn lines_since(&self, seq: u64, digest: Option<Digest>) -> Vec<u8> {
         let majority = self.voter.has_majority();
         let Some(digest) = digest else { return self.full_line() };
@@ -154,8 +154,8 @@
         let name = name.to_owned();
         let lines = self.lines_since(seq, digest);
         let agreed = self.voter.agreed();
-        // A learner that is ahead of this machine gets lines only when this machine has caught up. Before the first version
-        // each learner has its own settings under the number 0.
+        // A learner that is ahead of this machine keeps its number and digest, and gets lines only when this machine has caught
+        // up. So does a learner with the number 0 before the first version is agreed: its settings are those of its own file.
         let (seq, digest) = if seq >= agreed.seq { (seq, digest) } else { (agreed.seq, Some(agreed.digest)) };
         let watch = Watch { name, seq, digest };
         self.learners.add_watch(token, watch);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Answers a change request with the outcome of the change, `None` if it was not known in time.
+    /// Answers a change request with the outcome of the change; `None` if the outcome was not known in time.
     pub(super) fn respond_to_change(&mut self, now: Micros, token: usize, outcome: Option<Outcome>) {
         match outcome {
             Some(Outcome::Agreed { seq, digest }) => {
@@ -260,8 +260,8 @@
     }
 }
 
-/// Whether a learner's name can be written to a request line and to the log unescaped: 1 to 64 ASCII letters, digits, '-', '_'
-/// or '.'.
+/// Returns true if a learner's name can be written to a request line and to the log unescaped: it has 1 to 64 ASCII letters,
+/// digits, '-', '_' or '.'.
 fn is_valid_name(name: &str) -> bool {
     (1..=64).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
--- a/src/net/control/inbound.rs
+++ b/src/net/control/inbound.rs
@@ -27,8 +27,8 @@
 const WATCH_SEND_BUFFER_BYTES: usize = 64 * 1024;
 /// The time for the client to close a connection after the last response before it is closed here.
 const CLOSE_TIMEOUT: Micros = SECOND;
-/// The largest number of connections that may hold more input than a change of settings needs. Each other control machine
-/// has one connection for peer messages.
+/// The largest number of connections that may hold more input than a change of settings needs. Each of the other control
+/// machines needs one, for its messages.
 const MAX_LARGE_INPUTS: usize = calicolb_agreed::bounds::VOTERS;
 /// The largest amount of pending output for one learner, in bytes: a few complete versions. The watch of a learner that reads
 /// nothing is closed at this limit, and the learner opens a new one.
@@ -56,7 +56,7 @@
     buffer: Buffer,
     phase: Phase,
     keep_alive: bool,
-    /// Whether [`REQUEST_TIMEOUT`] is running: the connection is new, or a part of a request has arrived.
+    /// True while [`REQUEST_TIMEOUT`] is running: the connection is new, or a part of a request has arrived.
     awaiting_request: bool,
 }
 
@@ -81,7 +81,7 @@
         InboundConnections { listener, connections: BTreeMap::new(), max_watches, open_watches: 0 }
     }
 
-    /// Whether the token belongs to an open connection.
+    /// Returns true if the token belongs to an open connection.
     pub fn owns(&self, token: usize) -> bool {
         self.connections.contains_key(&token)
     }
@@ -165,7 +165,7 @@
                             self.close(io, token);
                             return None;
                         }
-                        // The last input may complete the request. If it does not, nothing will.
+                        // The client sends nothing more. The input may hold a complete request; if not, the connection is closed.
                         FillOutcome::Closed => {
                             if let Ok(None) =
                                 framing::parse_request_with_limit(connection.buffer.input(), body_limit)
@@ -361,7 +361,7 @@
             .collect()
     }
 
-    /// Whether any connection has pending output or an unanswered request.
+    /// Returns true if any connection has pending output or an unanswered request.
     pub fn is_busy(&self) -> bool {
         self.connections
             .values()
--- a/src/net/control/learners.rs
+++ b/src/net/control/learners.rs
@@ -4,7 +4,8 @@
 use calicolb_agreed::Digest;
 use std::collections::BTreeMap;
 
-/// How long the version of a learner is remembered after its last watch ended or its last report came, in microseconds.
+/// The time in microseconds after which the version of a learner without a watch is forgotten. The time counts from the end of
+/// the last watch or from the last report, whichever is later.
 const RETENTION: Micros = 10_000_000;
 
 /// An open watch: a learner's connection on which it receives new versions.
@@ -26,9 +27,9 @@
 
 /// The watches of a control machine and the versions that learners reported.
 pub struct Learners {
-    /// By the token of the connection.
+    /// The open watches, by the token of their connection.
     watches: BTreeMap<usize, Watch>,
-    /// By the learner's name.
+    /// The reported versions, by the name of the learner.
     in_force: BTreeMap<String, ReportedVersion>,
     /// The largest number of names in `in_force`.
     max_names: usize,
@@ -40,7 +41,8 @@
         Learners { watches: BTreeMap::new(), in_force: BTreeMap::new(), max_names }
     }
 
-    /// Records a new watch. Several may exist with one name for a while: a learner that reconnected, and its old connection.
+    /// Records a new watch. After a learner has reconnected, its old watch can still be open, so several watches may have the
+    /// same name.
     pub fn add_watch(&mut self, token: usize, watch: Watch) {
         self.watches.insert(token, watch);
     }
@@ -50,12 +52,12 @@
         self.watches.keys().copied().collect()
     }
 
-    /// The watch on a connection, if the connection is one.
+    /// Returns the watch on a connection; `None` if the connection is not a watch.
     pub fn watch_mut(&mut self, token: usize) -> Option<&mut Watch> {
         self.watches.get_mut(&token)
     }
 
-    /// Removes the watch of a closed connection, if the connection was one.
+    /// Removes the watch of a closed connection. Does nothing if the connection was not a watch.
     pub fn remove_watch(&mut self, now: Micros, token: usize) {
         if let Some(watch) = self.watches.remove(&token)
             && let Some(reported) = self.in_force.get_mut(&watch.name)
--- a/src/net/control/link.rs
+++ b/src/net/control/link.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether the token belongs to this link's connection.
+    /// Returns true if the token belongs to this link's connection.
     pub fn owns(&self, token: usize) -> bool {
         self.connection.as_ref().is_some_and(|connection| connection.token == token)
     }
@@ -120,6 +120,7 @@
         if !matches!(connection.stream.take_error(), Ok(None)) {
             return Err(());
         }
+        // The connection is not established yet.
         if connection.stream.peer_addr().is_err() {
             return Ok(());
         }
--- a/src/net/control/machine.rs
+++ b/src/net/control/machine.rs
@@ -1,5 +1,7 @@
-//! The event loop of a control machine. Each iteration passes received messages and expired deadlines to the voter. The voter's
-//! own messages are sent at the end of the iteration, when the voter has stored the state that they depend on.
+//! The event loop of a control machine. Each iteration passes received messages and expired deadlines to the [`Voter`], the
+//! machine's part in the agreement on settings. The messages that the voter wants to send are sent at the end of the iteration,
+//! when the voter has stored the state that they depend on. Agreed versions are sent to the learners, which are the schedulers:
+//! each has a watch, a connection that stays open for new versions.
 
 use super::IoContext;
 use super::inbound::InboundConnections;
@@ -24,15 +26,15 @@
 /// Tokens up to this number are reserved for the event loop itself. Connections get higher ones.
 const LAST_RESERVED_TOKEN: usize = 15;
 const MILLI: Micros = 1_000;
-/// The interval of the voter's ticks, in which it counts time.
+/// The interval of the voter's ticks. The voter reads no clock; it counts ticks.
 const TICK_INTERVAL: Micros = 100 * MILLI;
-/// The interval of the lines that tell the watches that there is no newer version.
+/// The interval at which each watch gets a line that says that there is no newer version.
 const HEARTBEAT_INTERVAL: Micros = 1_500 * MILLI;
 /// The largest number of changes that wait for a majority at once.
 pub(super) const MAX_PENDING_CHANGES: usize = 16;
-/// A change that is not agreed within this time is answered with status 503.
+/// The time after which a change request is answered with status 503 if the change is not agreed.
 pub(super) const AGREEMENT_TIMEOUT: Micros = 4_000 * MILLI;
-/// The time for unfinished responses after SIGTERM, before the process exits.
+/// The time after SIGTERM at which the process exits even if changes are pending or responses unfinished.
 const SHUTDOWN_TIMEOUT: Micros = 1_000 * MILLI;
 
 /// A change that waits for a majority.
@@ -60,9 +62,9 @@
     pub(super) pending_changes: Vec<PendingChange>,
     /// The settings to propose as the first version, until a version is agreed.
     initial_settings: Option<Document>,
-    /// What was last announced to the learners: the number of the version, and whether there is a majority.
+    /// The last announcement to the learners: the number of the version, and true if this machine had a majority.
     pub(super) last_announced: (u64, bool),
-    /// Whether the listener may have more connections to accept.
+    /// True if the listener may have more connections to accept, which are then accepted at the next tick.
     accept_again: bool,
     /// The time of the voter's last tick.
     last_tick: Micros,
@@ -73,7 +75,7 @@
     /// Opens the store and the listener.
     ///
     /// # Errors
-    /// The address is in use, or the store cannot be read or written.
+    /// Returns an error if the address is in use, or if the store cannot be read or written.
     pub fn new(config: ControlConfig) -> io::Result<Self> {
         let mut signals = Signals::new([SIGTERM])?;
         let poll = Poll::new()?;
@@ -122,7 +124,7 @@
     /// Serves until SIGTERM.
     ///
     /// # Errors
-    /// Polling fails, or the voter's state cannot be stored.
+    /// Returns an error if polling fails or the voter cannot store its state.
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
         let now = self.clock.now();
@@ -139,6 +141,7 @@
                 self.handle_event(now, event.token());
             }
             while let Some(deadline) = self.deadlines.next_due(now) {
+                // The end of SHUTDOWN_TIMEOUT.
                 if deadline == Deadline::DrainClients {
                     return Ok(());
                 }
@@ -204,8 +207,8 @@
     fn handle_deadline(&mut self, now: Micros, deadline: Deadline) {
         match deadline {
             Deadline::ControlTick => {
-                // Ticks that were missed while the process did not run are not made up for, but the voter must know that the
-                // messages it received are older now.
+                // Ticks that were due while the process was paused are not repeated. The voter is told their number, so that
+                // it takes the messages received before the pause for that much older.
                 let missed = now.saturating_sub(self.last_tick) / TICK_INTERVAL;
                 if missed > 1 {
                     self.voter.missed(missed - 1);
@@ -220,6 +223,7 @@
             }
             Deadline::Heartbeat => {
                 self.deadlines.set(Deadline::Heartbeat, now + HEARTBEAT_INTERVAL);
+                // With a majority, an empty line says that there is no newer version.
                 let line = if self.voter.has_majority() { b"\n".to_vec() } else { self.unchanged_line() };
                 for token in self.learners.watch_tokens() {
                     self.send_line(now, token, &line);
@@ -240,6 +244,7 @@
                 }
                 self.remove_watch_if_closed(now, token);
             }
+            // The other deadlines are set only by schedulers.
             _ => {}
         }
     }
@@ -273,7 +278,9 @@
         let Some(set) = self.initial_settings.clone() else { return };
         match self.voter.propose(Change { set, ..Change::default() }, &SharedSettingsCheck) {
             Ok(ticket) => {
-                log_line!("no version is agreed yet: the initial settings of the operator file are proposed");
+                log_line!(
+                    "no version is agreed yet: proposing the initial settings that the operator file names"
+                );
                 self.pending_changes.push(PendingChange {
                     ticket,
                     token: None,
@@ -282,12 +289,13 @@
             }
             Err(Refused::Faulty(fault)) => {
                 log_line!(
-                    warn: "the initial settings of the operator file are invalid: '{}' {}",
+                    warn: "the initial settings that the operator file names are invalid: '{}' {}",
                     fault.key,
                     fault.why
                 );
                 self.initial_settings = None;
             }
+            // The settings are proposed again in the next iteration.
             Err(_) => {}
         }
     }
@@ -296,7 +304,7 @@
     /// changes whose outcome is known.
     ///
     /// # Errors
-    /// The voter's store failed.
+    /// Returns an error if the voter's store failed.
     fn finish_iteration(&mut self, now: Micros) -> io::Result<()> {
         self.propose_initial_settings(now);
         let mut outcomes: Vec<(Option<usize>, Option<Outcome>)> = Vec::new();
@@ -321,6 +329,7 @@
         for (token, outcome) in outcomes {
             let Some(token) = token else { continue };
             self.respond_to_change(now, token, outcome);
+            // The connection's next request may already have arrived.
             self.serve_requests(now, token);
         }
         Ok(())
--- a/src/net/control/messages.rs
+++ b/src/net/control/messages.rs
@@ -12,10 +12,10 @@
 pub struct WatchLine {
     /// The number of the version that the receiver has after this line.
     pub seq: u64,
-    /// Whether the line contains the complete settings instead of a change.
+    /// True if the line contains the complete settings instead of a change.
     #[serde(rename = "whole", default, skip_serializing_if = "std::ops::Not::not")]
     pub complete: bool,
-    /// Whether the sending machine is connected to a majority, so that no newer version was agreed shortly before.
+    /// True if the sending machine is connected to a majority, so that no newer version was agreed shortly before.
     pub majority: bool,
     /// The digest of the version; empty in a line that only reports the loss of the majority.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -82,7 +82,7 @@
     pub id: u64,
     /// The number of the machine that this one believes to be the leader.
     pub leader: Option<u64>,
-    /// Whether the machine is connected to a majority.
+    /// True if the machine is connected to a majority.
     pub majority: bool,
     /// The number of the newest agreed version that the machine knows.
     pub seq: u64,
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -19,7 +19,7 @@
 /// The largest message between control machines, in bytes: everything that a machine lacks after a long absence.
 const MAX_PEER_MESSAGE_BYTES: usize = calicolb_agreed::bounds::MESSAGE_BYTES;
 
-/// What the connections of a control machine need in one iteration of its event loop.
+/// The resources that the connections of a control machine use in one iteration of its event loop.
 struct IoContext<'a> {
     registry: &'a Registry,
     deadlines: &'a mut Deadlines,
--- a/src/net/operators/drain.rs
+++ b/src/net/operators/drain.rs
@@ -4,9 +4,9 @@
 use calicolb::api::Micros;
 
 /// Time from the start of a drain until clients are disconnected, in microseconds. Clients are served during this time:
-/// the load balancer in front keeps sending for 0.3 s, and the scheduler that was restarted before this one may not be
-/// ready yet, so a client sent away earlier could find no scheduler. The upper bound is that no request accepted later than
-/// 2 s after LAMEDUCK may still be open on a connection 4 s after it.
+/// the load balancer in front keeps sending requests here for 0.3 s, and the scheduler that was restarted before this one
+/// may not be ready yet, so a client disconnected earlier could find no scheduler. The delay cannot be much longer: a request
+/// that was accepted later than 2 s after LAMEDUCK must not be open on a connection 4 s after LAMEDUCK.
 pub const CLIENT_DISCONNECT_DELAY: Micros = 1_800_000;
 
 /// The reason for a drain.
@@ -26,7 +26,7 @@
 }
 
 impl Drain {
-    /// Starts a drain. Returns whether none was running. [`DrainReason::ProcessExit`] is never replaced by another reason.
+    /// Starts a drain. Returns true if none was running. [`DrainReason::ProcessExit`] is never replaced by another reason.
     pub fn begin(&mut self, reason: DrainReason) -> bool {
         let first = self.reason.is_none();
         if self.reason != Some(DrainReason::ProcessExit) {
@@ -35,7 +35,7 @@
         first
     }
 
-    /// Ends a drain, unless the process is exiting. Returns whether the scheduler accepts clients again.
+    /// Ends a drain, unless the process is exiting. Returns true if the scheduler accepts clients again.
     pub fn rejoin(&mut self) -> bool {
         if self.is_process_exiting() {
             return false;
@@ -44,17 +44,17 @@
         true
     }
 
-    /// Whether no drain is running.
+    /// Returns true if no drain is running.
     pub fn accepts_clients(&self) -> bool {
         self.reason.is_none()
     }
 
-    /// Whether the drain was started by an operator and the process is not exiting.
+    /// Returns true if the drain was started by an operator and the process is not exiting.
     pub fn is_operator_drain(&self) -> bool {
         self.reason == Some(DrainReason::OperatorRequest)
     }
 
-    /// Whether the process is exiting.
+    /// Returns true if the process is exiting.
     pub fn is_process_exiting(&self) -> bool {
         self.reason == Some(DrainReason::ProcessExit)
     }
@@ -64,7 +64,7 @@
         self.disconnecting = true;
     }
 
-    /// Whether the process only has to answer the accepted requests before it exits.
+    /// Returns true if the process only has to answer the accepted requests before it exits.
     pub fn is_final_phase(&self) -> bool {
         self.is_process_exiting() && self.disconnecting
     }
--- a/src/net/operators/management.rs
+++ b/src/net/operators/management.rs
@@ -57,7 +57,7 @@
         ManagementServer { listener, connections: BTreeMap::new() }
     }
 
-    /// Whether the token belongs to a connection of this server.
+    /// Returns true if the token belongs to a connection of this server.
     pub fn owns(&self, token: usize) -> bool {
         self.connections.contains_key(&token)
     }
@@ -70,7 +70,8 @@
         idle_connections: &mut dyn ReleaseIdle,
     ) -> Vec<(usize, Option<ManagementCommand>)> {
         let mut commands = Vec::new();
-        // At most as many per iteration of the event loop as may be open; the rest are accepted in the next iteration.
+        // One iteration of the event loop accepts at most as many connections as may be open. The rest are accepted in the
+        // next iteration.
         for _ in 0..MAX_MANAGEMENT_CONNECTIONS {
             match self.listener.accept() {
                 Ok((stream, _)) => {
