--- a/src/net/control/answers.rs
+++ b/src/net/control/answers.rs
@@ -22,7 +22,7 @@
                         token,
                         400,
                         "",
-                        "'from' is not the number of another control machine",
+                        "it does not say which control machine it is from",
                     );
                 };
                 // The voter ignores a message that it cannot parse. The sender only needs to know that the message arrived.
@@ -45,7 +45,7 @@
                     self.learners.record_version(now, report.name, report.seq);
                     self.respond(now, token, 204, &[], b"");
                 }
-                Ok(_) => self.respond_error(now, token, 400, "name", "is not a valid name"),
+                Ok(_) => self.respond_error(now, token, 400, "name", "it is no name"),
                 Err(error) => self.respond_error(now, token, 400, "", &error.to_string()),
             },
             ("POST", "/control/changes") => self.handle_change(now, token, &request.body),
@@ -54,9 +54,9 @@
                 "/control/talk" | "/control/versions" | "/control/state" | "/control/in-force"
                 | "/control/changes",
             ) => {
-                self.respond_error(now, token, 405, "", "the method is not allowed here");
+                self.respond_error(now, token, 405, "", "not by this method");
             }
-            _ => self.respond_error(now, token, 404, "", "there is no such resource"),
+            _ => self.respond_error(now, token, 404, "", "nothing is there"),
         }
     }
 
@@ -65,7 +65,8 @@
         inbound.respond(&mut io, token, status, extra, body);
     }
 
-    /// Sends an error response with the reason, and with the invalid key unless it is empty.
+    /// Sends an error response with the reason, and with the invalid key unless it is empty. The texts of reasons are part of
+    /// the interface: programs and operators' scripts may match them, so they do not change.
     fn respond_error(&mut self, now: Micros, token: usize, status: u16, key: &str, reason: &str) {
         let body = to_json(&Refusal { key: key.to_owned(), why: reason.to_owned() });
         match status {
@@ -103,14 +104,14 @@
         })
     }
 
-    /// The line that says that there is no newer version.
+    /// Returns the line that says that there is no newer version.
     pub(super) fn unchanged_line(&self) -> Vec<u8> {
         let (agreed, majority) = (self.voter.decided_version(), self.voter.has_majority());
         let digest = if majority { agreed.digest.to_string() } else { String::new() };
         serialize_line(&WatchLine { seq: agreed.seq, majority, digest, ..WatchLine::default() })
     }
 
-    /// The lines that bring a learner from this version to the agreed one.
+    /// Returns the lines that take a learner from the version with this number and digest to the agreed one.
     fn lines_since(&self, seq: u64, digest: Option<Digest>) -> Vec<u8> {
         let majority = self.voter.has_majority();
         let Some(digest) = digest else { return self.full_line() };
@@ -136,7 +137,7 @@
 
     fn start_watch(&mut self, now: Micros, token: usize, target: &str) {
         let Some(name) = query_parameter(target, "name").filter(|name| is_valid_name(name)) else {
-            return self.respond_error(now, token, 400, "name", "is not a valid name");
+            return self.respond_error(now, token, 400, "name", "it is no name");
         };
         let seq = query_parameter(target, "from").and_then(|text| text.parse().ok()).unwrap_or(0);
         let digest = query_parameter(target, "digest").and_then(|text| text.parse::<Digest>().ok());
@@ -147,14 +148,14 @@
                 token,
                 503,
                 "",
-                "the maximum number of learners watch this machine: ask another one",
+                "as many learners watch here as may: ask another machine",
             );
         }
         let name = name.to_owned();
         let lines = self.lines_since(seq, digest);
         let agreed = self.voter.decided_version();
-        // A learner that is ahead of this machine gets lines only when this machine has caught up. Before the first version
-        // each learner has its own settings under the number 0.
+        // A learner that is ahead of this machine keeps its number and digest, and gets lines only when this machine has caught
+        // up. So does a learner with the number 0 before the first version is agreed: its settings are those of its own file.
         let (seq, digest) = if seq >= agreed.seq { (seq, digest) } else { (agreed.seq, Some(agreed.digest)) };
         let watch = Watch { name, seq, digest };
         self.learners.add_watch(token, watch);
@@ -208,10 +209,10 @@
             Err(error) => return self.respond_error(now, token, 400, "", &error.to_string()),
         };
         if self.pending_changes.len() >= MAX_PENDING_CHANGES {
-            return self.respond_error(now, token, 503, "", "too many changes are pending");
+            return self.respond_error(now, token, 503, "", "too many changes wait to be agreed");
         }
         if self.shutting_down {
-            return self.respond_error(now, token, 503, "", "this machine is shutting down");
+            return self.respond_error(now, token, 503, "", "this machine is ending");
         }
         let change = Change { set: request.set, unset: request.unset };
         match self.voter.propose(change, &SharedSettingsCheck) {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Answers a change request with the outcome of the change, `None` if it was not known in time.
+    /// Answers a change request with the outcome of the change; `None` if the outcome was not known in time.
     pub(super) fn respond_to_change(&mut self, now: Micros, token: usize, outcome: Option<Outcome>) {
         match outcome {
             Some(Outcome::Decided { seq, digest }) => {
@@ -243,7 +244,7 @@
                     token,
                     503,
                     "",
-                    "not agreed in time, but it may still be: check the current version",
+                    "not agreed in time; it may yet be: look at the versions",
                 );
             }
         }
@@ -256,17 +257,17 @@
                 self.respond_error(now, token, 503, "", "there is no majority of the control machines");
             }
             ProposeError::Stopped => {
-                self.respond_error(now, token, 503, "", "the store of this machine failed")
+                self.respond_error(now, token, 503, "", "this machine's store has failed")
             }
             ProposeError::TooManyProposals => {
-                self.respond_error(now, token, 503, "", "too many changes are pending")
+                self.respond_error(now, token, 503, "", "too many changes wait to be agreed")
             }
         }
     }
 }
 
-/// Whether a learner's name can be written to a request line and to the log unescaped: 1 to 64 ASCII letters, digits, '-', '_'
-/// or '.'.
+/// Returns true if a learner's name can be written to a request line and to the log unescaped: it has 1 to 64 ASCII letters,
+/// digits, '-', '_' or '.'.
 fn is_valid_name(name: &str) -> bool {
     (1..=64).contains(&name.len())
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
--- a/src/net/control/messages.rs
+++ b/src/net/control/messages.rs
@@ -1,4 +1,6 @@
 //! The JSON bodies of the control machines' HTTP interface, used by servers and clients.
+//!
+//! A parse error of a request body is part of the response. `expecting` keeps its text independent of the structs' names.
 
 use calicolb_consensus::Document;
 use serde::{Deserialize, Serialize};
@@ -10,10 +12,10 @@
 pub struct WatchLine {
     /// The number of the version that the receiver has after this line.
     pub seq: u64,
-    /// Whether the line contains the complete settings instead of a change.
+    /// True if the line contains the complete settings instead of a change.
     #[serde(rename = "whole", default, skip_serializing_if = "std::ops::Not::not")]
     pub complete: bool,
-    /// Whether the sending machine is connected to a majority, so that no newer version was agreed shortly before.
+    /// True if the sending machine is connected to a majority, so that no newer version was agreed shortly before.
     pub majority: bool,
     /// The digest of the version; empty in a line that only reports the loss of the majority.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -34,7 +36,7 @@
 
 /// The body of a request to change settings.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Wanted")]
 pub struct ChangeRequest {
     /// Keys to set, with their values.
     #[serde(default)]
@@ -46,6 +48,7 @@
 
 /// A learner's report of the version that it has in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(expecting = "struct InForce")]
 pub struct InForceReport {
     /// The learner's name.
     pub name: String,
@@ -79,7 +82,7 @@
     pub id: u64,
     /// The number of the machine that this one believes to be the leader.
     pub leader: Option<u64>,
-    /// Whether the machine is connected to a majority.
+    /// True if the machine is connected to a majority.
     pub majority: bool,
     /// The number of the newest agreed version that the machine knows.
     pub seq: u64,
