--- a/src/config/document/tests.rs
+++ b/src/config/document/tests.rs
@@ -4,7 +4,7 @@
 use crate::config::agreed::SharedSettingsCheck;
 use crate::net::control::messages::{ChangeRequest, InForceReport};
 use calicolb::api::{Effect, Settings};
-use calicolb_agreed::Check;
+use calicolb_consensus::Check;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
@@ -311,7 +311,7 @@
     assert_eq!(reason_of("request_classes", json!([])), "is missing or empty");
     let root = platform::parse_settings(&json!("x")).err().map_or_else(String::new, |error| error.reason);
     assert_eq!(root, unexpected("Info"));
-    let changed = SharedSettingsCheck.check(&to_document(&full_settings())).err().map(|fault| fault.why);
+    let changed = SharedSettingsCheck.check(&to_document(&full_settings())).err().map(|error| error.reason);
     assert_eq!(changed.as_deref(), Some("is each scheduler's own, and is agreed for none"));
     let error = serde_json::from_str::<ChangeRequest>("7").expect_err("a number was accepted as a change");
     assert_eq!(error.to_string(), "invalid type: integer `7`, expected struct Wanted at line 1 column 1");
