--- a/crates/consensus/src/envelope.rs
+++ b/crates/consensus/src/envelope.rs
@@ -10,7 +10,7 @@
 use omnipaxos::util::LogSync;
 use serde::{Deserialize, Serialize};
 
-/// A message between two voters with the state of their session. The short outer names keep messages small.
+/// A message between two voters with the state of their session. The fields are serialized under one-letter names.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Envelope {
     /// The sender's start number, which identifies one run of the process.
@@ -31,7 +31,7 @@
     /// The number of the voter that the sender follows; 0 for none.
     #[serde(rename = "l")]
     pub(crate) leader: u64,
-    /// Whether the sender is the leader and has recent replies from a majority that follows it.
+    /// True if the sender is the leader and has recent replies from a majority that follows it.
     #[serde(rename = "m")]
     pub(crate) has_majority: bool,
     /// The message of the consensus library.
--- a/crates/consensus/src/history.rs
+++ b/crates/consensus/src/history.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// What a learner with this version lacks. Deltas are returned only if they are not larger than the full
-    /// document.
+    /// Returns the changes that a learner with version `seq` lacks. They are returned as deltas only if the deltas are
+    /// not larger than the full document.
     pub(crate) fn changes_since(&self, seq: u64, digest: Digest) -> CatchUp {
         let version = self.version();
         if seq > version.seq {
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -31,21 +31,21 @@
     Full {
         /// The version.
         version: Version,
-        /// Whether the sending machine has a majority.
+        /// True if the sending machine has a majority.
         majority: bool,
     },
     /// The change to the next version.
     Delta {
         /// The change.
         delta: Delta,
-        /// Whether the sending machine has a majority.
+        /// True if the sending machine has a majority.
         majority: bool,
     },
     /// The number of the machine's current version, without its content.
     Current {
         /// The number of the version.
         seq: u64,
-        /// Whether the sending machine has a majority.
+        /// True if the sending machine has a majority.
         majority: bool,
     },
 }
@@ -103,13 +103,13 @@
     /// The latest version that was received completely, valid or not.
     held: Version,
     in_force: Arc<VersionInForce>,
-    /// The number of the latest version that a message mentioned.
+    /// The number of the latest version that a delta, a full version or a control machine's version number announced.
     latest_known: u64,
-    /// Whether a delta was received that does not follow the held version.
+    /// True if a delta was received that does not follow the held version.
     has_gap: bool,
     /// The time of the last message from a machine with a majority.
     majority_heard_at: Option<u64>,
-    /// The time of the last request and the interval after it.
+    /// The time of the last request, and the minimum interval until the next one, in microseconds.
     last_request: Option<(u64, u64)>,
     /// The reason why the held version is not in force, if it is invalid.
     validation_error: Option<ValidationError>,
@@ -200,8 +200,8 @@
         self.is_silent(now) || !self.is_up_to_date()
     }
 
-    /// The version since which to request changes, if the learner is behind and the request interval has passed. The
-    /// interval doubles with each request until a version comes into force.
+    /// Returns the version from which to request changes, if the learner is behind and the interval since the last
+    /// request has passed. The interval doubles with each request until a version comes into force.
     pub fn next_request(&mut self, now: u64) -> Option<VersionId> {
         if !self.is_behind(now) {
             return None;
@@ -215,7 +215,7 @@
         Some(self.held_version())
     }
 
-    /// The version that the learner holds, since which a control machine is asked for changes.
+    /// The version that the learner holds. Requests to a control machine are for the changes since this version.
     #[must_use]
     pub fn held_version(&self) -> VersionId {
         VersionId { seq: self.held.seq, digest: self.held.digest }
@@ -238,7 +238,7 @@
         in_force && !self.has_gap && self.latest_known <= self.held.seq
     }
 
-    /// Holds a newer version and applies it.
+    /// Stores a newer version as the held one, and brings it into force as far as possible.
     fn accept(&mut self, version: Version, majority: bool) -> UpdateOutcome {
         self.latest_known = self.latest_known.max(version.seq);
         self.held = version;
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The store's content is replaced by its current state when the store exceeds twice its size after the last replacement by
-/// this many bytes.
+/// The records in the store are replaced by records of the current state when the store is larger than twice its size
+/// after the last replacement plus this many bytes.
 const REPLACE_SLACK_BYTES: u64 = 2 * 1024 * 1024;
 
 /// A record in the store. Its variants and fields are part of the stored format.
@@ -115,7 +115,7 @@
     staged: Vec<Record>,
     /// The size of the store after its last replacement, in bytes.
     size_after_replace: u64,
-    /// Whether a write failed or a record was inconsistent. Nothing is written any more.
+    /// True if a write failed or a record was inconsistent. Nothing is written any more.
     failed: bool,
 }
 
@@ -204,8 +204,7 @@
         SharedLogStorage(Arc::new(Mutex::new(log_storage)))
     }
 
-    /// Locks the log storage. A panic in the consensus library may have poisoned the lock, which is ignored here
-    /// because the voter stops anyway.
+    /// Locks the log storage, even if a panic in the consensus library has poisoned the lock.
     pub(crate) fn lock(&self) -> MutexGuard<'_, LogStorage<S>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/consensus/src/outcome.rs
+++ b/crates/consensus/src/outcome.rs
@@ -45,7 +45,7 @@
     Invalidated(ValidationError),
     /// The change was not decided in time. If it had been sent, it may still be decided later.
     Unknown {
-        /// Whether the proposal had been sent. If not, it is certain never to be decided.
+        /// True if the proposal had been sent. If false, it is certain never to be decided.
         sent: bool,
     },
 }
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -12,8 +12,7 @@
     pub(crate) change: Change,
     /// The tick at which the proposal was created.
     created_at: u64,
-    /// The number of the version on which the proposal was last sent, and the tick of that; `None` if it was never
-    /// sent.
+    /// The number of the version on which the proposal was last sent, and the tick at which it was sent; `None` before.
     sent: Option<(u64, u64)>,
 }
 
--- a/crates/consensus/src/store/journal.rs
+++ b/crates/consensus/src/store/journal.rs
@@ -62,7 +62,7 @@
     batches: Vec<Vec<u8>>,
     /// The length of the journal in bytes.
     length: u64,
-    /// Whether a write failed, after which all operations fail.
+    /// True if a write failed, after which all operations fail.
     failed: bool,
 }
 
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -30,7 +30,7 @@
     /// The number of this start of the voter.
     start: u64,
     tick: u64,
-    /// Whether the store failed or the consensus library panicked.
+    /// True if the store failed or the consensus library panicked.
     stopped: bool,
     history: History,
     proposals: Proposals,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// The voter that this one follows, which may be this one itself.
+    /// The number of the voter that this one follows, which may be its own number.
     #[must_use]
     pub fn leader(&self) -> Option<VoterId> {
         self.omni_paxos.get_current_leader().map(|(leader, _)| leader)
@@ -265,7 +265,7 @@
     fn accepts_forwarded(&self, entries: &[Entry]) -> bool {
         let bytes: usize = entries.iter().map(|entry| entry.change.size_bytes()).sum();
         self.is_leader()
-            && self.undecided_entries() < limits::MAX_UNDECIDED_ENTRIES
+            && self.undecided_entry_count() < limits::MAX_UNDECIDED_ENTRIES
             && bytes <= limits::MAX_CHANGE_BYTES
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// The number of entries that are accepted but not decided.
-    fn undecided_entries(&self) -> usize {
+    fn undecided_entry_count(&self) -> usize {
         self.omni_paxos.get_accepted_idx().saturating_sub(self.omni_paxos.get_decided_idx())
     }
 
@@ -314,7 +314,7 @@
         self.process_results(skipped_entries);
     }
 
-    /// Stops the voter for good. Pending proposals end with an unknown outcome.
+    /// Stops the voter until it is restarted. Pending proposals end with an unknown outcome.
     fn stop(&mut self) {
         self.stopped = true;
         self.outgoing.clear();
@@ -380,7 +380,7 @@
     /// Sends the first proposal, unless there are too many undecided entries.
     fn send_first(&mut self, base: u64) {
         let Some(first) =
-            self.proposals.first().filter(|_| self.undecided_entries() < limits::MAX_UNDECIDED_ENTRIES)
+            self.proposals.first().filter(|_| self.undecided_entry_count() < limits::MAX_UNDECIDED_ENTRIES)
         else {
             return;
         };
--- a/crates/consensus/tests/fault_injection/scenarios.rs
+++ b/crates/consensus/tests/fault_injection/scenarios.rs
@@ -51,7 +51,7 @@
         }
     }
     // After this, one more change must reach all of them, whatever the state was before.
-    let Some(convergence_ticks) = simulation.run_until(CONVERGENCE_TICKS, Simulation::has_converged)? else {
+    let Some(ticks) = simulation.run_until(CONVERGENCE_TICKS, Simulation::has_converged)? else {
         let state: Vec<_> = VOTER_IDS
             .iter()
             .map(|id| simulation.voter(*id).map(|voter| (voter.decided_version().seq, voter.has_majority())))
@@ -90,7 +90,7 @@
     let checker = &simulation.checker;
     let (decided, invalidated, unknown, tightened) =
         (checker.decided, checker.invalidated, checker.unknown, checker.tightened);
-    Ok(Summary { decided, invalidated, unknown, tightened, convergence_ticks: convergence_ticks })
+    Ok(Summary { decided, invalidated, unknown, tightened, convergence_ticks: ticks })
 }
 
 /// Injects one random fault.
--- a/crates/consensus/tests/fault_injection/simulation.rs
+++ b/crates/consensus/tests/fault_injection/simulation.rs
@@ -82,7 +82,7 @@
     pub checker: InvariantChecker,
     /// The number of messages between voters and their size in bytes.
     pub traffic: (u64, u64),
-    /// Whether learners notice at once that a control machine was killed.
+    /// True if learners notice at once that a control machine was killed.
     pub kills_are_visible: bool,
 }
 
