--- a/crates/consensus/src/document.rs
+++ b/crates/consensus/src/document.rs
@@ -14,7 +14,8 @@
 pub struct ValidationError {
     /// The invalid key; empty if the error concerns the whole document or change.
     pub key: String,
-    /// The reason.
+    /// The reason. The control machines send it as the `why` of a refusal: its texts are part of that interface, so they do
+    /// not change.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -113,14 +114,14 @@
     if let Some(key) = change.unset.iter().find(|key| key.len() > limits::MAX_KEY_BYTES) {
         return Err(ValidationError::new(
             key,
-            format!("a key must have at most {} bytes, but has {}", limits::MAX_KEY_BYTES, key.len()),
+            format!("a key has {} bytes at most, not {}", limits::MAX_KEY_BYTES, key.len()),
         ));
     }
     let bytes = change.size_bytes();
     if bytes > limits::MAX_CHANGE_BYTES {
         return Err(ValidationError::new(
             "",
-            format!("the change has {bytes} bytes, but the maximum is {}", limits::MAX_CHANGE_BYTES),
+            format!("a change of {bytes} bytes, {} at most", limits::MAX_CHANGE_BYTES),
         ));
     }
     Ok(())
@@ -131,20 +132,20 @@
     if document.len() > limits::MAX_KEYS {
         return Err(ValidationError::new(
             "",
-            format!("the document has {} keys, but the maximum is {}", document.len(), limits::MAX_KEYS),
+            format!("{} keys, {} at most", document.len(), limits::MAX_KEYS),
         ));
     }
     for (key, value) in document {
         if key.is_empty() || key.len() > limits::MAX_KEY_BYTES {
             return Err(ValidationError::new(
                 key,
-                format!("a key must have 1 to {} bytes, but has {}", limits::MAX_KEY_BYTES, key.len()),
+                format!("a key has 1 to {} bytes, not {}", limits::MAX_KEY_BYTES, key.len()),
             ));
         }
         if nesting_depth(value) > limits::MAX_NESTING_DEPTH {
             return Err(ValidationError::new(
                 key,
-                format!("the value is nested more than {} levels deep", limits::MAX_NESTING_DEPTH),
+                format!("nested more than {} deep", limits::MAX_NESTING_DEPTH),
             ));
         }
     }
@@ -152,7 +153,7 @@
     if bytes > limits::MAX_DOCUMENT_BYTES {
         return Err(ValidationError::new(
             "",
-            format!("the document has {bytes} bytes, but the maximum is {}", limits::MAX_DOCUMENT_BYTES),
+            format!("{bytes} bytes, {} at most", limits::MAX_DOCUMENT_BYTES),
         ));
     }
     Ok(())
