--- a/tests/cold_processes.rs
+++ b/tests/cold_processes.rs
@@ -168,7 +168,7 @@
     let worker = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let discovery_at = discovery.local_addr().expect("it is bound");
-    discovery::confirm_for_ever(discovery);
+    discovery::confirm_list_forever(discovery);
     let silent = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     // Each at an address of its own, or another test might take the port before its process does.
     let host = |rank: usize| [127, 1 + (std::process::id() % 250) as u8, talk as u8, 1 + rank as u8];
--- a/tests/discovery/mod.rs
+++ b/tests/discovery/mod.rs
@@ -7,7 +7,7 @@
 
 /// Answers each watch with no change since the version that it names, and with an empty line each second, until the test
 /// ends.
-pub fn confirm_for_ever(listener: TcpListener) {
+pub fn confirm_list_forever(listener: TcpListener) {
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             thread::spawn(move || confirm(stream));
--- a/tests/regions/schedulers.rs
+++ b/tests/regions/schedulers.rs
@@ -1,6 +1,6 @@
 //! A scheduler as a process of the program, with a stand-in worker and a client of its own.
 
-use super::discovery::confirm_for_ever;
+use super::discovery::confirm_list_forever;
 use super::http::call;
 use super::machines::{Log, run, text};
 use serde_json::{Value, json};
@@ -57,7 +57,7 @@
         // Its discovery has nothing new.
         let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let discovery_at = discovery.local_addr().expect("it is bound");
-        confirm_for_ever(discovery);
+        confirm_list_forever(discovery);
         let config = json!({
             "name": format!("n{rank}"), "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0",
             "discovery": discovery_at.to_string(), "seed": format!("{:x}", rank * 7919), "limits": {"sockets": 256},
