--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "each test program uses a part of the language")]
 mod scenario;
 
-use scenario::{Setup, play, play_appliance, play_passed};
+use scenario::{Setup, run_scenario, run_with_operator_file, run_with_passed_socket};
 
 #[test]
 fn a_request_is_answered_whether_sigterm_comes_before_between_or_after_its_bytes() {
@@ -12,7 +12,7 @@
         (r"send c1 raw POST /book HTTP/1.1\r\nRequest-Id: a1\r\n", r"send c1 raw Request-Timeout: 9\r\n\r\n");
     let term = "send program TERM";
     for order in [[term, first, rest], [first, term, rest], [first, rest, term]] {
-        play(
+        run_scenario(
             1,
             &format!(
                 r#"
@@ -39,7 +39,7 @@
 #[test]
 fn the_last_byte_of_a_request_may_come_long_after_sigterm() {
     // Half of it is there when connections at rest are ended: this one is not at rest, and its answer is its last.
-    play(
+    run_scenario(
         1,
         r#"
         send c2 GET /up
@@ -61,7 +61,7 @@
 
 #[test]
 fn what_comes_after_the_end_of_a_connection_is_not_sent_on() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 GET /up
@@ -78,7 +78,7 @@
 #[test]
 fn workers_that_hang_at_sigterm_leave_nobody_without_an_answer() {
     // One has taken its job and goes silent, one has said nothing. Both clients hear of it in their time.
-    play(
+    run_scenario(
         2,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:2
@@ -105,7 +105,7 @@
     let news = r#"send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#;
     for (first, last) in [(news, ""), ("", news)] {
         let settings = [("/settings/request_classes/0/aim_us", "900000000")];
-        Setup { settings: &settings, ..Setup::default() }.play(&format!(
+        Setup { settings: &settings, ..Setup::default() }.run(&format!(
             r#"
             send c0 POST /look Request-Id:a1 Request-Timeout:900 Work-Hint:1000
             expect h1 POST /look Request-Id:a1
@@ -135,7 +135,7 @@
     for back in ["send h2 503 Not-Started:1", "close h2"] {
         for (first, last) in [(back, "close c1"), ("close c1", back)] {
             let settings = [("/settings/request_classes/0/aim_us", "15000000")];
-            Setup { hops: 2, settings: &settings, ..Setup::default() }.play(&format!(
+            Setup { workers: 2, settings: &settings, ..Setup::default() }.run(&format!(
                 r#"
                 send c1 POST /look Request-Id:a1 Request-Timeout:20
                 expect h2 POST /look Request-Id:a1
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_gearman_client_that_leaves_as_a_worker_wakes_is_not_served() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -183,7 +183,7 @@
     ] {
         for (class, then) in [("book", "expect c1 500"), ("look", "expect h1 POST /look Request-Id:a1")] {
             let settings = [("/settings/request_classes/0/aim_us", "15000000")];
-            Setup { hops: 2, settings: &settings, ..Setup::default() }.play(&format!(
+            Setup { workers: 2, settings: &settings, ..Setup::default() }.run(&format!(
                 r#"
                 send c1 POST /{class} Request-Id:a1 Request-Timeout:20
                 expect h2 POST /{class} Request-Id:a1
@@ -199,7 +199,7 @@
 #[test]
 fn an_answer_without_end_is_bounded_in_size_and_ends_its_attempt() {
     for endless in ["202 X-Much:#400000", "202 | #400000"] {
-        play(
+        run_scenario(
             1,
             &format!(
                 r#"
@@ -217,7 +217,7 @@
 fn half_a_line_on_a_resting_connection_is_seen_before_the_next_request_whichever_comes_first() {
     let (line, request) = (r"send h1 raw HTTP/1.1 2", "send c1 POST /book Request-Id:a2 Request-Timeout:9");
     for (first, last) in [(line, request), (request, line)] {
-        play(
+        run_scenario(
             1,
             &format!(
                 r#"
@@ -240,7 +240,7 @@
 
 #[test]
 fn a_second_answer_ends_the_connection_that_it_came_on() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:9
@@ -261,7 +261,7 @@
     let (news, close) =
         (r#"send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#, "close c1");
     for (first, last) in [(news, close), (close, news)] {
-        play(
+        run_scenario(
             1,
             &format!(
                 r#"
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_reset_long_after_a_request_was_written_may_have_let_it_run() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:9
@@ -316,7 +316,7 @@
 fn a_job_that_was_handed_over_ends_once_whatever_comes_in_the_same_moment() {
     let done = r#"send n2 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#;
     // Its result, twice; its client's end before or behind it.
-    play_passed(
+    run_with_passed_socket(
         1,
         &format!(
             r#"
@@ -333,7 +333,7 @@
         ),
     );
     for (first, last) in [(done, "close c1"), ("close c1", done)] {
-        play_passed(
+        run_with_passed_socket(
             1,
             &format!(
                 r#"
@@ -357,7 +357,7 @@
     // Held still before it can hand over, and killed: the successor begins with its own configuration.
     for held in [true, false] {
         let (stop, after) = if held { ("send predecessor STOP", "") } else { ("", "send predecessor KILL") };
-        play_passed(
+        run_with_passed_socket(
             2,
             &format!(
                 r#"
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -44,7 +44,7 @@
     ),
 ];
 
-fn play(hops: usize, (pushed, settings): Customer, script: &str) {
+fn run_scenario(workers: usize, (pushed_list, settings): Customer, script: &str) {
     let aims = [
         ("/settings/request_classes/0/aim_us", "15000000"),
         ("/settings/request_classes/1/aim_us", "15000000"),
@@ -52,8 +52,8 @@
     let settings: Vec<_> = settings.iter().copied().chain(aims).collect();
     // What an agent holds counts from the start: it says that there is nothing new.
     let told = "expect d GET /discovery/hosts?watch=1&from=41\nsend d watch\nsend d chunk \\n\n";
-    let script = format!("{}{script}", if pushed { told } else { "" });
-    Setup { hops, pushed, settings: &settings, ..Setup::default() }.play(&script);
+    let script = format!("{}{script}", if pushed_list { told } else { "" });
+    Setup { workers, pushed_list, settings: &settings, ..Setup::default() }.run(&script);
 }
 
 /// The worker that gets a first job, and the other one: which it is hangs on whether schedulers talk.
@@ -69,7 +69,7 @@
     } else {
         "expect c1 500".to_owned()
     };
-    play(
+    run_scenario(
         2,
         customer,
         &format!(
@@ -104,7 +104,7 @@
         let mut settings = CUSTOMERS[2].1.to_vec();
         settings.push(("/settings/request_classes/0/memory_span_us", span));
         settings.push(("/settings/request_classes/0/aim_us", "15000000"));
-        Setup { hops: 2, settings: &settings, ..Setup::default() }.play(&format!(
+        Setup { workers: 2, settings: &settings, ..Setup::default() }.run(&format!(
             r#"
             send c1 POST /look Request-Id:a1 Request-Timeout:20
             expect h1 POST /look Request-Id:a1
@@ -131,7 +131,7 @@
             })
             .collect();
         let script = format!("send c1 POST /{class} Request-Id:a1 Request-Timeout:20\n{back}expect c1 503");
-        play(1, customer, &script);
+        run_scenario(1, customer, &script);
     }
 }
 
@@ -139,7 +139,7 @@
 fn a_short_deadline_is_kept_by_each_customer() {
     for (customer, class) in [(CUSTOMERS[0], "book"), (CUSTOMERS[1], "look"), (CUSTOMERS[2], "book")] {
         let (first, _) = workers(customer);
-        play(
+        run_scenario(
             2,
             customer,
             &format!(
@@ -159,7 +159,7 @@
 #[test]
 fn a_class_that_no_settings_name_is_unknown_to_each_customer() {
     for customer in CUSTOMERS {
-        play(
+        run_scenario(
             2,
             customer,
             r#"
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "each test program uses a part of the language")]
 mod scenario;
 
-use scenario::play_appliance;
+use scenario::run_with_operator_file;
 
 #[test]
 fn a_job_is_pulled_and_what_its_worker_tells_is_passed_on() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_worker_that_goes_in_the_middle_of_a_job_that_must_not_run_twice_ends_it() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -70,7 +70,7 @@
 #[test]
 fn what_a_worker_was_woken_for_and_never_got_goes_elsewhere() {
     // w1 leaves between NOOP and JOB_ASSIGN, w2 never asks: neither has run anything, so even this job may go on.
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_job_that_may_run_twice_is_sent_again_and_its_late_end_meets_nothing() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_worker_that_failed_is_not_asked_again_for_what_must_not_run_twice() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_client_that_leaves_keeps_the_lane_of_its_job_busy_until_the_worker_is_done() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_background_job_outlives_its_client_and_its_end_is_told_while_it_is_remembered() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -217,7 +217,7 @@
 
 #[test]
 fn submissions_of_one_function_and_unique_id_are_one_run_with_an_end_for_each() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -249,7 +249,7 @@
 
 #[test]
 fn nothing_new_goes_to_a_worker_that_has_taken_its_abilities_back() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -278,7 +278,7 @@
 #[test]
 fn a_worker_that_has_just_come_is_cold() {
     // So cold, and for so long, that it may be sent nothing.
-    play_appliance(
+    run_with_operator_file(
         0,
         r#"workers cold="1h" start-capacity=0.01 fall-multiple=1.0 fall-window="10ms""#,
         r#"
@@ -292,7 +292,7 @@
 
 #[test]
 fn jobs_of_either_protocol_run_on_workers_of_the_other() {
-    play_appliance(
+    run_with_operator_file(
         1,
         "",
         r#"
@@ -316,7 +316,7 @@
 
 #[test]
 fn skills_keep_jobs_from_workers_that_do_not_take_them() {
-    play_appliance(
+    run_with_operator_file(
         1,
         r#"
         function "look" class="look"
@@ -338,7 +338,7 @@
 
 #[test]
 fn what_is_out_of_step_is_told_and_let_go_and_harms_nobody() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -395,7 +395,7 @@
 
 #[test]
 fn operators_see_and_steer_it_in_text_on_the_same_port() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -436,7 +436,7 @@
 
 #[test]
 fn the_port_changes_nothing_where_the_operator_file_does_not_let_it() {
-    play_appliance(
+    run_with_operator_file(
         0,
         r#"gearman listen="127.0.0.1:0""#,
         r#"
@@ -452,7 +452,7 @@
 
 #[test]
 fn a_drain_answers_what_was_taken_and_takes_nothing_after_it() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -477,7 +477,7 @@
 
 #[test]
 fn hundreds_at_once_are_answered_in_order_and_let_others_through() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -497,7 +497,7 @@
 
 #[test]
 fn answers_to_submissions_come_before_those_to_what_was_sent_after_them() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -510,7 +510,7 @@
 
 #[test]
 fn who_does_not_read_is_let_go_and_its_jobs_with_it() {
-    play_appliance(
+    run_with_operator_file(
         0,
         "",
         r#"
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -4,11 +4,11 @@
 #[allow(dead_code, reason = "each test program uses a part of the language")]
 mod scenario;
 
-use scenario::{Setup, play_pushed};
+use scenario::{Setup, run_with_pushed_list};
 
 #[test]
 fn a_list_pushed_before_the_start_counts_and_may_come_indented_in_pieces() {
-    play_pushed(
+    run_with_pushed_list(
         1,
         false,
         r#"
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_watch_that_stays_silent_is_begun_anew_and_read_until_the_new_one_speaks() {
-    play_pushed(
+    run_with_pushed_list(
         1,
         false,
         r#"
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_watch_that_ends_at_once_again_and_again_is_begun_again() {
-    play_pushed(
+    run_with_pushed_list(
         1,
         false,
         r#"
@@ -71,7 +71,7 @@
 fn while_the_agent_is_silent_for_long_nothing_new_is_sent_and_its_return_counts_at_once() {
     // The drain of h1 and the death of h2 fall into the silence: what was told is unknown, so nobody gets anything new,
     // and what is out is waited for.
-    play_pushed(
+    run_with_pushed_list(
         2,
         false,
         r#"
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_list_older_than_the_configurations_brings_nothing_back() {
-    play_pushed(
+    run_with_pushed_list(
         1,
         false,
         r#"
@@ -124,7 +124,7 @@
 #[test]
 fn of_two_processes_of_an_upgrade_each_keeps_the_time_of_its_own_watch() {
     // The predecessor hears its agent; the successor, which takes what comes, does not: it sends nothing on an old list.
-    play_pushed(
+    run_with_pushed_list(
         1,
         true,
         r#"
@@ -156,7 +156,7 @@
 
 #[test]
 fn a_new_configuration_in_an_outage_gives_the_new_agent_4_s() {
-    play_pushed(
+    run_with_pushed_list(
         1,
         false,
         r#"
@@ -192,7 +192,7 @@
 #[test]
 fn a_client_that_sends_long_after_sigterm_is_served_or_its_connection_has_ended() {
     // One at rest is parted with; one with a job in work is told so with its answer, however late that is.
-    play_pushed(
+    run_with_pushed_list(
         1,
         false,
         r#"
@@ -224,7 +224,7 @@
 fn play_asked(script: &str) {
     let settings =
         [("/settings/request_classes/0/aim_us", "15000000"), ("/settings/rules/drain_grace_us", "500000")];
-    Setup { settings: &settings, ..Setup::default() }.play(script);
+    Setup { settings: &settings, ..Setup::default() }.run(script);
 }
 
 /// The same, where workers are not probed: whoever connects to one has a request for it.
@@ -234,7 +234,7 @@
         ("/settings/rules/drain_grace_us", "500000"),
         ("/settings/ceilings/probes", "false"),
     ];
-    Setup { settings: &settings, ..Setup::default() }.play(script);
+    Setup { settings: &settings, ..Setup::default() }.run(script);
 }
 
 #[test]
@@ -379,7 +379,7 @@
         // Whoever connects to a worker then has a request for it.
         ("/settings/ceilings/probes", "false"),
     ];
-    Setup { hops: 2, settings: &settings, ..Setup::default() }.play(
+    Setup { workers: 2, settings: &settings, ..Setup::default() }.run(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -550,7 +550,7 @@
         ("/settings/ceilings/probes", "false"),
         ("/settings/ceilings/peers", "false"),
     ];
-    Setup { settings: &settings, ..Setup::default() }.play(
+    Setup { settings: &settings, ..Setup::default() }.run(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -14,7 +14,7 @@
 #[allow(dead_code, reason = "each test program uses a part of the language")]
 mod scenario;
 
-use scenario::{Setup, play, play_passed};
+use scenario::{Setup, run_scenario, run_with_passed_socket};
 
 /// So long an aim that a job may wait for a lane for the whole of a test.
 const PATIENT: (&str, &str) = ("/settings/request_classes/0/aim_us", "15000000");
@@ -57,8 +57,8 @@
     expect c1 200 | r1
     "#;
 
-fn patient(hops: usize, pass: bool, script: &str) {
-    Setup { hops, pass, settings: &[PATIENT], ..Setup::default() }.play(script);
+fn patient(workers: usize, pass_socket: bool, script: &str) {
+    Setup { workers, pass_socket, settings: &[PATIENT], ..Setup::default() }.run(script);
 }
 
 // ---- SIGTERM, and no successor ------------------------------------------------------------------------------------------
@@ -85,9 +85,9 @@
 
 #[test]
 fn what_must_not_run_twice_is_answered_as_failed_before_the_earliest_kill() {
-    for (hops, open) in [(1, TAKEN), (2, SECOND_ATTEMPT)] {
-        play(
-            hops,
+    for (workers, open) in [(1, TAKEN), (2, SECOND_ATTEMPT)] {
+        run_scenario(
+            workers,
             &format!(
                 r#"
                 {open}
@@ -105,7 +105,7 @@
 #[test]
 fn a_request_that_its_worker_never_took_is_answered_before_the_earliest_kill() {
     for (class, status) in [("book", 500), ("look", 503)] {
-        play(
+        run_scenario(
             1,
             &format!(
                 r#"
@@ -123,7 +123,7 @@
 
 #[test]
 fn signals_in_series_do_not_put_the_last_answer_off() {
-    play(
+    run_scenario(
         1,
         &format!(
             r#"
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_result_that_comes_before_the_last_moment_is_served() {
-    play(
+    run_scenario(
         1,
         &format!(
             r#"
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_request_whose_last_byte_comes_after_the_last_moment_is_refused_at_once() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 GET /up
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_second_attempt_goes_on_at_the_successor() {
-    play_passed(
+    run_with_passed_socket(
         2,
         &format!(
             r#"
@@ -224,7 +224,7 @@
 
 #[test]
 fn a_successor_that_comes_after_sigterm_goes_on_with_all() {
-    play_passed(
+    run_with_passed_socket(
         1,
         &format!(
             r#"
@@ -242,7 +242,7 @@
 
 #[test]
 fn sigterm_to_both_answers_each_request_before_the_earliest_kill() {
-    play_passed(
+    run_with_passed_socket(
         2,
         &format!(
             r#"
@@ -288,7 +288,7 @@
     // `h1` does not start the job, so it moves on to `h2` and is called off, which `h1` never confirms. The attempt at `h2`
     // is lost after the hand-over: a further one at `h1` would be a second one where the first may still run.
     let settings = [PATIENT, ("/settings/ceilings/peers", "false")];
-    Setup { hops: 2, pass: true, settings: &settings, ..Setup::default() }.play(
+    Setup { workers: 2, pass_socket: true, settings: &settings, ..Setup::default() }.run(
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:20 Work-Hint:1000
         expect h1 POST /look Request-Id:a1
@@ -314,7 +314,7 @@
 #[test]
 fn a_successor_that_dies_before_it_took_a_request_gives_it_back() {
     // It is held still, so that the request lies unread in the link as it is killed.
-    play_passed(
+    run_with_passed_socket(
         1,
         &format!(
             r#"
@@ -368,7 +368,7 @@
 
 #[test]
 fn a_request_of_a_class_that_the_successor_does_not_know_is_answered_by_the_predecessor() {
-    play_passed(
+    run_with_passed_socket(
         1,
         &format!(
             r#"
@@ -391,7 +391,7 @@
 fn the_tighter_effect_of_the_two_configurations_binds_after_a_hand_over() {
     // The predecessor knows the class as one that must not run twice, the successor as harmless; and the other way round.
     for (class, place, effect) in [("book", 1, "read_like"), ("look", 0, "non_idempotent")] {
-        play_passed(
+        run_with_passed_socket(
             2,
             &format!(
                 r#"
@@ -423,7 +423,7 @@
         // The result comes after the hand-over; or nothing comes, and the client's 6 s run out.
         for (end, least, most) in [(RESULT, 0, 5_500), ("expect c1 500", 5_000, 6_500)] {
             let open = TAKEN.replace("Request-Timeout:20", "Request-Timeout:6");
-            play_passed(
+            run_with_passed_socket(
                 1,
                 &format!(
                     r#"
@@ -446,7 +446,7 @@
 fn what_was_learned_of_workers_keeps_its_age_though_the_wall_clock_was_stepped() {
     // A worker that refuses connections is avoided for a while. That while does not become an hour.
     for step in ["3600", "-3600"] {
-        play_passed(
+        run_with_passed_socket(
             1,
             &format!(
                 r#"
@@ -469,7 +469,7 @@
 #[test]
 fn a_request_that_came_behind_one_that_was_left_goes_on_too() {
     // Both lie in one buffer of the predecessor.
-    play_passed(
+    run_with_passed_socket(
         1,
         &format!(
             r#"
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -14,7 +14,7 @@
         ("/settings/ceilings/connect_timeout_us", "1000000"),
         ("/settings/request_classes/0/aim_us", "15000000"),
     ];
-    Setup { settings: &settings, ..Setup::default() }.play(
+    Setup { settings: &settings, ..Setup::default() }.run(
         r#"
         mark
         send c1 POST /look Request-Id:a1 Request-Timeout:20
@@ -36,7 +36,7 @@
 fn a_connection_that_comes_up_as_its_client_leaves_is_not_written_to() {
     // Held still, the program finds in one poll that the connection is up, and then that the client has gone.
     for effect in ["look", "book"] {
-        Setup { settings: &LATE, ..Setup::default() }.play(&format!(
+        Setup { settings: &LATE, ..Setup::default() }.run(&format!(
             r#"
             crowd h1
             send c1 POST /{effect} Request-Id:a1 Request-Timeout:20
@@ -57,7 +57,7 @@
 #[test]
 fn a_connection_that_comes_up_as_its_worker_begins_to_drain_is_not_written_to() {
     for (pushed, told) in [(true, "terminating"), (false, "terminating"), (true, "terminated")] {
-        Setup { pushed, settings: &LATE, ..Setup::default() }.play(&format!(
+        Setup { pushed_list: pushed, settings: &LATE, ..Setup::default() }.run(&format!(
             r#"
             expect d GET /discovery/hosts?watch=1&from=41
             send d watch
@@ -84,7 +84,7 @@
         ("/settings/ceilings/connect_timeout_us", "3000000"),
         ("/settings/request_classes/1/aim_us", "15000000"),
     ];
-    Setup { settings: &settings, ..Setup::default() }.play(
+    Setup { settings: &settings, ..Setup::default() }.run(
         r#"
         crowd h1
         mark
@@ -137,5 +137,5 @@
         expect cx 503
         "#
     );
-    Setup { hops: 2, descriptors: 40, ..Setup::default() }.play(&script);
+    Setup { workers: 2, max_descriptors: 40, ..Setup::default() }.run(&script);
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,7 +13,7 @@
 ];
 
 fn play(hops: usize, script: &str) {
-    Setup { hops, settings: &PATIENT, ..Setup::default() }.play(script);
+    Setup { workers: hops, settings: &PATIENT, ..Setup::default() }.run(script);
 }
 
 /// What brings other settings into force.
@@ -309,5 +309,5 @@
         never does not fit
         "#
     );
-    Setup { hops: 1, pass: true, settings: &PATIENT, ..Setup::default() }.play(&script);
+    Setup { workers: 1, pass_socket: true, settings: &PATIENT, ..Setup::default() }.run(&script);
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -60,7 +60,7 @@
     held: Vec<u8>,
 }
 
-pub struct World {
+pub struct TestRun {
     program: Child,
     /// Those started before it, the last one last.
     predecessors: Vec<Child>,
@@ -185,13 +185,13 @@
 #[derive(Clone, Copy)]
 pub struct Setup<'a> {
     /// Workers that the list has to begin with.
-    pub hops: usize,
+    pub workers: usize,
     /// The system gives the program no more descriptors.
-    pub descriptors: u32,
+    pub max_descriptors: u32,
     /// The clients' socket is passed, and leftovers lie where two processes meet.
-    pub pass: bool,
+    pub pass_socket: bool,
     /// Lists are pushed: `d` is the agent on the program's own machine.
-    pub pushed: bool,
+    pub pushed_list: bool,
     /// It runs under an operator file with these lines of its own.
     pub operator: Option<&'a str>,
     /// What differs from the usual configuration: where it stands, as a JSON pointer, and what stands there, as JSON.
@@ -200,44 +200,51 @@
 
 impl Default for Setup<'_> {
     fn default() -> Self {
-        Setup { hops: 1, descriptors: 1024, pass: false, pushed: false, operator: None, settings: &[] }
+        Setup {
+            workers: 1,
+            max_descriptors: 1024,
+            pass_socket: false,
+            pushed_list: false,
+            operator: None,
+            settings: &[],
+        }
     }
 }
 
 impl Setup<'_> {
     /// Starts the program, and plays the scenario.
-    pub fn play(self, script: &str) {
-        World::start(self, script).play(script);
+    pub fn run(self, script: &str) {
+        TestRun::start(self, script).run(script);
     }
 }
 
 /// Starts the program under an operator file with so many HTTP workers and these lines, and plays the scenario.
-pub fn play_appliance(hops: usize, lines: &str, script: &str) {
-    Setup { hops, operator: Some(lines), ..Setup::default() }.play(script);
+pub fn run_with_operator_file(workers: usize, lines: &str, script: &str) {
+    Setup { workers, operator: Some(lines), ..Setup::default() }.run(script);
 }
 
 /// Starts the program with so many next hops, and plays the scenario.
-pub fn play(hops: usize, script: &str) {
-    Setup { hops, ..Setup::default() }.play(script);
+pub fn run_scenario(workers: usize, script: &str) {
+    Setup { workers, ..Setup::default() }.run(script);
 }
 
 /// The same, where the system gives the program no more than so many descriptors.
-pub fn play_cramped(hops: usize, descriptors: u32, script: &str) {
-    Setup { hops, descriptors, ..Setup::default() }.play(script);
+pub fn run_with_max_descriptors(workers: usize, max_descriptors: u32, script: &str) {
+    Setup { workers, max_descriptors, ..Setup::default() }.run(script);
 }
 
 /// The same, where lists are pushed: `d` is the agent on the program's own machine. `pass`: the clients' socket is passed.
-pub fn play_pushed(hops: usize, pass: bool, script: &str) {
-    Setup { hops, pass, pushed: true, ..Setup::default() }.play(script);
+pub fn run_with_pushed_list(workers: usize, pass_socket: bool, script: &str) {
+    Setup { workers, pass_socket, pushed_list: true, ..Setup::default() }.run(script);
 }
 
 /// The same, where the clients' socket is passed to the program, and leftovers lie where two processes meet.
-pub fn play_passed(hops: usize, script: &str) {
-    Setup { hops, pass: true, ..Setup::default() }.play(script);
+pub fn run_with_passed_socket(workers: usize, script: &str) {
+    Setup { workers, pass_socket: true, ..Setup::default() }.run(script);
 }
 
-impl World {
-    fn play(&mut self, script: &str) {
+impl TestRun {
+    fn run(&mut self, script: &str) {
         for (nr, line) in script.lines().map(str::trim).enumerate().filter(|(_, line)| !line.is_empty()) {
             let mut words = line.splitn(3, ' ');
             let (verb, who) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
@@ -246,12 +253,12 @@
         }
     }
 
-    fn start(setup: Setup<'_>, script: &str) -> World {
-        let Setup { hops, descriptors, pass, pushed, operator, settings } = setup;
+    fn start(setup: Setup<'_>, script: &str) -> TestRun {
+        let Setup { workers, max_descriptors, pass_socket, pushed_list, operator, settings } = setup;
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let bind = || TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let mut listeners: HashMap<String, TcpListener> =
-            (1..=hops).map(|nr| (format!("h{nr}"), bind())).collect();
+            (1..=workers).map(|nr| (format!("h{nr}"), bind())).collect();
         let place = |listener: &TcpListener| listener.local_addr().expect("it is bound");
         let mut listed: Vec<_> =
             listeners.iter().map(|(name, listener)| (name.clone(), place(listener))).collect();
@@ -259,10 +266,10 @@
         listeners.insert("d".to_owned(), bind());
         listeners.insert("d2".to_owned(), bind());
         let spoken_for = speaks_for(script, "d") || speaks_for(script, "d2");
-        let confirmed = operator.is_none() && !pushed && !spoken_for;
+        let confirmed = operator.is_none() && !pushed_list && !spoken_for;
         for name in ["d", "d2"].into_iter().filter(|_| confirmed) {
             let listener = listeners[name].try_clone().expect("a listener can be shared");
-            discovery::confirm_for_ever(listener);
+            discovery::confirm_list_forever(listener);
         }
         let peer = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
         peer.set_read_timeout(Some(LIMIT)).expect("a limit can be set");
@@ -270,7 +277,12 @@
             Some(lines) => (operator_file(&listed, lines), "kdl"),
             None => (
                 with(
-                    &config(&listed, place(&listeners["d"]), peer.local_addr().expect("it is bound"), pushed),
+                    &config(
+                        &listed,
+                        place(&listeners["d"]),
+                        peer.local_addr().expect("it is bound"),
+                        pushed_list,
+                    ),
                     settings,
                 ),
                 "json",
@@ -279,16 +291,16 @@
         let nr = NEXT.fetch_add(1, Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!("calicolb-{}-{nr}.{form}", std::process::id()));
         fs::write(&file, text).expect("the configuration is written");
-        let passed = pass.then(|| {
+        let passed = pass_socket.then(|| {
             let dir = file.with_extension("tmp");
             fs::create_dir(&dir).expect("a folder is made");
             drop(UnixListener::bind(dir.join("calicolb.sock")).expect("leftovers are made"));
             (bind(), dir)
         });
-        let (program, log) = run(&file, descriptors, passed.as_ref(), "");
+        let (program, log) = start_program(&file, max_descriptors, passed.as_ref(), "");
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let conns = HashMap::new();
-        let mut world = World {
+        let mut world = TestRun {
             program,
             predecessors: Vec::new(),
             log,
@@ -299,7 +311,7 @@
             gearman_at: nowhere,
             kept: HashMap::new(),
             appliance: operator.is_some(),
-            pushed,
+            pushed: pushed_list,
             confirmed,
             listeners,
             conns,
@@ -508,11 +520,11 @@
             ("restart", "program") => {
                 self.program.kill().map_err(|error| error.to_string())?;
                 self.program.wait().map_err(|error| error.to_string())?;
-                (self.program, self.log) = run(&self.file, 1024, self.passed.as_ref(), "");
+                (self.program, self.log) = start_program(&self.file, 1024, self.passed.as_ref(), "");
                 self.find()
             }
             ("start", "successor") => {
-                let (program, log) = run(&self.file, 1024, self.passed.as_ref(), rest);
+                let (program, log) = start_program(&self.file, 1024, self.passed.as_ref(), rest);
                 self.predecessors.push(std::mem::replace(&mut self.program, program));
                 // The old one goes on logging to nobody: it must not stop for that.
                 let old = std::mem::replace(&mut self.log, log);
@@ -680,7 +692,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for TestRun {
     fn drop(&mut self) {
         for process in self.predecessors.iter_mut().chain([&mut self.program]) {
             let _ = process.kill();
@@ -694,7 +706,7 @@
 }
 
 /// Starts the program; gives what it logs, line by line. `step`: seconds by which its wall clock is off, if it is.
-fn run(
+fn start_program(
     file: &Path,
     descriptors: u32,
     passed: Option<&(TcpListener, PathBuf)>,
--- a/tests/second_attempts.rs
+++ b/tests/second_attempts.rs
@@ -65,7 +65,7 @@
 fn a_request_that_moves_on_does_not_come_back_while_the_word_that_ends_it_is_on_its_way() {
     // Neither worker says that it starts. The word that gives the first attempt up has come, and is never answered: the
     // request stays with the second worker, which alone may answer it.
-    Setup { hops: 2, settings: &MOVES, ..Setup::default() }.play(
+    Setup { workers: 2, settings: &MOVES, ..Setup::default() }.run(
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:20
         expect h1 POST /look Request-Id:a1
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -3,11 +3,11 @@
 #[allow(dead_code, reason = "each test program uses a part of the language")]
 mod scenario;
 
-use scenario::{play, play_cramped, play_passed};
+use scenario::{run_scenario, run_with_max_descriptors, run_with_passed_socket};
 
 #[test]
 fn a_job_is_passed_on_and_its_result_served() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 GET /up
@@ -28,7 +28,7 @@
 
 #[test]
 fn news_may_come_before_the_answer_and_again_and_for_nobody() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:9
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_connection_whose_answer_never_comes_is_let_go() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:2
@@ -68,7 +68,7 @@
 
 #[test]
 fn what_may_have_run_is_not_sent_again_and_what_cannot_have_is() {
-    play(
+    run_scenario(
         2,
         r#"
         close h2
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_busy_answer_comes_at_once_and_tells_when_to_come_back() {
-    play(
+    run_scenario(
         1,
         r#"
         send c2 GET /up
@@ -112,7 +112,7 @@
 
 #[test]
 fn an_attempt_that_takes_too_long_is_given_up_in_words() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:1.5
@@ -129,7 +129,7 @@
 
 #[test]
 fn malformed_input_harms_nobody_else() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:9
@@ -185,12 +185,12 @@
         expect h1 POST /look Request-Id:a2
         wait c0
         "#;
-    play(1, &script);
+    run_scenario(1, &script);
 }
 
 #[test]
 fn the_route_set_is_watched_and_a_lost_watch_begun_anew() {
-    play(
+    run_scenario(
         1,
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
@@ -212,7 +212,7 @@
 
 #[test]
 fn schedulers_hear_each_other_and_nobody_else() {
-    play(
+    run_scenario(
         1,
         r#"
         send p #257
@@ -225,7 +225,7 @@
 
 #[test]
 fn without_a_list_it_is_not_ready() {
-    play(
+    run_scenario(
         0,
         r#"
         send c1 GET /up
@@ -238,7 +238,7 @@
 #[test]
 fn a_planned_restart_answers_all_that_was_taken() {
     // Who comes after SIGTERM, or has a connection, is served on for a while: there may be nobody else yet.
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:20
@@ -278,12 +278,12 @@
         send cx POST /look Request-Id:a1 Request-Timeout:900
         expect h1 POST /look Request-Id:a1
         "#;
-    play_cramped(1, 40, &script);
+    run_with_max_descriptors(1, 40, &script);
 }
 
 #[test]
 fn a_new_configuration_moves_the_watch_and_loses_nothing() {
-    play(
+    run_scenario(
         1,
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
@@ -319,7 +319,7 @@
 
 #[test]
 fn what_a_next_hop_cannot_use_is_the_callers_fault_alone() {
-    play(
+    run_scenario(
         2,
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:900
@@ -334,7 +334,7 @@
 
 #[test]
 fn slow_silent_and_endless_callers_are_answered_or_let_go() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 raw POST /look HT
@@ -352,7 +352,7 @@
 
 #[test]
 fn a_job_that_nobody_says_to_have_taken_is_tried_elsewhere_if_it_may_run_twice() {
-    play(
+    run_scenario(
         2,
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:900 Work-Hint:8000000
@@ -370,7 +370,7 @@
 #[test]
 fn a_drain_sends_clients_away_and_rejoin_takes_them_back() {
     // LAMEDUCK is SIGTERM without the end: callers are served on for a while, then told to go elsewhere.
-    play(
+    run_scenario(
         1,
         r#"
         send c1 GET /up
@@ -420,12 +420,12 @@
         send oc raw REJOIN\n
         expect oc error the program is ending
         "#;
-    play(1, &script);
+    run_scenario(1, &script);
 }
 
 #[test]
 fn the_figures_tell_what_was_served_refused_failed_and_sent() {
-    play(
+    run_scenario(
         1,
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:9
@@ -473,7 +473,7 @@
 fn an_upgrade_goes_over_to_the_next_process_and_loses_nothing() {
     // What lies where the two meet was left by a process that is gone, and harms nobody. Call-backs, repeated ids
     // and `/up` may reach either.
-    play_passed(
+    run_with_passed_socket(
         1,
         r#"
         send o1 raw PING\n
@@ -513,7 +513,7 @@
 
 #[test]
 fn a_drain_belongs_to_the_scheduler_and_not_to_the_process() {
-    play_passed(
+    run_with_passed_socket(
         1,
         r#"
         send o1 raw LAMEDUCK\n
@@ -533,7 +533,7 @@
 
 #[test]
 fn an_heir_that_dies_leaves_the_clients_to_the_elder() {
-    play_passed(
+    run_with_passed_socket(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:20
@@ -555,7 +555,7 @@
 
 #[test]
 fn an_elder_that_says_nothing_does_not_keep_the_heir_from_serving() {
-    play_passed(
+    run_with_passed_socket(
         2,
         r#"
         close h2
@@ -580,7 +580,7 @@
 #[test]
 fn what_the_elder_will_not_live_to_answer_is_answered_by_the_heir() {
     // A job that runs for longer than the predecessor has: its caller and its call-backs go on with the successor.
-    play_passed(
+    run_with_passed_socket(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:20
@@ -604,7 +604,7 @@
 #[test]
 fn an_heir_that_ends_too_waits_for_what_the_elder_still_has_out() {
     // Both get SIGTERM: the predecessor's call-backs come to the successor, which has nothing left to do itself.
-    play_passed(
+    run_with_passed_socket(
         1,
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:20
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code, reason = "each test program uses a part of the language")]
 mod scenario;
 
-use scenario::{Setup, play};
+use scenario::{Setup, run_scenario};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
         thread::scope(|scope| {
             for pushed in (0..30).map(|nr| nr % 2 == 0) {
                 let script = format!("{discovery}\nup c1");
-                scope.spawn(move || Setup { pushed, ..Setup::default() }.play(&script));
+                scope.spawn(move || Setup { pushed_list: pushed, ..Setup::default() }.run(&script));
             }
         });
         assert!(since.elapsed() < Duration::from_secs(10), "{:?} with '{discovery}'", since.elapsed());
@@ -26,7 +26,7 @@
 fn with_all_of_256_descriptors_held_by_idle_clients_everybody_else_still_gets_theirs() {
     // The configuration grants 256, the system too. Discovery ends the watch, a worker, its call-back and a new client come.
     let idle: String = (1..=250).map(|nr| format!("send c{nr} GET /up\nexpect c{nr} 200\n")).collect();
-    Setup { descriptors: 256, ..Setup::default() }.play(&format!(
+    Setup { max_descriptors: 256, ..Setup::default() }.run(&format!(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -54,7 +54,7 @@
             format!("send c9 raw {}\n", if byte == ' ' { r"\x20".to_owned() } else { byte.to_string() })
         })
         .collect();
-    play(
+    run_scenario(
         1,
         &format!(
             r#"
