--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -38,11 +38,11 @@
     for effect in ["look", "book"] {
         Setup { settings: &LATE, ..Setup::default() }.run(&format!(
             r#"
-            crowd h1
+            fill_backlog h1
             send c1 POST /{effect} Request-Id:a1 Request-Timeout:20
             info scheduler.in_flight=1
             send program STOP
-            room h1
+            free_backlog h1
             take h1
             close c1
             send program CONT
@@ -62,11 +62,11 @@
             expect d GET /discovery/hosts?watch=1&from=41
             send d watch
             send d chunk \n
-            crowd h1
+            fill_backlog h1
             send c1 POST /book Request-Id:a1 Request-Timeout:20
             info scheduler.in_flight=1
             send program STOP
-            room h1
+            free_backlog h1
             take h1
             send d chunk {{"seq":42,"whole":false,"hosts":[{{"host":"h1","dial":"127.0.0.1:9","site":"north","class":"big","health":"{told}"}}]}}\n
             send program CONT
@@ -86,12 +86,12 @@
     ];
     Setup { settings: &settings, ..Setup::default() }.run(
         r#"
-        crowd h1
+        fill_backlog h1
         mark
         send c1 POST /book Request-Id:a1 Request-Timeout:20
         info scheduler.in_flight=1
         send program STOP
-        room h1
+        free_backlog h1
         take h1
         until 4000
         send program CONT
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -245,7 +245,7 @@
     let mut script = String::new();
     for nr in 0..1_000 {
         if nr == 100 {
-            script += "weigh program\n";
+            script += "record_memory program\n";
         }
         let list = classes(14_000_000 + nr, if nr % 2 == 0 { more } else { "" });
         let orgs = format!(r#"[{{"name":"acme","quota_rps":{nr}}},{{"name":"t{}","quota_rps":1}}]"#, nr % 50);
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,44 +1,64 @@
-//! A small language for conversations with the running program: one step a line.
+//! Runs the program as a child process and drives it with a script of one step per line.
 //!
-//! * `send WHO MESSAGE` writes; a name that is new opens a connection: `c…` to the program as a client,
-//!   `n…` to the program as a next hop with news, `o…` to its operators' door, `p` a datagram as the scheduler of rank 1.
-//! * `expect WHO MESSAGE` reads a message and compares; a new name `h1`, `h1.2` takes the next connection
-//!   made to next hop `h1`, `d…` the next one made to discovery. `expect program REST` waits for a log line.
-//!   From the door, `expect o… LINE` reads one line, and passes over others before it.
-//! * `close WHO` closes a connection, or the listener of a next hop that has none of this name.
-//! * `restart program` kills it with SIGKILL and starts it again with the configuration as it is: nothing survives but that.
-//! * Where a scenario speaks for discovery neither at `d` nor at `d2`, both confirm the list by themselves, and the scenario
-//!   begins once the program has the list in force.
-//! * `start successor` starts the program again beside itself, where the clients' socket was passed to it: then `program`
-//!   and `o…` mean the new one, `predecessor` the old one (`wait predecessor`, `send predecessor TERM`). `start successor 3600`: its wall clock
-//!   is so many seconds ahead of the other's, or behind it.
-//! * `up c1` asks for `/up` again and again until the answer is 200.
-//! * `mark` begins to count; `after MS` says that so much has passed since at least, `within MS` at most.
-//!   `until MS` lets so much pass.
-//! * `crowd h1` lets nobody connect to a worker until there is `room h1`; who tries meanwhile is let in some time later.
-//! * `info LINE` waits until operators are told this line.
-//! * `ends WHO` waits until a connection ends in order, and is not reset; `none h1` says that nobody has connected to it.
-//! * `take h1` takes the next connection made to it, and reads nothing.
-//! * `wait WHO` waits until a connection ends; `wait program` until the program has exited cleanly.
+//! # Names of connections
 //!
-//! Under an operator file `g…` and `w…` are connections to the Gearman port, of clients and workers. Their messages are
-//! `KIND FIELD … | LAST`; `~` is an empty field, `*` any, `$NAME` keeps what stands there and means it from then on.
-//! `ready WHO FUNCTION` is a worker that can do it and sleeps, and is known to; `pull WHO MESSAGE` is one that is woken, asks
-//! and gets this. `times N MESSAGE` is the same so many times, sent in one piece.
-//! `text LINE` is a line of the admin protocol: `expect` passes over others before it.
+//! The first letter of a name says which connection it is. A new name opens or accepts a connection.
 //!
-//! A message is `METHOD TARGET` or `STATUS`, then `Header:value` words, then `| body`. In an expectation `*`
-//! stands for any value, and what is not named is not compared. `watch` is the head of a watch that opens. `raw TEXT` and `chunk TEXT` are written as they
-//! are, the latter as one chunk; `\r`, `\n`, `\0`, `\t` and `\xHH` in them are those bytes. `#N` is N bytes of padding. `TERM`,
-//! `HUP`, `STOP` or `CONT` to `program` is the signal; `send file d2` rewrites the configuration with discovery at the listener `d2`,
-//! `send file raw TEXT` puts that text in its place, and after `set POINTER JSON` it has that value at that place.
-//! `never TEXT` says that no log line had this in it so far. `weigh program` remembers its memory; `gained KIB` says that it has no more than so much more now.
-//! Every wait is for a condition, with one generous limit.
+//! * `c…`: a client's connection to the program's HTTP port.
+//! * `n…`: a worker's connection to the same port, over which it sends callbacks.
+//! * `g…` and `w…`: a client's and a worker's connection to the Gearman port (only with an operator file).
+//! * `o…`: a connection to the management port.
+//! * `h1`, `h1.2`: the next connection that the program makes to worker `h1`.
+//! * `d`, `d.2`, `d2`: the next connection that the program makes to the discovery listener `d` or `d2`.
+//! * `p`: the UDP socket of the scheduler of rank 1.
+//! * `program`: the child process; `predecessor`: the process that ran before the last `start successor`.
+//!
+//! # Steps
+//!
+//! * `send NAME MESSAGE` writes a message, or a datagram where the name is `p`.
+//! * `expect NAME MESSAGE` reads one message and compares it. `expect program TEXT` waits for a log line that contains the
+//!   text. `expect o… LINE` skips lines of the management port until one equals `LINE`; `expect p BYTES` skips other datagrams.
+//! * `send program SIGNAL` and `send predecessor SIGNAL` send `TERM`, `HUP`, `STOP`, `CONT` or `KILL`.
+//! * `send file d2` rewrites the configuration with discovery at the listener `d2`; `send file raw TEXT` replaces it with the
+//!   text. `set POINTER JSON` sets the value at a JSON pointer in every configuration written after it.
+//! * `close NAME` closes a connection, or the listener of this name where no connection has the name.
+//! * `take NAME` opens or accepts a connection without reading from it.
+//! * `ends NAME` waits until a connection is closed in order; a reset fails. `wait NAME` accepts a reset too. `wait program`
+//!   waits until the process has exited with status 0.
+//! * `none h1` checks that no connection to `h1` waits to be accepted.
+//! * `up c1` sends `GET /up` until the answer is 200.
+//! * `info LINE` polls the management port's `INFO` until it contains this line.
+//! * `mark` records the time. `after MS` and `within MS` check that at least, or at most, `MS` milliseconds have passed since
+//!   then; `until MS` sleeps until they have.
+//! * `fill_backlog h1` fills the accept queue of worker `h1`, so that nobody can connect to it until `free_backlog h1`. A
+//!   connection attempt made meanwhile completes when the kernel repeats it, about a second later.
+//! * `restart program` kills the process with SIGKILL and starts it again with the configuration file as it is.
+//! * `start successor` starts a second process that inherits the clients' socket: `program` and `o…` mean the new process from
+//!   then on. `start successor 3600` sets the new process's wall clock 3600 seconds ahead; a negative number, behind.
+//! * `never TEXT` checks that no log line so far contains the text.
+//! * `record_memory program` records the program's resident memory; `memory_growth KIB` checks that it has grown by at most
+//!   `KIB` KiB since then.
+//! * `ready NAME FUNCTION` registers a Gearman worker for a function and puts it to sleep; `pull NAME MESSAGE` expects that it
+//!   is woken, grabs a job and expects the message.
+//!
+//! Where a script uses neither `d` nor `d2`, both listeners confirm the list by themselves, and the script starts once the
+//! program has logged that the list is confirmed. Each step that waits for a condition fails after [`WAIT_LIMIT`].
+//!
+//! # Messages
+//!
+//! An HTTP message is `METHOD TARGET` or `STATUS`, then `Header:value` words, then `| body`. In an expectation `*` stands for
+//! any value, and headers and bodies that are not named are not compared. `watch` is the response head of a list watch.
+//! `raw TEXT` is written as it is and `chunk TEXT` as one chunk of a chunked body; `\r`, `\n`, `\t`, `\0` and `\xHH` in them
+//! stand for those bytes. `#N` is `N` bytes of padding.
+//!
+//! A Gearman message is `PACKET_TYPE FIELD … | LAST_FIELD`. `~` is an empty field and `*` any. `$NAME` takes the value that
+//! stands there at its first use and stands for that value from then on. `times N MESSAGE` is the message `N` times, sent in
+//! one write. `text LINE` is a line of the text protocol; `expect` skips other lines before it.
 
 #[path = "../discovery/mod.rs"]
 mod discovery;
 
-use calicolb_gearman::packet::{PacketType, Parsed as Found, Sender, encode, parse};
+use calicolb_gearman::packet::{PacketType, Parsed as ParseResult, Sender, encode, parse};
 use rustix::net::{AddressFamily, SocketType};
 use std::collections::HashMap;
 use std::fs;
@@ -53,89 +73,103 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(30);
+/// The longest time that a step waits for its condition.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-struct Conn {
+/// A TCP connection and the bytes that were read from it and not consumed yet.
+struct Connection {
     stream: TcpStream,
-    held: Vec<u8>,
+    unread: Vec<u8>,
 }
 
+/// A running program and the test's sockets around it.
 pub struct TestRun {
     program: Child,
-    /// Those started before it, the last one last.
+    /// Processes that ran before `program`, the latest one last.
     predecessors: Vec<Child>,
     log: Receiver<String>,
-    heard: Vec<String>,
-    at: SocketAddr,
-    door_at: SocketAddr,
-    peers_at: SocketAddr,
-    gearman_at: SocketAddr,
-    /// What `$NAME` stands for.
-    kept: HashMap<String, Vec<u8>>,
-    /// It is run under an operator file.
-    appliance: bool,
-    /// Lists are pushed: `d` is the agent on its own machine.
-    pushed: bool,
-    /// Discovery at `d` confirms the list by itself.
-    confirmed: bool,
+    /// Log lines read so far.
+    log_lines: Vec<String>,
+    client_address: SocketAddr,
+    management_address: SocketAddr,
+    peer_address: SocketAddr,
+    gearman_address: SocketAddr,
+    /// Values of `$NAME` fields.
+    variables: HashMap<String, Vec<u8>>,
+    /// The program runs with an operator file instead of a JSON configuration.
+    has_operator_file: bool,
+    /// The list is pushed: `d` is the agent on the program's own machine.
+    pushed_list: bool,
+    /// The listeners `d` and `d2` confirm the list by themselves.
+    auto_confirmed: bool,
     listeners: HashMap<String, TcpListener>,
-    conns: HashMap<String, Conn>,
-    peer: UdpSocket,
-    file: PathBuf,
-    listed: Vec<(String, SocketAddr)>,
-    /// The clients' socket, where it is passed, and the folder where two processes meet.
-    passed: Option<(TcpListener, PathBuf)>,
-    /// What differs from the usual configuration.
+    connections: HashMap<String, Connection>,
+    peer_socket: UdpSocket,
+    config_file: PathBuf,
+    /// Workers of the list, by name and address.
+    listed_workers: Vec<(String, SocketAddr)>,
+    /// The clients' socket, where it is passed to the program, and the folder of the upgrade socket.
+    passed_socket: Option<(TcpListener, PathBuf)>,
+    /// JSON pointers and the JSON values that replace the default configuration's.
     settings: Vec<(String, String)>,
-    /// When `mark` was last said.
-    marked: Instant,
-    /// The program's memory when `weigh` was last said, in KiB.
-    weight: u64,
-    /// The program stands still.
-    held: bool,
-    /// What has been laid meanwhile: the connection's place, whether it was ended, and how often it was not to be found.
-    pending: Vec<(String, bool, u32)>,
-    /// Where listeners were that have been closed.
-    refusing: Vec<OwnedFd>,
+    /// Time of the last `mark`.
+    marked_at: Instant,
+    /// The program's resident memory at the last `record_memory`, in KiB.
+    recorded_memory_kib: u64,
+    /// The program was stopped with SIGSTOP and not continued.
+    stopped: bool,
+    /// Writes and closes made while the program was stopped: the connection's local address as /proc/net/tcp prints it,
+    /// whether the connection was closed, and how many lookups did not find it.
+    pending_deliveries: Vec<(String, bool, u32)>,
+    /// Sockets that keep the addresses of closed listeners bound, so that connections there are refused.
+    reserved_addresses: Vec<OwnedFd>,
 }
 
-/// Waits until this is so.
-fn eventually(why: &str, mut so: impl FnMut() -> bool) -> Result<(), String> {
+/// Polls a condition every millisecond, and fails with `failure` after [`WAIT_LIMIT`].
+fn wait_until(failure: &str, mut condition: impl FnMut() -> bool) -> Result<(), String> {
     let since = Instant::now();
-    while !so() {
-        if since.elapsed() > LIMIT {
-            return Err(why.to_owned());
+    while !condition() {
+        if since.elapsed() > WAIT_LIMIT {
+            return Err(failure.to_owned());
         }
         thread::sleep(Duration::from_millis(1));
     }
     Ok(())
 }
 
-/// The configuration with other values at some places.
-fn with<T: AsRef<str>>(text: &str, settings: &[(T, T)]) -> String {
-    let mut all: serde_json::Value = serde_json::from_str(text).expect("the configuration is JSON");
-    for (at, value) in settings {
-        let (parent, name) = at.as_ref().rsplit_once('/').expect("a JSON pointer");
-        let value = serde_json::from_str(value.as_ref()).expect("a value in JSON");
-        match all.pointer_mut(parent).expect("a place in the configuration") {
-            serde_json::Value::Array(list) => list[name.parse::<usize>().expect("a place in a list")] = value,
+/// Replaces the values at some JSON pointers of a configuration.
+fn with_settings<T: AsRef<str>>(text: &str, settings: &[(T, T)]) -> String {
+    let mut config: serde_json::Value = serde_json::from_str(text).expect("the configuration is JSON");
+    for (pointer, value) in settings {
+        let (parent, name) =
+            pointer.as_ref().rsplit_once('/').expect("a settings key is a JSON pointer with a parent");
+        let value = serde_json::from_str(value.as_ref()).expect("a settings value is JSON");
+        match config.pointer_mut(parent).expect("the JSON pointer names a place in the configuration") {
+            serde_json::Value::Array(items) => {
+                items[name.parse::<usize>().expect("an array index is a number")] = value
+            }
             other => other[name] = value,
         }
     }
-    all.to_string()
+    config.to_string()
 }
 
-/// The configuration, with these next hops as the list last known.
-fn config(hops: &[(String, SocketAddr)], discovery: SocketAddr, peer: SocketAddr, pushed: bool) -> String {
-    let line = |(name, dial): &(String, SocketAddr)| {
+/// The JSON configuration with these workers as the list last known.
+fn config_json(
+    workers: &[(String, SocketAddr)],
+    discovery: SocketAddr,
+    peer: SocketAddr,
+    pushed_list: bool,
+) -> String {
+    let member = |(name, dial): &(String, SocketAddr)| {
         format!(
             r#"{{"host":"{name}","dial":"{dial}","site":"north","class":"big","block":0,"health":"in_service","share":1.0,"born_ms":0}}"#
         )
     };
-    let hosts: Vec<String> = hops.iter().map(line).collect();
-    let mode = if pushed { "automatic" } else { "subscribe" };
-    // Where `d` is to be asked and a scenario leaves it silent, the list must not grow too old while a busy machine plays.
-    let grace = if pushed { 500_000 } else { 60_000_000 };
+    let hosts: Vec<String> = workers.iter().map(member).collect();
+    let mode = if pushed_list { "automatic" } else { "subscribe" };
+    // In subscribe mode a script may leave `d` silent; the grace of 60 s keeps the list in force on a busy machine.
+    let grace = if pushed_list { 500_000 } else { 60_000_000 };
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"5eed","limits":{{"sockets":256}},
         "mgmt":"127.0.0.1:0","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:9","{peer}"],"peers_all":"{peer}",
@@ -153,8 +187,8 @@
     )
 }
 
-/// An operator file with these HTTP workers, and these lines of its own.
-fn operator_file(hops: &[(String, SocketAddr)], lines: &str) -> String {
+/// An operator file with these HTTP workers and the test's own lines.
+fn operator_file(workers: &[(String, SocketAddr)], lines: &str) -> String {
     let mut text = String::from(
         r#"
         http listen="127.0.0.1:0"
@@ -175,26 +209,26 @@
         function "book" class="book" takes-http=#true on-http=#true
         "#;
     }
-    for (name, dial) in hops {
+    for (name, dial) in workers {
         text += &format!("http-worker \"{name}\" address=\"{dial}\" lanes=1\n");
     }
     text + lines
 }
 
-/// How the program is started.
+/// The program's configuration and surroundings in a test.
 #[derive(Clone, Copy)]
 pub struct Setup<'a> {
-    /// Workers that the list has to begin with.
+    /// Number of HTTP workers (`h1`, `h2`, …) in the initial list.
     pub workers: usize,
-    /// The system gives the program no more descriptors.
+    /// Limit on open file descriptors (`ulimit -n`).
     pub max_descriptors: u32,
-    /// The clients' socket is passed, and leftovers lie where two processes meet.
+    /// The clients' socket is passed to the program, and a stale upgrade socket of an earlier process exists.
     pub pass_socket: bool,
-    /// Lists are pushed: `d` is the agent on the program's own machine.
+    /// The list is pushed: `d` is the agent on the program's own machine.
     pub pushed_list: bool,
-    /// It runs under an operator file with these lines of its own.
+    /// The program runs with an operator file that contains these lines, instead of a JSON configuration.
     pub operator: Option<&'a str>,
-    /// What differs from the usual configuration: where it stands, as a JSON pointer, and what stands there, as JSON.
+    /// Changes to the default configuration: JSON pointers and the JSON values to set there.
     pub settings: &'a [(&'a str, &'a str)],
 }
 
@@ -212,75 +246,79 @@
 }
 
 impl Setup<'_> {
-    /// Starts the program, and plays the scenario.
+    /// Starts the program and runs the script; panics at the first step that fails.
     pub fn run(self, script: &str) {
         TestRun::start(self, script).run(script);
     }
 }
 
-/// Starts the program under an operator file with so many HTTP workers and these lines, and plays the scenario.
+/// Runs a script against a program that has an operator file with `workers` HTTP workers and these lines.
 pub fn run_with_operator_file(workers: usize, lines: &str, script: &str) {
     Setup { workers, operator: Some(lines), ..Setup::default() }.run(script);
 }
 
-/// Starts the program with so many next hops, and plays the scenario.
+/// Runs a script against a program that has `workers` HTTP workers.
 pub fn run_scenario(workers: usize, script: &str) {
     Setup { workers, ..Setup::default() }.run(script);
 }
 
-/// The same, where the system gives the program no more than so many descriptors.
+/// Runs a script against a program that may open `max_descriptors` file descriptors at most.
 pub fn run_with_max_descriptors(workers: usize, max_descriptors: u32, script: &str) {
     Setup { workers, max_descriptors, ..Setup::default() }.run(script);
 }
 
-/// The same, where lists are pushed: `d` is the agent on the program's own machine. `pass`: the clients' socket is passed.
+/// Runs a script against a program that gets its list pushed by `d`, the agent on its own machine. `pass_socket` passes the
+/// clients' socket to the program.
 pub fn run_with_pushed_list(workers: usize, pass_socket: bool, script: &str) {
     Setup { workers, pass_socket, pushed_list: true, ..Setup::default() }.run(script);
 }
 
-/// The same, where the clients' socket is passed to the program, and leftovers lie where two processes meet.
+/// Runs a script against a program that gets the clients' socket passed, where a stale upgrade socket exists.
 pub fn run_with_passed_socket(workers: usize, script: &str) {
     Setup { workers, pass_socket: true, ..Setup::default() }.run(script);
 }
 
 impl TestRun {
     fn run(&mut self, script: &str) {
-        for (nr, line) in script.lines().map(str::trim).enumerate().filter(|(_, line)| !line.is_empty()) {
+        for (number, line) in script.lines().map(str::trim).enumerate().filter(|(_, line)| !line.is_empty()) {
             let mut words = line.splitn(3, ' ');
-            let (verb, who) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-            let told = self.step(verb, who, words.next().unwrap_or(""));
-            told.unwrap_or_else(|why| panic!("line {nr}, '{line}': {why}; the log: {:?}", self.heard));
+            let (verb, name) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
+            let result = self.execute_step(verb, name, words.next().unwrap_or(""));
+            result.unwrap_or_else(|error| {
+                panic!("script line {number}, '{line}': {error}; the program's log: {:?}", self.log_lines)
+            });
         }
     }
 
     fn start(setup: Setup<'_>, script: &str) -> TestRun {
         let Setup { workers, max_descriptors, pass_socket, pushed_list, operator, settings } = setup;
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let bind = || TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let bind = || TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
         let mut listeners: HashMap<String, TcpListener> =
-            (1..=workers).map(|nr| (format!("h{nr}"), bind())).collect();
-        let place = |listener: &TcpListener| listener.local_addr().expect("it is bound");
-        let mut listed: Vec<_> =
-            listeners.iter().map(|(name, listener)| (name.clone(), place(listener))).collect();
-        listed.sort();
+            (1..=workers).map(|number| (format!("h{number}"), bind())).collect();
+        let address =
+            |listener: &TcpListener| listener.local_addr().expect("a bound listener has an address");
+        let mut listed_workers: Vec<_> =
+            listeners.iter().map(|(name, listener)| (name.clone(), address(listener))).collect();
+        listed_workers.sort();
         listeners.insert("d".to_owned(), bind());
         listeners.insert("d2".to_owned(), bind());
-        let spoken_for = speaks_for(script, "d") || speaks_for(script, "d2");
-        let confirmed = operator.is_none() && !pushed_list && !spoken_for;
-        for name in ["d", "d2"].into_iter().filter(|_| confirmed) {
-            let listener = listeners[name].try_clone().expect("a listener can be shared");
+        let script_is_discovery = script_controls(script, "d") || script_controls(script, "d2");
+        let auto_confirmed = operator.is_none() && !pushed_list && !script_is_discovery;
+        for name in ["d", "d2"].into_iter().filter(|_| auto_confirmed) {
+            let listener = listeners[name].try_clone().expect("the listener can be duplicated");
             discovery::confirm_list_forever(listener);
         }
-        let peer = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-        peer.set_read_timeout(Some(LIMIT)).expect("a limit can be set");
-        let (text, form) = match operator {
-            Some(lines) => (operator_file(&listed, lines), "kdl"),
+        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        peer_socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a read timeout can be set");
+        let (text, extension) = match operator {
+            Some(lines) => (operator_file(&listed_workers, lines), "kdl"),
             None => (
-                with(
-                    &config(
-                        &listed,
-                        place(&listeners["d"]),
-                        peer.local_addr().expect("it is bound"),
+                with_settings(
+                    &config_json(
+                        &listed_workers,
+                        address(&listeners["d"]),
+                        peer_socket.local_addr().expect("a bound socket has an address"),
                         pushed_list,
                     ),
                     settings,
@@ -288,146 +326,163 @@
                 "json",
             ),
         };
-        let nr = NEXT.fetch_add(1, Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("calicolb-{}-{nr}.{form}", std::process::id()));
-        fs::write(&file, text).expect("the configuration is written");
-        let passed = pass_socket.then(|| {
-            let dir = file.with_extension("tmp");
-            fs::create_dir(&dir).expect("a folder is made");
-            drop(UnixListener::bind(dir.join("calicolb.sock")).expect("leftovers are made"));
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let config_file =
+            std::env::temp_dir().join(format!("calicolb-{}-{number}.{extension}", std::process::id()));
+        fs::write(&config_file, text).expect("the configuration file can be written");
+        let passed_socket = pass_socket.then(|| {
+            let dir = config_file.with_extension("tmp");
+            fs::create_dir(&dir).expect("the folder of the upgrade socket can be created");
+            drop(
+                UnixListener::bind(dir.join("calicolb.sock")).expect("a stale upgrade socket can be created"),
+            );
             (bind(), dir)
         });
-        let (program, log) = start_program(&file, max_descriptors, passed.as_ref(), "");
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-        let conns = HashMap::new();
-        let mut world = TestRun {
+        let (program, log) = start_program(&config_file, max_descriptors, passed_socket.as_ref(), "");
+        let unknown_address = SocketAddr::from(([127, 0, 0, 1], 9));
+        let connections = HashMap::new();
+        let mut test_run = TestRun {
             program,
             predecessors: Vec::new(),
             log,
-            heard: Vec::new(),
-            at: nowhere,
-            door_at: nowhere,
-            peers_at: nowhere,
-            gearman_at: nowhere,
-            kept: HashMap::new(),
-            appliance: operator.is_some(),
-            pushed: pushed_list,
-            confirmed,
+            log_lines: Vec::new(),
+            client_address: unknown_address,
+            management_address: unknown_address,
+            peer_address: unknown_address,
+            gearman_address: unknown_address,
+            variables: HashMap::new(),
+            has_operator_file: operator.is_some(),
+            pushed_list,
+            auto_confirmed,
             listeners,
-            conns,
-            peer,
-            file,
-            listed,
-            passed,
-            settings: settings.iter().map(|(at, value)| (at.to_string(), value.to_string())).collect(),
-            marked: Instant::now(),
-            weight: 0,
-            held: false,
-            pending: Vec::new(),
-            refusing: Vec::new(),
+            connections,
+            peer_socket,
+            config_file,
+            listed_workers,
+            passed_socket,
+            settings: settings
+                .iter()
+                .map(|(pointer, value)| (pointer.to_string(), value.to_string()))
+                .collect(),
+            marked_at: Instant::now(),
+            recorded_memory_kib: 0,
+            stopped: false,
+            pending_deliveries: Vec::new(),
+            reserved_addresses: Vec::new(),
         };
-        world.find().expect("it tells where it is");
-        world
-    }
-
-    /// Learns from its log where the program is to be reached.
-    fn find(&mut self) -> Result<(), String> {
-        let address = |text: String| text.parse().map_err(|_| format!("'{text}' is no address"));
-        let before = self.heard.len();
-        self.door_at = address(self.hear("listens for operators on ")?)?;
-        if self.appliance {
-            self.gearman_at = address(self.hear("speaks Gearman on ")?)?;
-            self.at = address(self.hear("serves on ")?)?;
+        test_run.read_addresses().expect("the program logs its addresses");
+        test_run
+    }
+
+    /// Reads from the log the addresses on which the program listens, and waits until it serves clients.
+    fn read_addresses(&mut self) -> Result<(), String> {
+        let address = |text: String| text.parse().map_err(|_| format!("'{text}' is not a socket address"));
+        let first_new_line = self.log_lines.len();
+        self.management_address = address(self.wait_for_log("listens for operators on ")?)?;
+        if self.has_operator_file {
+            self.gearman_address = address(self.wait_for_log("speaks Gearman on ")?)?;
+            self.client_address = address(self.wait_for_log("serves on ")?)?;
             return Ok(());
         }
-        // Where schedulers may not talk it hears none.
+        // Without peer messages the program opens no peer socket and logs no address for it.
         if !self.settings.contains(&("/settings/ceilings/peers".to_owned(), "false".to_owned())) {
-            self.peers_at = address(self.hear("listens for schedulers on ")?)?;
+            self.peer_address = address(self.wait_for_log("listens for schedulers on ")?)?;
         }
-        self.at = address(self.hear("serves on ")?)?;
-        // It may have said so before it served.
-        let in_force = "discovery: the list is confirmed";
-        if self.confirmed && !self.heard[before..].iter().any(|line| line.contains(in_force)) {
-            self.hear(in_force)?;
+        self.client_address = address(self.wait_for_log("serves on ")?)?;
+        // The list may have been confirmed before the program logged that it serves.
+        let list_confirmed = "discovery: the list is confirmed";
+        if self.auto_confirmed
+            && !self.log_lines[first_new_line..].iter().any(|line| line.contains(list_confirmed))
+        {
+            self.wait_for_log(list_confirmed)?;
         }
         Ok(())
     }
 
-    /// The memory that the program has, in KiB.
-    fn resident(&self) -> Result<u64, String> {
+    /// The program's resident memory in KiB.
+    fn resident_memory_kib(&self) -> Result<u64, String> {
         let path = format!("/proc/{}/status", self.program.id());
         let status = fs::read_to_string(path).map_err(|error| error.to_string())?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let number = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
-        number.ok_or_else(|| "the system does not say".to_owned())
+        let kib = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
+        kib.ok_or_else(|| "/proc/PID/status has no readable VmRSS line".to_owned())
     }
 
-    /// Waits for a log line with this text; gives what follows it.
-    fn hear(&mut self, text: &str) -> Result<String, String> {
-        // One limit for all lines: a program that goes on logging must not hold the test for ever.
-        let until = Instant::now() + LIMIT;
+    /// Waits for a log line that contains `text`, and returns the rest of the line after it.
+    fn wait_for_log(&mut self, text: &str) -> Result<String, String> {
+        // One deadline for all lines: a program that keeps logging must not block the test forever.
+        let deadline = Instant::now() + WAIT_LIMIT;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).map_err(|_| format!("the log never said '{text}'"))?;
-            self.heard.push(line.clone());
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let line =
+                self.log.recv_timeout(remaining).map_err(|_| format!("no log line contains '{text}'"))?;
+            self.log_lines.push(line.clone());
             if let Some((_, rest)) = line.split_once(text) {
                 return Ok(rest.to_owned());
             }
         }
     }
 
-    fn process(&mut self, who: &str) -> Result<&mut Child, String> {
-        if who == "program" {
+    /// The child process that `program` or `predecessor` means.
+    fn process(&mut self, target: &str) -> Result<&mut Child, String> {
+        if target == "program" {
             Ok(&mut self.program)
         } else {
-            self.predecessors.last_mut().ok_or("no predecessor".to_owned())
+            self.predecessors
+                .last_mut()
+                .ok_or("no successor was started, so there is no predecessor".to_owned())
         }
     }
 
-    fn conn(&mut self, who: &str) -> Result<&mut Conn, String> {
-        if !self.conns.contains_key(who) {
-            let stream = match who.split('.').next().unwrap_or("") {
+    /// The connection of this name; opens or accepts it first where the name is new.
+    fn connection(&mut self, target: &str) -> Result<&mut Connection, String> {
+        if !self.connections.contains_key(target) {
+            let stream = match target.split('.').next().unwrap_or("") {
                 name if name.starts_with(['c', 'n']) => {
-                    TcpStream::connect(self.at).map_err(|e| e.to_string())?
+                    TcpStream::connect(self.client_address).map_err(|e| e.to_string())?
                 }
                 name if name.starts_with(['g', 'w']) => {
-                    TcpStream::connect(self.gearman_at).map_err(|e| e.to_string())?
+                    TcpStream::connect(self.gearman_address).map_err(|e| e.to_string())?
                 }
                 name if name.starts_with('o') => {
-                    TcpStream::connect(self.door_at).map_err(|e| e.to_string())?
+                    TcpStream::connect(self.management_address).map_err(|e| e.to_string())?
                 }
-                name => accept(self.listeners.get(name).ok_or("nobody of this name")?)?,
+                name => accept_connection(self.listeners.get(name).ok_or("no listener has this name")?)?,
             };
-            stream.set_read_timeout(Some(LIMIT)).map_err(|error| error.to_string())?;
-            self.conns.insert(who.to_owned(), Conn { stream, held: Vec::new() });
+            stream.set_read_timeout(Some(WAIT_LIMIT)).map_err(|error| error.to_string())?;
+            self.connections.insert(target.to_owned(), Connection { stream, unread: Vec::new() });
         }
-        self.conns.get_mut(who).ok_or_else(|| "no connection".to_owned())
+        self.connections.get_mut(target).ok_or_else(|| "no connection has this name".to_owned())
     }
 
-    fn write(&mut self, who: &str, bytes: &[u8]) -> Result<(), String> {
-        let conn = self.conn(who)?;
-        conn.stream.write_all(bytes).map_err(|error| error.to_string())?;
-        let at = conn.stream.local_addr().map_err(|error| error.to_string())?;
-        self.laid(at, false)
+    /// Writes bytes to the connection of this name.
+    fn write_to(&mut self, target: &str, bytes: &[u8]) -> Result<(), String> {
+        let connection = self.connection(target)?;
+        connection.stream.write_all(bytes).map_err(|error| error.to_string())?;
+        let address = connection.stream.local_addr().map_err(|error| error.to_string())?;
+        self.track_delivery(address, false)
     }
 
-    /// What was written, or the end, of this connection of a scenario's has to lie at the program's side before that goes on.
-    fn laid(&mut self, at: SocketAddr, closed: bool) -> Result<(), String> {
-        let SocketAddr::V4(at) = at else { return Err(format!("{at} is not IPv4")) };
-        let place = format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port());
-        if self.held {
-            self.pending.retain(|other| other.0 != place);
-            self.pending.push((place, closed, 0));
+    /// Notes, while the program is stopped, that bytes or the close of the connection with this local address must reach the
+    /// program's socket before the program is continued.
+    fn track_delivery(&mut self, address: SocketAddr, closed: bool) -> Result<(), String> {
+        let SocketAddr::V4(address) = address else {
+            return Err(format!("{address} is not an IPv4 address"));
+        };
+        let key = format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port());
+        if self.stopped {
+            self.pending_deliveries.retain(|other| other.0 != key);
+            self.pending_deliveries.push((key, closed, 0));
         }
         Ok(())
     }
 
-    /// Waits until all that was laid while the program stood still has come to its side: on a busy machine the system brings
-    /// it there some time later, and in another order. What is looked for is in the system's table, which may pass over a
-    /// line while others change: an end that is not listed any more, reset, is believed after some looks.
-    fn arrived(&mut self) -> Result<(), String> {
-        let mut pending = std::mem::take(&mut self.pending);
-        eventually("what was laid does not arrive", || {
+    /// Waits until every write and close made while the program was stopped has reached the program's sockets. On a busy
+    /// machine the kernel delivers them later, and in another order. The check reads /proc/net/tcp, which may skip a line
+    /// while other connections change: a connection that is missing counts as reset after 20 lookups.
+    fn wait_for_deliveries(&mut self) -> Result<(), String> {
+        let mut pending = std::mem::take(&mut self.pending_deliveries);
+        wait_until("bytes or closes sent while the program was stopped did not reach its sockets", || {
             let table = fs::read_to_string("/proc/net/tcp").unwrap_or_default();
             let words = |line: &str| line.split_whitespace().take(5).map(str::to_owned).collect::<Vec<_>>();
             let states: HashMap<String, (String, String)> = table
@@ -436,8 +491,8 @@
                 .filter(|words| words.len() == 5 && !words[2].ends_with(":0000"))
                 .map(|words| (words[1].clone(), (words[3].clone(), words[4].clone())))
                 .collect();
-            pending.retain_mut(|(place, closed, missed)| match states.get(place) {
-                // States 1 and 4: open, or an end that the other side does not have yet.
+            pending.retain_mut(|(key, closed, missed)| match states.get(key) {
+                // TCP states 01 (ESTABLISHED) and 04 (FIN_WAIT1): the program's side has not got the FIN yet.
                 Some((state, _)) if *closed => state == "01" || state == "04",
                 Some((_, queues)) => !queues.starts_with("00000000:"),
                 None => {
@@ -449,180 +504,202 @@
         })
     }
 
-    /// Nobody can connect to this worker until there is `room`: one connection waits to be accepted, and there is space for
-    /// no other. Who tries is let in some time, a second or so, after that.
-    fn crowd(&mut self, name: &str) -> std::io::Result<()> {
+    /// Fills the accept queue of a worker's listener: one connection waits to be accepted and there is no space for another.
+    /// A connection attempt made meanwhile completes about a second after `free_backlog`, when its SYN is repeated.
+    fn fill_backlog(&mut self, name: &str) -> std::io::Result<()> {
         let listener = self.listeners.get(name).ok_or(ErrorKind::NotFound)?;
-        // Said again, it changes how many may wait.
+        // A second listen() on the same socket changes the size of the accept queue.
         rustix::net::listen(listener, 0)?;
-        let at = listener.local_addr()?;
-        let stream = TcpStream::connect(at)?;
-        self.conns.insert(format!("crowd {name}"), Conn { stream, held: Vec::new() });
+        let address = listener.local_addr()?;
+        let stream = TcpStream::connect(address)?;
+        self.connections.insert(format!("backlog {name}"), Connection { stream, unread: Vec::new() });
         Ok(())
     }
 
-    fn step(&mut self, verb: &str, who: &str, rest: &str) -> Result<(), String> {
-        match (verb, who) {
+    /// Executes one step of the script.
+    fn execute_step(&mut self, verb: &str, target: &str, rest: &str) -> Result<(), String> {
+        match (verb, target) {
             ("send", "program" | "predecessor") => {
                 if rest == "CONT" {
-                    self.arrived()?;
+                    self.wait_for_deliveries()?;
                 }
-                let (signal, id) = (format!("-{rest}"), self.process(who)?.id().to_string());
-                let killed = Command::new("kill").args([&signal, &id]).status();
-                killed.map_err(|error| error.to_string())?;
-                self.held = if rest == "STOP" { true } else { self.held && rest != "CONT" };
-                // It stands still only once the system says so.
-                let still = |text: String| text.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'));
-                eventually("it does not stand still", || {
-                    rest != "STOP" || fs::read_to_string(format!("/proc/{id}/stat")).is_ok_and(still)
+                let (signal, id) = (format!("-{rest}"), self.process(target)?.id().to_string());
+                let sent = Command::new("kill").args([&signal, &id]).status();
+                sent.map_err(|error| error.to_string())?;
+                self.stopped = if rest == "STOP" { true } else { self.stopped && rest != "CONT" };
+                // The process is stopped only once its state in /proc/PID/stat is T.
+                let is_stopped =
+                    |text: String| text.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'));
+                wait_until("the process does not stop after SIGSTOP", || {
+                    rest != "STOP" || fs::read_to_string(format!("/proc/{id}/stat")).is_ok_and(is_stopped)
                 })
             }
             ("send", "file") => {
                 let text = match rest.strip_prefix("raw ") {
                     Some(text) => text.to_owned(),
                     None => {
-                        let place = |at: std::io::Result<SocketAddr>| at.map_err(|error| error.to_string());
-                        let discovery = self.listeners.get(rest).ok_or("nobody of this name")?.local_addr();
-                        let text = config(
-                            &self.listed,
-                            place(discovery)?,
-                            place(self.peer.local_addr())?,
-                            self.pushed,
+                        let address =
+                            |result: std::io::Result<SocketAddr>| result.map_err(|error| error.to_string());
+                        let discovery =
+                            self.listeners.get(rest).ok_or("no listener has this name")?.local_addr();
+                        let text = config_json(
+                            &self.listed_workers,
+                            address(discovery)?,
+                            address(self.peer_socket.local_addr())?,
+                            self.pushed_list,
                         );
-                        with(&text, &self.settings)
+                        with_settings(&text, &self.settings)
                     }
                 };
-                fs::write(&self.file, text).map_err(|error| error.to_string())
+                fs::write(&self.config_file, text).map_err(|error| error.to_string())
             }
             ("never", first) => {
                 let text = format!("{first} {rest}");
-                self.heard.extend(self.log.try_iter());
-                match self.heard.iter().find(|line| line.contains(&text)) {
-                    Some(line) => Err(format!("the log says '{line}'")),
+                self.log_lines.extend(self.log.try_iter());
+                match self.log_lines.iter().find(|line| line.contains(&text)) {
+                    Some(line) => Err(format!("the log contains the line '{line}'")),
                     None => Ok(()),
                 }
             }
-            ("set", at) => {
-                self.settings.retain(|(before, _)| before != at);
-                self.settings.push((at.to_owned(), rest.to_owned()));
+            ("set", pointer) => {
+                self.settings.retain(|(other, _)| other != pointer);
+                self.settings.push((pointer.to_owned(), rest.to_owned()));
                 Ok(())
             }
-            ("weigh", "program") => {
-                self.weight = self.resident()?;
+            ("record_memory", "program") => {
+                self.recorded_memory_kib = self.resident_memory_kib()?;
                 Ok(())
             }
-            ("gained", most) => {
-                let most: u64 = most.parse().map_err(|_| format!("'{most}' is no number"))?;
-                let now = self.resident()?;
-                let gained = now.saturating_sub(self.weight);
-                if gained <= most { Ok(()) } else { Err(format!("it has gained {gained} KiB, to {now}")) }
+            ("memory_growth", limit) => {
+                let limit: u64 = limit.parse().map_err(|_| format!("'{limit}' is not a number of KiB"))?;
+                let now = self.resident_memory_kib()?;
+                let growth = now.saturating_sub(self.recorded_memory_kib);
+                if growth <= limit {
+                    Ok(())
+                } else {
+                    Err(format!(
+                        "the program's memory grew by {growth} KiB to {now} KiB, {limit} KiB are allowed"
+                    ))
+                }
             }
             ("restart", "program") => {
                 self.program.kill().map_err(|error| error.to_string())?;
                 self.program.wait().map_err(|error| error.to_string())?;
-                (self.program, self.log) = start_program(&self.file, 1024, self.passed.as_ref(), "");
-                self.find()
+                (self.program, self.log) =
+                    start_program(&self.config_file, 1024, self.passed_socket.as_ref(), "");
+                self.read_addresses()
             }
             ("start", "successor") => {
-                let (program, log) = start_program(&self.file, 1024, self.passed.as_ref(), rest);
+                let (program, log) =
+                    start_program(&self.config_file, 1024, self.passed_socket.as_ref(), rest);
                 self.predecessors.push(std::mem::replace(&mut self.program, program));
-                // The old one goes on logging to nobody: it must not stop for that.
-                let old = std::mem::replace(&mut self.log, log);
-                thread::spawn(move || old.iter().for_each(drop));
-                self.find()
+                // The predecessor's log is still read, so that a full pipe does not block the process.
+                let old_log = std::mem::replace(&mut self.log, log);
+                thread::spawn(move || old_log.iter().for_each(drop));
+                self.read_addresses()
             }
             ("mark", _) => {
-                self.marked = Instant::now();
+                self.marked_at = Instant::now();
                 Ok(())
             }
             ("after" | "within", span) => {
-                let span = Duration::from_millis(span.parse().map_err(|_| format!("'{span}' is no span"))?);
-                let passed = self.marked.elapsed();
-                let right = if verb == "after" { passed >= span } else { passed <= span };
-                if right { Ok(()) } else { Err(format!("{passed:?} have passed")) }
+                let span = Duration::from_millis(
+                    span.parse().map_err(|_| format!("'{span}' is not a number of milliseconds"))?,
+                );
+                let passed = self.marked_at.elapsed();
+                let in_bounds = if verb == "after" { passed >= span } else { passed <= span };
+                if in_bounds { Ok(()) } else { Err(format!("{passed:?} have passed since the mark")) }
             }
             ("until", span) => {
-                let span = Duration::from_millis(span.parse().map_err(|_| format!("'{span}' is no span"))?);
-                thread::sleep(span.saturating_sub(self.marked.elapsed()));
+                let span = Duration::from_millis(
+                    span.parse().map_err(|_| format!("'{span}' is not a number of milliseconds"))?,
+                );
+                thread::sleep(span.saturating_sub(self.marked_at.elapsed()));
                 Ok(())
             }
             ("info", line) => {
                 let since = Instant::now();
-                while since.elapsed() < LIMIT {
-                    let mut door = TcpStream::connect(self.door_at).map_err(|error| error.to_string())?;
-                    door.write_all(b"INFO\n").map_err(|error| error.to_string())?;
-                    let mut told = String::new();
-                    door.read_to_string(&mut told).map_err(|error| error.to_string())?;
-                    if told.lines().any(|told| told == line) {
+                while since.elapsed() < WAIT_LIMIT {
+                    let mut stream =
+                        TcpStream::connect(self.management_address).map_err(|error| error.to_string())?;
+                    stream.write_all(b"INFO\n").map_err(|error| error.to_string())?;
+                    let mut answer = String::new();
+                    stream.read_to_string(&mut answer).map_err(|error| error.to_string())?;
+                    if answer.lines().any(|answered| answered == line) {
                         return Ok(());
                     }
                     thread::sleep(Duration::from_millis(5));
                 }
-                Err("operators were never told so".to_owned())
+                Err("INFO never contained this line".to_owned())
             }
             ("up", _) => {
                 let since = Instant::now();
                 loop {
-                    self.step("send", who, "GET /up")?;
-                    match self.step("expect", who, "200") {
-                        Err(_) if since.elapsed() < LIMIT => thread::sleep(Duration::from_millis(50)),
+                    self.execute_step("send", target, "GET /up")?;
+                    match self.execute_step("expect", target, "200") {
+                        Err(_) if since.elapsed() < WAIT_LIMIT => thread::sleep(Duration::from_millis(50)),
                         other => return other,
                     }
                 }
             }
-            ("take", _) => self.conn(who).map(drop),
-            ("ends", _) => match self.conn(who)?.read(&mut [0; 64]) {
+            ("take", _) => self.connection(target).map(drop),
+            ("ends", _) => match self.connection(target)?.read(&mut [0; 64]) {
                 Ok(0) => Ok(()),
-                other => Err(format!("it does not end in order: {other:?}")),
+                other => Err(format!("the connection was not closed in order: {other:?}")),
             },
             ("none", name) => {
-                let listener = self.listeners.get(name).ok_or("nobody of this name")?;
+                let listener = self.listeners.get(name).ok_or("no listener has this name")?;
                 listener.set_nonblocking(true).map_err(|error| error.to_string())?;
                 match listener.accept() {
                     Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(()),
-                    other => Err(format!("somebody connected: {other:?}")),
+                    other => Err(format!("a connection to '{name}' was made, or accept failed: {other:?}")),
                 }
             }
-            ("crowd", name) => self.crowd(name).map_err(|error| error.to_string()),
-            ("room", name) => {
-                let listener = self.listeners.get(name).ok_or("nobody of this name")?;
-                accept(listener).map(drop)
+            ("fill_backlog", name) => self.fill_backlog(name).map_err(|error| error.to_string()),
+            ("free_backlog", name) => {
+                let listener = self.listeners.get(name).ok_or("no listener has this name")?;
+                accept_connection(listener).map(drop)
             }
-            ("expect", "program") => self.hear(rest).map(drop),
+            ("expect", "program") => self.wait_for_log(rest).map(drop),
             ("wait", "program" | "predecessor") => {
                 let since = Instant::now();
-                while since.elapsed() < LIMIT {
-                    if let Some(status) = self.process(who)?.try_wait().map_err(|error| error.to_string())? {
+                while since.elapsed() < WAIT_LIMIT {
+                    if let Some(status) =
+                        self.process(target)?.try_wait().map_err(|error| error.to_string())?
+                    {
                         return if status.success() {
                             Ok(())
                         } else {
-                            Err(format!("it ended with {status}"))
+                            Err(format!("the process exited with {status}"))
                         };
                     }
                     thread::sleep(Duration::from_millis(5));
                 }
-                Err("it runs on".to_owned())
-            }
-            ("send", "p") => {
-                self.peer.send_to(&bytes(rest), self.peers_at).map(drop).map_err(|e| e.to_string())
+                Err("the process has not exited".to_owned())
             }
+            ("send", "p") => self
+                .peer_socket
+                .send_to(&parse_bytes(rest), self.peer_address)
+                .map(drop)
+                .map_err(|e| e.to_string()),
             ("expect", "p") => {
-                let mut got = [0; 512];
-                // What it tells of its own accord, a greeting at its start say, may come before.
+                let mut datagram = [0; 512];
+                // Datagrams that the program sends unasked, such as its hello at the start, may come first.
                 loop {
-                    let (length, _) = self.peer.recv_from(&mut got).map_err(|error| error.to_string())?;
-                    if got[..length] == bytes(rest) {
+                    let (length, _) =
+                        self.peer_socket.recv_from(&mut datagram).map_err(|error| error.to_string())?;
+                    if datagram[..length] == parse_bytes(rest) {
                         return Ok(());
                     }
                 }
             }
             ("send", name) if name.starts_with(['g', 'w']) => {
-                let bytes = packet(rest, &self.kept)?;
-                self.write(who, &bytes)
+                let bytes = encode_packet(rest, &self.variables)?;
+                self.write_to(target, &bytes)
             }
             ("expect", name) if name.starts_with(['g', 'w']) && rest.starts_with("text ") => {
-                let line = plain(&substitute(&rest["text ".len()..], &self.kept));
-                self.conn(who)?.expect_line(&String::from_utf8_lossy(&line))
+                let line = unescape(&substitute_variables(&rest["text ".len()..], &self.variables));
+                self.connection(target)?.expect_line(&String::from_utf8_lossy(&line))
             }
             ("ready", _) => {
                 for (verb, message) in [
@@ -631,63 +708,65 @@
                     ("send", "ECHO_REQ | there".to_owned()),
                     ("expect", "ECHO_RES | there".to_owned()),
                 ] {
-                    self.step(verb, who, &message)?;
+                    self.execute_step(verb, target, &message)?;
                 }
                 Ok(())
             }
             ("pull", _) => {
-                self.step("expect", who, "NOOP")?;
-                self.step("send", who, "GRAB_JOB")?;
-                self.step("expect", who, rest)
+                self.execute_step("expect", target, "NOOP")?;
+                self.execute_step("send", target, "GRAB_JOB")?;
+                self.execute_step("expect", target, rest)
             }
             ("expect", name) if name.starts_with(['g', 'w']) => {
-                let (times, rest) = repeated(rest);
+                let (times, rest) = parse_repeat(rest);
                 for _ in 0..times {
-                    let (kind, data) = self.conn(who)?.next_packet()?;
-                    fits(rest, &kind, &data, &mut self.kept)?;
+                    let (packet_type, data) = self.connection(target)?.next_packet()?;
+                    match_packet(rest, &packet_type, &data, &mut self.variables)?;
                 }
                 Ok(())
             }
             ("send", _) => {
-                let text = wire(rest);
-                self.write(who, &text)
+                let message = encode_message(rest);
+                self.write_to(target, &message)
             }
-            ("expect", name) if name.starts_with('o') => self.conn(who)?.expect_line(rest),
-            ("expect", _) => self.conn(who)?.expect(rest),
+            ("expect", name) if name.starts_with('o') => self.connection(target)?.expect_line(rest),
+            ("expect", _) => self.connection(target)?.expect(rest),
             ("close", _) => {
-                if let Some(conn) = self.conns.remove(who) {
-                    let at = conn.stream.local_addr().map_err(|error| error.to_string())?;
-                    drop(conn);
-                    return self.laid(at, true);
+                if let Some(connection) = self.connections.remove(target) {
+                    let address = connection.stream.local_addr().map_err(|error| error.to_string())?;
+                    drop(connection);
+                    return self.track_delivery(address, true);
                 }
-                let listener = self.listeners.remove(who).ok_or("nobody of this name")?;
-                let at = listener.local_addr().map_err(|error| error.to_string())?;
+                let listener =
+                    self.listeners.remove(target).ok_or("no connection or listener has this name")?;
+                let address = listener.local_addr().map_err(|error| error.to_string())?;
                 drop(listener);
-                // Nobody listens there, and no other test may: its program goes on calling. A process that another test
-                // is just starting may hold the listener for a moment.
-                let keep = || -> std::io::Result<OwnedFd> {
+                // The address stays bound without a listener, because the program keeps connecting to it and no other test
+                // may get those connections. A process that another test is just starting may hold a copy of the listener
+                // for a moment, so binding is repeated.
+                let reserve = || -> std::io::Result<OwnedFd> {
                     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None)?;
                     rustix::net::sockopt::set_socket_reuseaddr(&socket, true)?;
-                    rustix::net::bind(&socket, &at)?;
+                    rustix::net::bind(&socket, &address)?;
                     Ok(socket)
                 };
-                let mut kept = None;
-                eventually("the listener does not go", || {
-                    kept = keep().ok();
-                    kept.is_some()
+                let mut reserved = None;
+                wait_until("the address of the closed listener stays in use", || {
+                    reserved = reserve().ok();
+                    reserved.is_some()
                 })?;
-                self.refusing.extend(kept);
+                self.reserved_addresses.extend(reserved);
                 Ok(())
             }
             ("wait", _) => {
-                let conn = self.conn(who)?;
-                match conn.read(&mut [0; 64]) {
+                let connection = self.connection(target)?;
+                match connection.read(&mut [0; 64]) {
                     Ok(0) => Ok(()),
                     Err(error) if error.kind() == ErrorKind::ConnectionReset => Ok(()),
-                    other => Err(format!("it goes on: {other:?}")),
+                    other => Err(format!("the connection is still open: {other:?}")),
                 }
             }
-            _ => Err("no such step".to_owned()),
+            _ => Err("unknown step".to_owned()),
         }
     }
 }
@@ -698,86 +777,93 @@
             let _ = process.kill();
             let _ = process.wait();
         }
-        let _ = fs::remove_file(&self.file);
-        if let Some((_, dir)) = &self.passed {
+        let _ = fs::remove_file(&self.config_file);
+        if let Some((_, dir)) = &self.passed_socket {
             let _ = fs::remove_dir_all(dir);
         }
     }
 }
 
-/// Starts the program; gives what it logs, line by line. `step`: seconds by which its wall clock is off, if it is.
+/// Starts the program and returns it with a channel of its log lines. `clock_step` is the number of seconds by which its wall
+/// clock is shifted, or an empty string.
 fn start_program(
-    file: &Path,
-    descriptors: u32,
-    passed: Option<&(TcpListener, PathBuf)>,
-    step: &str,
+    config_file: &Path,
+    max_descriptors: u32,
+    passed_socket: Option<&(TcpListener, PathBuf)>,
+    clock_step: &str,
 ) -> (Child, Receiver<String>) {
     let mut command = Command::new("/bin/sh");
-    // A passed socket comes in as standard input, and goes on as descriptor 3.
-    let dup = if passed.is_some() { "3<&0 0</dev/null" } else { "" };
-    let operator = file.extension().is_some_and(|form| form == "kdl");
-    let how = match operator {
-        true => format!("serve --log-level debug --gearman 127.0.0.1:0 --operator {}", file.display()),
+    // A passed socket comes as standard input, and the shell moves it to descriptor 3.
+    let redirection = if passed_socket.is_some() { "3<&0 0</dev/null" } else { "" };
+    let has_operator_file = config_file.extension().is_some_and(|extension| extension == "kdl");
+    let arguments = match has_operator_file {
+        true => format!("serve --log-level debug --gearman 127.0.0.1:0 --operator {}", config_file.display()),
         false => String::new(),
     };
     command.args([
         "-c",
-        &format!("ulimit -n {descriptors} && exec \"$0\" {how} {dup}"),
+        &format!("ulimit -n {max_descriptors} && exec \"$0\" {arguments} {redirection}"),
         env!("CARGO_BIN_EXE_calicolb"),
     ]);
-    if let Some((socket, dir)) = passed {
-        let socket = socket.try_clone().expect("a socket can be shared");
+    if let Some((socket, dir)) = passed_socket {
+        let socket = socket.try_clone().expect("the clients' socket can be duplicated");
         command.stdin(OwnedFd::from(socket)).env("RELAY_PASSED_SOCKET", "3").env("TMPDIR", dir);
     }
-    if !step.is_empty() {
-        command.env("CALICOLB_TEST_CLOCK_STEP_S", step);
+    if !clock_step.is_empty() {
+        command.env("CALICOLB_TEST_CLOCK_STEP_S", clock_step);
     }
-    let mut program =
-        command.env("RELAY_CONFIG", file).stderr(Stdio::piped()).spawn().expect("the program starts");
-    let errors = BufReader::new(program.stderr.take().expect("its log is piped"));
-    let (tell, log) = channel();
-    thread::spawn(move || errors.lines().map_while(Result::ok).all(|line| tell.send(line).is_ok()));
+    let mut program = command
+        .env("RELAY_CONFIG", config_file)
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the program can be started");
+    let stderr = BufReader::new(program.stderr.take().expect("the program's standard error is a pipe"));
+    let (sender, log) = channel();
+    thread::spawn(move || stderr.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok()));
     (program, log)
 }
 
-/// The scenario speaks for the discovery of this name itself.
-fn speaks_for(script: &str, name: &str) -> bool {
-    let whom = script.lines().filter_map(|line| line.split_whitespace().nth(1));
-    whom.filter_map(|who| who.split('.').next()).any(|who| who == name)
+/// Returns whether the script uses the discovery listener of this name.
+fn script_controls(script: &str, name: &str) -> bool {
+    let names = script.lines().filter_map(|line| line.split_whitespace().nth(1));
+    names.filter_map(|used| used.split('.').next()).any(|used| used == name)
 }
 
-/// Takes the next connection, waiting for it no longer than the limit.
-fn accept(listener: &TcpListener) -> Result<TcpStream, String> {
+/// Accepts the next connection; fails after [`WAIT_LIMIT`].
+fn accept_connection(listener: &TcpListener) -> Result<TcpStream, String> {
     listener.set_nonblocking(true).map_err(|error| error.to_string())?;
     let since = Instant::now();
-    while since.elapsed() < LIMIT {
+    while since.elapsed() < WAIT_LIMIT {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).map_err(|error| error.to_string())?;
             return Ok(stream);
         }
         thread::sleep(Duration::from_millis(2));
     }
-    Err("nobody connected".to_owned())
+    Err("the program made no connection within the wait limit".to_owned())
 }
 
-/// `1,0,255` as bytes; `#N` as N bytes.
-fn bytes(text: &str) -> Vec<u8> {
+/// Parses `1,0,255` as bytes, and `#N` as `N` bytes of padding.
+fn parse_bytes(text: &str) -> Vec<u8> {
     match text.strip_prefix('#') {
-        Some(count) => vec![b'x'; count.parse().expect("a count")],
-        None => text.split(',').map(|part| part.parse().expect("a byte")).collect(),
+        Some(count) => vec![b'x'; count.parse().expect("the padding length is a number")],
+        None => {
+            text.split(',').map(|part| part.parse().expect("each part is a number from 0 to 255")).collect()
+        }
     }
 }
 
-fn pad(word: &str) -> String {
+/// Expands `#N` to `N` characters of padding; other words stay.
+fn expand_padding(word: &str) -> String {
     word.strip_prefix('#')
         .and_then(|count| count.parse().ok())
         .map_or_else(|| word.to_owned(), |n| "x".repeat(n))
 }
 
-/// Text with its escapes as the bytes that they mean.
-fn plain(text: &str) -> Vec<u8> {
-    let (mut out, mut left) = (Vec::new(), text.as_bytes());
-    while let [first, rest @ ..] = left {
+/// Replaces the escapes of a text (`\r`, `\n`, `\t`, `\0`, `\xHH`) with the bytes that they stand for.
+fn unescape(text: &str) -> Vec<u8> {
+    let (mut out, mut remaining) = (Vec::new(), text.as_bytes());
+    while let [first, rest @ ..] = remaining {
         let (byte, used) = match (first, rest) {
             (b'\\', [b'r', ..]) => (b'\r', 2),
             (b'\\', [b'n', ..]) => (b'\n', 2),
@@ -785,109 +871,112 @@
             (b'\\', [b'0', ..]) => (0, 2),
             (b'\\', [b'x', high, low, ..]) => {
                 let digits = [*high, *low];
-                let digits = std::str::from_utf8(&digits).expect("two digits");
-                (u8::from_str_radix(digits, 16).expect("two hexadecimal digits"), 4)
+                let digits = std::str::from_utf8(&digits).expect("the digits after \\x are ASCII");
+                (u8::from_str_radix(digits, 16).expect("\\x is followed by two hexadecimal digits"), 4)
             }
             (&byte, _) => (byte, 1),
         };
         out.push(byte);
-        left = &left[used..];
+        remaining = &remaining[used..];
     }
     out
 }
 
-/// Puts what was kept in the place of `$NAME` words.
-fn substitute(text: &str, kept: &HashMap<String, Vec<u8>>) -> String {
+/// Replaces `$NAME` with the value of the variable.
+fn substitute_variables(text: &str, variables: &HashMap<String, Vec<u8>>) -> String {
     let mut text = text.to_owned();
-    for (name, value) in kept {
+    for (name, value) in variables {
         text = text.replace(&format!("${name}"), &String::from_utf8_lossy(value));
     }
     text
 }
 
-fn kind_of(name: &str) -> Result<PacketType, String> {
+/// The Gearman packet type of this name.
+fn packet_type_by_name(name: &str) -> Result<PacketType, String> {
     PacketType::ALL
         .iter()
         .copied()
-        .find(|kind| kind.name() == name)
-        .ok_or_else(|| format!("no packet is a {name}"))
+        .find(|packet_type| packet_type.name() == name)
+        .ok_or_else(|| format!("no packet type is named '{name}'"))
 }
 
-/// The fields of a packet: words, and what stands behind the bar.
-fn fields(text: &str) -> Vec<String> {
+/// The fields of a packet in a script: the words after the packet type, and the text after the bar.
+fn packet_fields(text: &str) -> Vec<String> {
     let (head, last) = text.split_once(" | ").map_or((text, None), |(head, last)| (head, Some(last)));
     let mut fields: Vec<String> = head.split(' ').skip(1).map(str::to_owned).collect();
-    fields.extend(last.map(pad));
+    fields.extend(last.map(expand_padding));
     fields
 }
 
-/// `times N REST`: how often, and what.
-fn repeated(text: &str) -> (usize, &str) {
+/// Splits `times N REST` into the count and the rest; the count is 1 without `times`.
+fn parse_repeat(text: &str) -> (usize, &str) {
     let found = text.strip_prefix("times ").and_then(|rest| rest.split_once(' '));
-    found.map_or((1, text), |(count, rest)| (count.parse().expect("a count"), rest))
+    found.map_or((1, text), |(count, rest)| (count.parse().expect("the repeat count is a number"), rest))
 }
 
-/// The bytes of a Gearman packet, or of a line, to send.
-fn packet(text: &str, kept: &HashMap<String, Vec<u8>>) -> Result<Vec<u8>, String> {
-    let (times, text) = repeated(text);
+/// The bytes to send for a Gearman packet or a line of the text protocol.
+fn encode_packet(text: &str, variables: &HashMap<String, Vec<u8>>) -> Result<Vec<u8>, String> {
+    let (times, text) = parse_repeat(text);
     if times > 1 {
-        return Ok(packet(text, kept)?.repeat(times));
+        return Ok(encode_packet(text, variables)?.repeat(times));
     }
-    let text = substitute(text, kept);
+    let text = substitute_variables(text, variables);
     if let Some(text) = text.strip_prefix("raw ") {
-        return Ok(plain(text));
+        return Ok(unescape(text));
     }
     if let Some(line) = text.strip_prefix("text ") {
         return Ok(format!("{line}\n").into_bytes());
     }
-    let kind = kind_of(text.split(' ').next().unwrap_or(""))?;
-    let fields: Vec<Vec<u8>> =
-        fields(&text).iter().map(|field| if field == "~" { Vec::new() } else { plain(field) }).collect();
+    let packet_type = packet_type_by_name(text.split(' ').next().unwrap_or(""))?;
+    let fields: Vec<Vec<u8>> = packet_fields(&text)
+        .iter()
+        .map(|field| if field == "~" { Vec::new() } else { unescape(field) })
+        .collect();
     let fields: Vec<&[u8]> = fields.iter().map(Vec::as_slice).collect();
-    Ok(encode(Sender::Peer, kind, &fields))
+    Ok(encode(Sender::Peer, packet_type, &fields))
 }
 
-/// Compares a packet with what is wanted, and keeps what is named.
-fn fits(
-    want: &str,
-    kind: &PacketType,
+/// Compares a packet with the expected one, and assigns the variables that it names for the first time.
+fn match_packet(
+    wanted: &str,
+    packet_type: &PacketType,
     data: &[u8],
-    kept: &mut HashMap<String, Vec<u8>>,
+    variables: &mut HashMap<String, Vec<u8>>,
 ) -> Result<(), String> {
-    let told = || format!("got {kind} {}", data.escape_ascii());
-    if kind_of(want.split(' ').next().unwrap_or(""))? != *kind {
-        return Err(told());
-    }
-    let want = fields(want);
-    let mut parts = data.splitn(kind.argument_count().max(1), |&byte| byte == 0);
-    for field in &want {
-        let part = parts.next().ok_or_else(told)?;
+    let mismatch = || format!("got {packet_type} {}", data.escape_ascii());
+    if packet_type_by_name(wanted.split(' ').next().unwrap_or(""))? != *packet_type {
+        return Err(mismatch());
+    }
+    let wanted = packet_fields(wanted);
+    let mut parts = data.splitn(packet_type.argument_count().max(1), |&byte| byte == 0);
+    for field in &wanted {
+        let part = parts.next().ok_or_else(mismatch)?;
         if let Some(name) = field.strip_prefix('$') {
-            let known = kept.entry(name.to_owned()).or_insert_with(|| part.to_vec());
-            if known != part {
-                return Err(told());
+            let value = variables.entry(name.to_owned()).or_insert_with(|| part.to_vec());
+            if value != part {
+                return Err(mismatch());
             }
-        } else if field != "*" && plain(if field == "~" { "" } else { field }) != part {
-            return Err(told());
+        } else if field != "*" && unescape(if field == "~" { "" } else { field }) != part {
+            return Err(mismatch());
         }
     }
     Ok(())
 }
 
-/// The bytes of a message to send.
-fn wire(text: &str) -> Vec<u8> {
+/// The bytes to send for an HTTP message.
+fn encode_message(text: &str) -> Vec<u8> {
     if let Some(text) = text.strip_prefix("raw ") {
-        return plain(text);
+        return unescape(text);
     }
     if text == "watch" {
-        return plain(r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        return unescape(r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
     if let Some(text) = text.strip_prefix("chunk ") {
-        let text = plain(text);
+        let text = unescape(text);
         return [format!("{:x}\r\n", text.len()).as_bytes(), &text, b"\r\n"].concat();
     }
     let (head, body) = text.split_once(" | ").unwrap_or((text, ""));
-    let body = pad(body);
+    let body = expand_padding(body);
     let mut words = head.split(' ');
     let first = words.next().unwrap_or("");
     let mut out = match first.parse::<u16>() {
@@ -895,89 +984,97 @@
         Err(_) => format!("{first} {} HTTP/1.1\r\nHost: t\r\n", words.next().unwrap_or("/")),
     };
     for (name, value) in words.filter_map(|word| word.split_once(':')) {
-        out += &format!("{name}: {}\r\n", pad(value));
+        out += &format!("{name}: {}\r\n", expand_padding(value));
     }
     out += &format!("Content-Length: {}\r\n\r\n{body}", body.len());
     out.into_bytes()
 }
 
-impl Conn {
-    /// One read; a signal that interrupts it is none of its business.
-    fn read(&mut self, part: &mut [u8]) -> std::io::Result<usize> {
+impl Connection {
+    /// Reads once; a read interrupted by a signal is repeated.
+    fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         loop {
-            match self.stream.read(part) {
+            match self.stream.read(buffer) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 other => return other,
             }
         }
     }
 
-    fn more(&mut self) -> Result<(), String> {
-        let mut part = [0; 4096];
-        match self.read(&mut part) {
-            Ok(0) => Err(format!("it ended after '{}'", String::from_utf8_lossy(&self.held))),
+    /// Reads more bytes into `unread`; fails at the end of the stream.
+    fn read_more(&mut self) -> Result<(), String> {
+        let mut buffer = [0; 4096];
+        match self.read(&mut buffer) {
+            Ok(0) => {
+                Err(format!("the connection was closed after '{}'", String::from_utf8_lossy(&self.unread)))
+            }
             Ok(count) => {
-                self.held.extend_from_slice(&part[..count]);
+                self.unread.extend_from_slice(&buffer[..count]);
                 Ok(())
             }
             Err(error) => Err(error.to_string()),
         }
     }
 
+    /// Reads the next Gearman packet.
     fn next_packet(&mut self) -> Result<(PacketType, Vec<u8>), String> {
         loop {
-            match parse(&self.held, Sender::Server, 1 << 20) {
-                Ok(Found::Complete(packet, length)) => {
-                    let found = (packet.packet_type, self.held[12..length].to_vec());
-                    self.held.drain(..length);
-                    return Ok(found);
+            match parse(&self.unread, Sender::Server, 1 << 20) {
+                Ok(ParseResult::Complete(packet, length)) => {
+                    let packet = (packet.packet_type, self.unread[12..length].to_vec());
+                    self.unread.drain(..length);
+                    return Ok(packet);
                 }
-                Ok(Found::Incomplete) => self.more()?,
-                other => return Err(format!("no packet: {other:?}")),
+                Ok(ParseResult::Incomplete) => self.read_more()?,
+                other => return Err(format!("the bytes are no Gearman packet: {other:?}")),
             }
         }
     }
 
-    fn expect_line(&mut self, want: &str) -> Result<(), String> {
+    /// Skips lines until one equals `wanted`.
+    fn expect_line(&mut self, wanted: &str) -> Result<(), String> {
         loop {
-            while let Some(end) = self.held.iter().position(|&byte| byte == b'\n') {
-                let line: Vec<u8> = self.held.drain(..=end).collect();
-                if line.trim_ascii_end() == want.as_bytes() {
+            while let Some(end) = self.unread.iter().position(|&byte| byte == b'\n') {
+                let line: Vec<u8> = self.unread.drain(..=end).collect();
+                if line.trim_ascii_end() == wanted.as_bytes() {
                     return Ok(());
                 }
             }
-            self.more()?;
+            self.read_more()?;
         }
     }
 
-    fn expect(&mut self, want: &str) -> Result<(), String> {
+    /// Reads an HTTP message and compares it with the expected one.
+    fn expect(&mut self, wanted: &str) -> Result<(), String> {
         let end = loop {
-            match self.held.windows(4).position(|four| four == b"\r\n\r\n") {
-                Some(at) => break at + 4,
-                None => self.more()?,
+            match self.unread.windows(4).position(|four| four == b"\r\n\r\n") {
+                Some(position) => break position + 4,
+                None => self.read_more()?,
             }
         };
-        let head = String::from_utf8_lossy(&self.held[..end]).into_owned();
+        let head = String::from_utf8_lossy(&self.unread[..end]).into_owned();
         let header = |name: &str| {
             let mut lines = head.lines().filter_map(|line| line.split_once(": "));
             lines.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.to_owned())
         };
-        let length: usize = header("content-length").map_or(0, |text| text.parse().expect("a length"));
-        while self.held.len() < end + length {
-            self.more()?;
+        let length: usize =
+            header("content-length").map_or(0, |text| text.parse().expect("Content-Length is a number"));
+        while self.unread.len() < end + length {
+            self.read_more()?;
         }
-        let body = String::from_utf8_lossy(&self.held[end..end + length]).into_owned();
-        self.held.drain(..end + length);
-        let (want_head, want_body) =
-            want.split_once(" | ").map_or((want, None), |(head, body)| (head, Some(pad(body))));
-        let fits = |word: &str| match word.split_once(':') {
+        let body = String::from_utf8_lossy(&self.unread[end..end + length]).into_owned();
+        self.unread.drain(..end + length);
+        let (wanted_head, wanted_body) = wanted
+            .split_once(" | ")
+            .map_or((wanted, None), |(head, body)| (head, Some(expand_padding(body))));
+        let matches = |word: &str| match word.split_once(':') {
             Some((name, "*")) => header(name).is_some(),
             Some((name, value)) => header(name).as_deref() == Some(value),
             None => head.lines().next().unwrap_or("").split(' ').any(|part| part == word),
         };
-        if want_head.split(' ').all(fits) && want_body.is_none_or(|want| want == body) {
+        if wanted_head.split(' ').all(matches) && wanted_body.is_none_or(|wanted| wanted == body) {
             return Ok(());
         }
-        Err(format!("got {head:?} with {body:?}"))
+        Err(format!("got the head {head:?} with the body {body:?}"))
     }
 }
