--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,12 +1,13 @@
-//! The program on real sockets: each test starts it and holds a conversation with it.
+//! End-to-end tests of the program on real sockets: each test starts the program and exchanges HTTP, management and peer
+//! messages with it.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
 use scenario::{run_scenario, run_with_max_descriptors, run_with_passed_socket};
 
 #[test]
-fn a_job_is_passed_on_and_its_result_served() {
+fn job_is_sent_to_worker_and_its_result_to_client() {
     run_scenario(
         1,
         r#"
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn news_may_come_before_the_answer_and_again_and_for_nobody() {
+fn early_repeated_and_unmatched_callbacks_are_accepted() {
     run_scenario(
         1,
         r#"
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_connection_whose_answer_never_comes_is_let_go() {
+fn worker_connection_without_http_response_is_closed_after_result() {
     run_scenario(
         1,
         r#"
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_and_what_cannot_have_is() {
+fn non_idempotent_job_is_resent_only_if_it_never_started() {
     run_scenario(
         2,
         r#"
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_busy_answer_comes_at_once_and_tells_when_to_come_back() {
+fn full_scheduler_refuses_at_once_with_retry_after() {
     run_scenario(
         1,
         r#"
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn an_attempt_that_takes_too_long_is_given_up_in_words() {
+fn attempt_past_its_deadline_is_cancelled_with_delete() {
     run_scenario(
         1,
         r#"
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn malformed_input_harms_nobody_else() {
+fn malformed_requests_get_errors_and_leave_other_clients_unaffected() {
     run_scenario(
         1,
         r#"
@@ -167,10 +168,10 @@
 }
 
 #[test]
-fn callers_that_leave_and_floods_of_idle_ones_leave_room() {
+fn disconnected_and_idle_clients_free_capacity_for_new_requests() {
     let mut script = String::new();
-    for nr in 0..400 {
-        script += &format!("send c{nr} GET /up\nexpect c{nr} 200\n");
+    for number in 0..400 {
+        script += &format!("send c{number} GET /up\nexpect c{number} 200\n");
     }
     script += r#"
         send cx POST /look Request-Id:a1 Request-Timeout:900
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn the_route_set_is_watched_and_a_lost_watch_begun_anew() {
+fn list_watch_is_reopened_from_last_version_after_it_ends() {
     run_scenario(
         1,
         r#"
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn schedulers_hear_each_other_and_nobody_else() {
+fn peer_hello_is_answered_and_oversized_datagram_is_dropped() {
     run_scenario(
         1,
         r#"
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn without_a_list_it_is_not_ready() {
+fn program_without_workers_reports_not_ready() {
     run_scenario(
         0,
         r#"
@@ -236,8 +237,8 @@
 }
 
 #[test]
-fn a_planned_restart_answers_all_that_was_taken() {
-    // Who comes after SIGTERM, or has a connection, is served on for a while: there may be nobody else yet.
+fn sigterm_serves_open_and_early_requests_before_exit() {
+    // After SIGTERM, existing connections and new clients are served for a while, because no successor may be running yet.
     run_scenario(
         1,
         r#"
@@ -269,10 +270,10 @@
 }
 
 #[test]
-fn running_out_of_descriptors_stops_neither_callers_nor_work() {
+fn exhausted_descriptors_do_not_block_clients_or_jobs() {
     let mut script = String::new();
-    for nr in 0..60 {
-        script += &format!("send c{nr} GET /up\nexpect c{nr} 200\n");
+    for number in 0..60 {
+        script += &format!("send c{number} GET /up\nexpect c{number} 200\n");
     }
     script += r#"
         send cx POST /look Request-Id:a1 Request-Timeout:900
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_and_loses_nothing() {
+fn reload_moves_watch_to_new_discovery_and_keeps_open_requests() {
     run_scenario(
         1,
         r#"
@@ -318,7 +319,7 @@
 }
 
 #[test]
-fn what_a_next_hop_cannot_use_is_the_callers_fault_alone() {
+fn worker_answer_400_fails_the_request_and_does_not_exclude_the_worker() {
     run_scenario(
         2,
         r#"
@@ -333,7 +334,7 @@
 }
 
 #[test]
-fn slow_silent_and_endless_callers_are_answered_or_let_go() {
+fn slow_silent_and_oversized_requests_are_refused_or_closed() {
     run_scenario(
         1,
         r#"
@@ -351,7 +352,7 @@
 }
 
 #[test]
-fn a_job_that_nobody_says_to_have_taken_is_tried_elsewhere_if_it_may_run_twice() {
+fn unaccepted_safe_job_is_sent_to_another_worker() {
     run_scenario(
         2,
         r#"
@@ -368,8 +369,8 @@
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_rejoin_takes_them_back() {
-    // LAMEDUCK is SIGTERM without the end: callers are served on for a while, then told to go elsewhere.
+fn lameduck_disconnects_clients_and_rejoin_accepts_them_again() {
+    // LAMEDUCK drains like SIGTERM but without exiting: clients are served for a while, then disconnected.
     run_scenario(
         1,
         r#"
@@ -401,12 +402,12 @@
 }
 
 #[test]
-fn the_door_answers_whoever_calls_and_lets_nobody_keep_it() {
+fn management_port_answers_each_caller_and_closes_idle_connections() {
     let mut script =
         String::from("send o1 raw PI\nsend ox raw NONSENSE\\r\\n\nexpect ox error unknown call\nwait ox\n");
-    // More callers that say nothing than may be open: the first is let go for the last.
-    for nr in 2..20 {
-        script += &format!("send o{nr} raw P\n");
+    // More silent connections than the management port allows: the oldest is closed to accept the newest.
+    for number in 2..20 {
+        script += &format!("send o{number} raw P\n");
     }
     script += &format!("send ob raw {}\n", "x".repeat(5000));
     script += r#"
@@ -424,7 +425,7 @@
 }
 
 #[test]
-fn the_figures_tell_what_was_served_refused_failed_and_sent() {
+fn info_counts_served_refused_failed_requests_and_attempts() {
     run_scenario(
         1,
         r#"
@@ -470,9 +471,9 @@
 }
 
 #[test]
-fn an_upgrade_goes_over_to_the_next_process_and_loses_nothing() {
-    // What lies where the two meet was left by a process that is gone, and harms nobody. Call-backs, repeated ids
-    // and `/up` may reach either.
+fn upgrade_to_successor_answers_requests_at_both_processes() {
+    // The stale upgrade socket of an earlier process must not prevent the upgrade. Callbacks, repeated request ids and
+    // `/up` may reach either process.
     run_with_passed_socket(
         1,
         r#"
@@ -512,7 +513,7 @@
 }
 
 #[test]
-fn a_drain_belongs_to_the_scheduler_and_not_to_the_process() {
+fn operator_drain_continues_at_successor_until_rejoin() {
     run_with_passed_socket(
         1,
         r#"
@@ -532,7 +533,7 @@
 }
 
 #[test]
-fn an_heir_that_dies_leaves_the_clients_to_the_elder() {
+fn predecessor_serves_clients_again_after_successor_is_killed() {
     run_with_passed_socket(
         1,
         r#"
@@ -554,7 +555,7 @@
 }
 
 #[test]
-fn an_elder_that_says_nothing_does_not_keep_the_heir_from_serving() {
+fn successor_serves_though_stopped_predecessor_sends_no_handover() {
     run_with_passed_socket(
         2,
         r#"
@@ -578,8 +579,8 @@
 }
 
 #[test]
-fn what_the_elder_will_not_live_to_answer_is_answered_by_the_heir() {
-    // A job that runs for longer than the predecessor has: its caller and its call-backs go on with the successor.
+fn request_that_outlives_predecessor_is_answered_by_successor() {
+    // The job runs past the predecessor's exit: its client connection and its callbacks go on at the successor.
     run_with_passed_socket(
         1,
         r#"
@@ -602,8 +603,8 @@
 }
 
 #[test]
-fn an_heir_that_ends_too_waits_for_what_the_elder_still_has_out() {
-    // Both get SIGTERM: the predecessor's call-backs come to the successor, which has nothing left to do itself.
+fn ending_successor_forwards_callbacks_until_predecessor_is_done() {
+    // Both processes get SIGTERM: the predecessor's callbacks arrive at the successor, which has no requests of its own.
     run_with_passed_socket(
         1,
         r#"
