--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -1,12 +1,12 @@
-//! The program with Gearman clients and workers on real sockets, in the language of `scenario`.
+//! End-to-end tests of the Gearman port with clients and workers on real sockets, as scripts for the `scenario` module.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
 use scenario::run_with_operator_file;
 
 #[test]
-fn a_job_is_pulled_and_what_its_worker_tells_is_passed_on() {
+fn grabbed_job_forwards_status_data_warning_and_result() {
     run_with_operator_file(
         0,
         "",
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_worker_that_goes_in_the_middle_of_a_job_that_must_not_run_twice_ends_it() {
+fn non_idempotent_job_fails_when_its_worker_disconnects() {
     run_with_operator_file(
         0,
         "",
@@ -68,8 +68,9 @@
 }
 
 #[test]
-fn what_a_worker_was_woken_for_and_never_got_goes_elsewhere() {
-    // w1 leaves between NOOP and JOB_ASSIGN, w2 never asks: neither has run anything, so even this job may go on.
+fn job_of_woken_worker_that_never_grabs_it_goes_to_another() {
+    // w1 leaves between NOOP and JOB_ASSIGN, and w2 sends no GRAB_JOB: neither ran the job, so that even a job that
+    // must not run twice is sent to w3.
     run_with_operator_file(
         0,
         "",
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_job_that_may_run_twice_is_sent_again_and_its_late_end_meets_nothing() {
+fn safe_job_is_resent_after_timeout_and_late_result_is_ignored() {
     run_with_operator_file(
         0,
         "",
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_worker_that_failed_is_not_asked_again_for_what_must_not_run_twice() {
+fn failed_non_idempotent_job_is_not_sent_again() {
     run_with_operator_file(
         0,
         "",
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_keeps_the_lane_of_its_job_busy_until_the_worker_is_done() {
+fn lane_stays_occupied_after_client_leaves_until_job_ends() {
     run_with_operator_file(
         0,
         "",
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_background_job_outlives_its_client_and_its_end_is_told_while_it_is_remembered() {
+fn background_job_survives_its_client_and_its_status_is_kept_for_recent_jobs() {
     run_with_operator_file(
         0,
         "",
@@ -178,8 +179,8 @@
         close g1
         pull w1 JOB_ASSIGN $one look | one
         send w1 WORK_STATUS $one 1 | 4
-        send w1 ECHO_REQ | told
-        expect w1 ECHO_RES | told
+        send w1 ECHO_REQ | sync
+        expect w1 ECHO_RES | sync
         send g2 GET_STATUS $one
         expect g2 STATUS_RES $one 1 1 1 4
         send w1 WORK_COMPLETE $one | unheard
@@ -188,8 +189,8 @@
         send g2 GET_STATUS $one
         expect g2 STATUS_RES $one 1 0 1 1
         send w1 PRE_SLEEP
-        send w1 ECHO_REQ | told
-        expect w1 ECHO_RES | told
+        send w1 ECHO_REQ | sync
+        expect w1 ECHO_RES | sync
         send g2 SUBMIT_JOB_HIGH_BG look ~ | two
         expect g2 JOB_CREATED $two
         expect w1 NOOP
@@ -199,8 +200,8 @@
         send w1 GRAB_JOB
         expect w1 NO_JOB
         send w1 PRE_SLEEP
-        send w1 ECHO_REQ | told
-        expect w1 ECHO_RES | told
+        send w1 ECHO_REQ | sync
+        expect w1 ECHO_RES | sync
         send g2 SUBMIT_JOB_LOW_BG look ~ | three
         expect g2 JOB_CREATED $three
         pull w1 JOB_ASSIGN $three look | three
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn submissions_of_one_function_and_unique_id_are_one_run_with_an_end_for_each() {
+fn submissions_with_same_function_and_unique_id_share_one_run() {
     run_with_operator_file(
         0,
         "",
@@ -248,7 +249,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_worker_that_has_taken_its_abilities_back() {
+fn worker_that_withdrew_abilities_gets_no_new_jobs() {
     run_with_operator_file(
         0,
         "",
@@ -276,8 +277,8 @@
 }
 
 #[test]
-fn a_worker_that_has_just_come_is_cold() {
-    // So cold, and for so long, that it may be sent nothing.
+fn newly_connected_worker_is_cold() {
+    // With a start capacity of 0.01 for one hour, a cold worker may be sent no job.
     run_with_operator_file(
         0,
         r#"workers cold="1h" start-capacity=0.01 fall-multiple=1.0 fall-window="10ms""#,
@@ -291,7 +292,7 @@
 }
 
 #[test]
-fn jobs_of_either_protocol_run_on_workers_of_the_other() {
+fn gearman_and_http_jobs_run_on_workers_of_the_other_protocol() {
     run_with_operator_file(
         1,
         "",
@@ -315,7 +316,7 @@
 }
 
 #[test]
-fn skills_keep_jobs_from_workers_that_do_not_take_them() {
+fn jobs_go_only_to_workers_with_the_function_and_protocol() {
     run_with_operator_file(
         1,
         r#"
@@ -337,7 +338,7 @@
 }
 
 #[test]
-fn what_is_out_of_step_is_told_and_let_go_and_harms_nobody() {
+fn invalid_packets_get_errors_and_leave_other_connections_unaffected() {
     run_with_operator_file(
         0,
         "",
@@ -394,7 +395,7 @@
 }
 
 #[test]
-fn operators_see_and_steer_it_in_text_on_the_same_port() {
+fn text_protocol_reports_and_changes_state() {
     run_with_operator_file(
         0,
         "",
@@ -435,7 +436,7 @@
 }
 
 #[test]
-fn the_port_changes_nothing_where_the_operator_file_does_not_let_it() {
+fn admin_changes_are_refused_unless_operator_file_allows_them() {
     run_with_operator_file(
         0,
         r#"gearman listen="127.0.0.1:0""#,
@@ -451,7 +452,7 @@
 }
 
 #[test]
-fn a_drain_answers_what_was_taken_and_takes_nothing_after_it() {
+fn drain_answers_accepted_jobs_and_refuses_new_ones() {
     run_with_operator_file(
         0,
         "",
@@ -476,7 +477,7 @@
 }
 
 #[test]
-fn hundreds_at_once_are_answered_in_order_and_let_others_through() {
+fn pipelined_packets_are_answered_in_order_without_blocking_others() {
     run_with_operator_file(
         0,
         "",
@@ -496,7 +497,7 @@
 }
 
 #[test]
-fn answers_to_submissions_come_before_those_to_what_was_sent_after_them() {
+fn submission_is_answered_before_later_packets() {
     run_with_operator_file(
         0,
         "",
@@ -509,7 +510,7 @@
 }
 
 #[test]
-fn who_does_not_read_is_let_go_and_its_jobs_with_it() {
+fn client_that_does_not_read_is_closed_and_its_jobs_abandoned() {
     run_with_operator_file(
         0,
         "",
