--- a/tests/list.rs
+++ b/tests/list.rs
@@ -1,13 +1,14 @@
-//! Lists that are pushed: the watch at the agent on the program's own machine, its silence, its end, and what may be sent
-//! meanwhile. In these settings a scheduler may go on for half a second after it was told of a drain.
+//! Tests of the worker list's lease, for lists pushed by the agent on the program's own machine and lists watched at a
+//! shared discovery service: silent, closed and refused watches, and the requests that may be sent meanwhile. The drain
+//! grace is 0.5 s: a scheduler may send to a draining worker for half a second after it was notified of the drain.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
 use scenario::{Setup, run_with_pushed_list};
 
 #[test]
-fn a_list_pushed_before_the_start_counts_and_may_come_indented_in_pieces() {
+fn list_pushed_at_start_is_used_though_indented_and_split_over_chunks() {
     run_with_pushed_list(
         1,
         false,
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_watch_that_stays_silent_is_begun_anew_and_read_until_the_new_one_speaks() {
+fn silent_watch_is_reopened_and_read_until_the_new_one_answers() {
     run_with_pushed_list(
         1,
         false,
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_watch_that_ends_at_once_again_and_again_is_begun_again() {
+fn watch_that_fails_repeatedly_is_reopened_each_time() {
     run_with_pushed_list(
         1,
         false,
@@ -68,9 +69,9 @@
 }
 
 #[test]
-fn while_the_agent_is_silent_for_long_nothing_new_is_sent_and_its_return_counts_at_once() {
-    // The drain of h1 and the death of h2 fall into the silence: what was told is unknown, so nobody gets anything new,
-    // and what is out is waited for.
+fn silent_agent_stops_new_sends_until_its_next_message() {
+    // h1's drain and h2's failure fall into the silence. The scheduler cannot know which changes were announced, so it
+    // sends no new request to any worker, and waits for the attempt in flight.
     run_with_pushed_list(
         2,
         false,
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn a_list_older_than_the_configurations_brings_nothing_back() {
+fn list_older_than_the_configured_one_is_ignored() {
     run_with_pushed_list(
         1,
         false,
@@ -122,8 +123,9 @@
 }
 
 #[test]
-fn of_two_processes_of_an_upgrade_each_keeps_the_time_of_its_own_watch() {
-    // The predecessor hears its agent; the successor, which takes what comes, does not: it sends nothing on an old list.
+fn predecessor_and_successor_each_have_their_own_list_lease() {
+    // The predecessor's watch gets messages and the successor's watch does not. The successor accepts the clients, and
+    // must not send requests on a list whose lease has ended.
     run_with_pushed_list(
         1,
         true,
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn a_new_configuration_in_an_outage_gives_the_new_agent_4_s() {
+fn reload_in_an_outage_extends_the_list_by_4_s_for_the_new_agent() {
     run_with_pushed_list(
         1,
         false,
@@ -190,8 +192,8 @@
 }
 
 #[test]
-fn a_client_that_sends_long_after_sigterm_is_served_or_its_connection_has_ended() {
-    // One at rest is parted with; one with a job in work is told so with its answer, however late that is.
+fn late_clients_after_sigterm_are_answered_or_disconnected() {
+    // An idle client connection is closed; one with an open request gets its answer with `Connection: close`, however late.
     run_with_pushed_list(
         1,
         false,
@@ -220,15 +222,17 @@
     );
 }
 
-/// A list that is asked for, where the class's aim leaves a job time to wait, and half a second is left after a drain.
-fn play_asked(script: &str) {
+/// Runs a script against a program that watches the list at a shared discovery service. The aim of the class `look` is
+/// 15 s, so that a job may wait, and the drain grace is 0.5 s.
+fn run_with_watched_list(script: &str) {
     let settings =
         [("/settings/request_classes/0/aim_us", "15000000"), ("/settings/rules/drain_grace_us", "500000")];
     Setup { settings: &settings, ..Setup::default() }.run(script);
 }
 
-/// The same, where workers are not probed: whoever connects to one has a request for it.
-fn play_asked_without_probes(script: &str) {
+/// Like [`run_with_watched_list`], but without probes: a connection to a worker then always carries a request, so that
+/// `none h1` shows that no request was sent.
+fn run_with_watched_list_without_probes(script: &str) {
     let settings = [
         ("/settings/request_classes/0/aim_us", "15000000"),
         ("/settings/rules/drain_grace_us", "500000"),
@@ -238,9 +242,10 @@
 }
 
 #[test]
-fn calls_that_are_refused_again_and_again_follow_each_other_soon_and_the_list_stays_in_force() {
-    // Nothing counts as told while discovery cannot be reached; and at its return it is called at once.
-    play_asked(
+fn refused_watches_are_retried_soon_and_the_list_stays_valid() {
+    // While discovery is unreachable no change counts as notified, so the lease goes on. Retries come often enough that
+    // discovery is called soon after it returns.
+    run_with_watched_list(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -270,10 +275,11 @@
 }
 
 #[test]
-fn after_a_silent_watch_and_silent_calls_nothing_is_sent_to_who_may_have_begun_to_drain() {
-    // The watch falls silent, and what takes its place is never answered: a drain that was missed counts 6 s after the
-    // silence began, and these settings give half a second more. The worker gets nothing, the next word opens all again.
-    play_asked(
+fn unanswered_watches_stop_sends_to_workers_that_may_drain() {
+    // The watch falls silent, and the watches that replace it are never answered. A missed drain counts as notified 6 s
+    // after the silence began, and the drain grace adds 0.5 s. After that the worker gets no request until discovery's
+    // next message.
+    run_with_watched_list(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -296,8 +302,8 @@
 }
 
 #[test]
-fn a_watch_that_is_reset_before_a_drain_is_begun_anew_and_the_drain_heard_in_time() {
-    play_asked(
+fn watch_closed_before_a_drain_is_reopened_within_2_s() {
+    run_with_watched_list(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -316,12 +322,12 @@
     );
 }
 
-/// A change of the list that lets `h1` drain, and one that is noticed in the log.
+/// A list change that drains `h1`, and a change with an invalid member, which the program logs.
 const DRAIN: &str = r#"{"seq":42,"whole":false,"hosts":[{"host":"h1","dial":"127.0.0.1:9","site":"north","class":"big","health":"terminating"}]}\n{"seq":43,"whole":false,"hosts":[{"host":"h9","dial":"nonsense"}]}\n"#;
 
 #[test]
-fn a_drain_in_the_first_second_after_an_outage_is_heard_with_the_first_call_that_is_answered() {
-    play_asked(&format!(
+fn drain_after_an_outage_takes_effect_with_the_first_answered_watch() {
+    run_with_watched_list(&format!(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -345,9 +351,9 @@
 }
 
 #[test]
-fn a_new_configuration_in_an_outage_moves_the_calls_at_once_and_what_is_there_is_heard() {
-    // The old discovery refuses; the new one has a drain from its first moment.
-    play_asked(&format!(
+fn reload_in_an_outage_watches_the_new_discovery_at_once() {
+    // The old discovery service refuses each watch; the new one announces a drain in its first message.
+    run_with_watched_list(&format!(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d 503
@@ -369,14 +375,15 @@
 }
 
 #[test]
-fn a_restarted_process_sends_nothing_to_a_worker_that_left_while_it_was_away() {
-    // Its configuration still names the worker, and its first call to discovery may be seconds away, as in a fleet that
-    // starts at once. The worker's address is in use again, as after the loss of a zone.
+fn restarted_process_sends_nothing_before_its_list_is_confirmed() {
+    // The configuration still names a worker that left while the process was down, and the first watch may be seconds
+    // away, as in a fleet whose processes all start together. The worker's address is in use by another process, as
+    // after the loss of a zone.
     let settings = [
         ("/settings/request_classes/0/aim_us", "15000000"),
         ("/settings/rules/drain_grace_us", "500000"),
         ("/settings/rules/ask_every_us", "8000000"),
-        // Whoever connects to a worker then has a request for it.
+        // Without probes, a connection to a worker always carries a request.
         ("/settings/ceilings/probes", "false"),
     ];
     Setup { workers: 2, settings: &settings, ..Setup::default() }.run(
@@ -401,8 +408,8 @@
 }
 
 #[test]
-fn a_change_that_breaks_off_confirms_nothing_however_many_empty_lines_follow() {
-    play_asked_without_probes(
+fn incomplete_change_followed_by_empty_lines_does_not_confirm_the_list() {
+    run_with_watched_list_without_probes(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -426,9 +433,9 @@
 }
 
 #[test]
-fn new_configurations_in_a_row_do_not_keep_an_old_list_in_force() {
-    // Each names another discovery, and none of them says a word.
-    play_asked_without_probes(
+fn repeated_reloads_do_not_extend_an_unconfirmed_list() {
+    // Each reload names another discovery service, and none of the services answers.
+    run_with_watched_list_without_probes(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -454,9 +461,10 @@
 }
 
 #[test]
-fn what_lay_unread_while_the_process_stood_still_confirms_nothing() {
-    // It stands still for longer than a silence. An empty line that came at the beginning of that is read at its end.
-    play_asked_without_probes(
+fn input_left_unread_while_the_process_was_stopped_does_not_confirm_the_list() {
+    // The process is stopped for 4 s, longer than the silence timeout. An empty line arrives at the start of that time
+    // and is read at its end.
+    run_with_watched_list_without_probes(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -477,19 +485,20 @@
     );
 }
 
-/// What another scheduler says of its list, as the answer to each of the first questions: the digest, and an age of 10 ms.
-fn answers(digest: u64) -> String {
-    let digest = digest.to_le_bytes().map(|byte| byte.to_string()).join(",");
-    (1..=8).map(|number| format!("send p 241,2,{number},0,{digest},10,0,0,0\n")).collect()
+/// Steps that answer the program's first eight questions about its list as another scheduler: with the digest of that
+/// scheduler's list and an age of 10 ms.
+fn peer_answers(digest: u64) -> String {
+    let digest_bytes = digest.to_le_bytes().map(|byte| byte.to_string()).join(",");
+    (1..=8).map(|number| format!("send p 241,2,{number},0,{digest_bytes},10,0,0,0\n")).collect()
 }
 
-/// The digest of the list that these scenarios begin with: the first eight bytes of the SHA-256 of its one line.
-const SAME_LIST: u64 = 0xab15_4778_0329_aace;
+/// The digest of the initial list: the first eight bytes of the SHA-256 of its one line.
+const INITIAL_LIST_DIGEST: u64 = 0xab15_4778_0329_aace;
 
 #[test]
-fn a_process_whose_call_is_not_answered_goes_by_a_scheduler_that_has_the_same_list() {
-    let answers = answers(SAME_LIST);
-    play_asked_without_probes(&format!(
+fn peer_with_the_same_list_confirms_it_when_discovery_is_silent() {
+    let answers = peer_answers(INITIAL_LIST_DIGEST);
+    run_with_watched_list_without_probes(&format!(
         r#"
         take d
         expect p 241,1,1,0
@@ -505,9 +514,9 @@
 }
 
 #[test]
-fn refused_calls_give_no_more_time_once_another_scheduler_got_through() {
-    let answers = answers(!SAME_LIST);
-    play_asked_without_probes(&format!(
+fn refused_watches_do_not_extend_the_lease_once_a_peer_has_a_newer_list() {
+    let answers = peer_answers(!INITIAL_LIST_DIGEST);
+    run_with_watched_list_without_probes(&format!(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
         send d watch
@@ -537,11 +546,14 @@
     ));
 }
 
-/// What happens: where schedulers may not talk, discovery is back and has a drain, and refuses this one scheduler again and
-/// again as one caller too many. It goes on sending to the worker that drains, where a change counts as told 6 s after
-/// discovery had it and could be reached. Why: a refusal of a crowd and one of an outage look alike on the wire (a 503 after a
-/// wait), `ListLease::watch_failed` takes each for an outage and moves the end of the lease on, and nobody is there to say otherwise.
-/// The figure: after 16 refusals, 8 s or more after the last word with 6.5 s allowed, the request is still sent to `h1`.
+/// Known failure. Without peer messages, discovery has returned and announces a drain, but refuses this one scheduler
+/// repeatedly because too many callers connect. The scheduler goes on sending to the draining worker, although a change
+/// counts as notified 6 s after discovery had it and was reachable.
+///
+/// A refusal for overload and a refusal in an outage are the same on the wire (a 503 after a wait).
+/// `ListLease::watch_failed` takes each for an outage and postpones the end of the lease, and no peer message shows
+/// otherwise. After 16 refusals, at least 8 s after discovery's last message where 6.5 s are allowed, the request is
+/// still sent to `h1`.
 #[test]
 fn where_nobody_may_talk_calls_that_are_refused_give_the_list_no_more_time() {
     let settings = [
