--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,13 +1,14 @@
-//! Shutdown, clients that leave and workers that spoil their answers, each with the other event in the same poll: the
-//! program is held still while both are laid in place.
+//! Tests of events that arrive together in one iteration of the event loop: shutdown, a client's disconnect or a
+//! truncated worker response, with another event. The program is stopped with SIGSTOP while both events are sent, so
+//! that it reads them together.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
 use scenario::{Setup, run_scenario, run_with_operator_file, run_with_passed_socket};
 
 #[test]
-fn a_request_is_answered_whether_sigterm_comes_before_between_or_after_its_bytes() {
+fn request_is_answered_when_sigterm_comes_before_between_or_after_its_bytes() {
     let (first, rest) =
         (r"send c1 raw POST /book HTTP/1.1\r\nRequest-Id: a1\r\n", r"send c1 raw Request-Timeout: 9\r\n\r\n");
     let term = "send program TERM";
@@ -37,8 +38,8 @@
 }
 
 #[test]
-fn the_last_byte_of_a_request_may_come_long_after_sigterm() {
-    // Half of it is there when connections at rest are ended: this one is not at rest, and its answer is its last.
+fn request_completed_long_after_sigterm_is_answered() {
+    // c1 has sent half a request when idle connections are closed: it is not idle, and is closed after its answer.
     run_scenario(
         1,
         r#"
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn what_comes_after_the_end_of_a_connection_is_not_sent_on() {
+fn request_on_a_closed_connection_is_not_sent_to_a_worker() {
     run_scenario(
         1,
         r#"
@@ -76,8 +77,9 @@
 }
 
 #[test]
-fn workers_that_hang_at_sigterm_leave_nobody_without_an_answer() {
-    // One has taken its job and goes silent, one has said nothing. Both clients hear of it in their time.
+fn clients_of_silent_workers_are_answered_after_sigterm() {
+    // h2 has accepted its job and sends nothing more, h1 has not answered. Both clients are answered within their
+    // timeout of 2 s.
     run_scenario(
         2,
         r#"
@@ -95,15 +97,16 @@
 }
 
 #[test]
-fn of_eighty_clients_that_leave_as_a_lane_comes_free_none_is_served() {
-    let (mut come, mut go) = (String::new(), String::new());
-    for nr in 1..=80 {
-        come += &format!("send c{nr} POST /look Request-Id:b{nr} Request-Timeout:900 Work-Hint:1000\n");
-        go += &format!("close c{nr}\n");
+fn held_jobs_of_disconnected_clients_are_not_sent_when_a_lane_frees() {
+    let (mut requests, mut disconnects) = (String::new(), String::new());
+    for number in 1..=80 {
+        requests +=
+            &format!("send c{number} POST /look Request-Id:b{number} Request-Timeout:900 Work-Hint:1000\n");
+        disconnects += &format!("close c{number}\n");
     }
-    // The lane's end comes first, or last.
-    let news = r#"send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#;
-    for (first, last) in [(news, ""), ("", news)] {
+    // The result that frees the lane comes before or after the disconnects.
+    let result = r#"send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#;
+    for (first, last) in [(result, ""), ("", result)] {
         let settings = [("/settings/request_classes/0/aim_us", "900000000")];
         Setup { settings: &settings, ..Setup::default() }.run(&format!(
             r#"
@@ -112,11 +115,11 @@
             send h1 202 Connection:close
             send n1 POST /_jobs/news | {{"id":"a1","from":"h1","state":"started"}}
             expect n1 200
-            {come}
+            {requests}
             info scheduler.in_flight=81
             send program STOP
             {first}
-            {go}
+            {disconnects}
             {last}
             send program CONT
             expect n1 200
@@ -130,10 +133,11 @@
 }
 
 #[test]
-fn a_client_that_leaves_between_two_attempts_is_not_served() {
-    // The worker hands the job back, or the connection breaks, in the moment in which its client goes; either comes first.
-    for back in ["send h2 503 Not-Started:1", "close h2"] {
-        for (first, last) in [(back, "close c1"), ("close c1", back)] {
+fn request_of_a_client_that_disconnects_between_attempts_is_not_resent() {
+    // The worker refuses the job unstarted, or its connection closes, while the client disconnects. Both orders are
+    // tested.
+    for attempt_end in ["send h2 503 Not-Started:1", "close h2"] {
+        for (first, last) in [(attempt_end, "close c1"), ("close c1", attempt_end)] {
             let settings = [("/settings/request_classes/0/aim_us", "15000000")];
             Setup { workers: 2, settings: &settings, ..Setup::default() }.run(&format!(
                 r#"
@@ -153,7 +157,7 @@
 }
 
 #[test]
-fn a_gearman_client_that_leaves_as_a_worker_wakes_is_not_served() {
+fn job_of_a_disconnected_gearman_client_is_not_assigned_to_a_waking_worker() {
     run_with_operator_file(
         0,
         "",
@@ -172,24 +176,24 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_anywhere_ends_its_attempt_once_and_its_connection() {
-    // What must not run twice fails; what may is tried again.
-    for spoilt in [
+fn truncated_worker_response_ends_its_attempt_once() {
+    // A non-idempotent request fails; a safe one is sent to another worker.
+    for truncated in [
         r"HTTP/1.1 2",
         r"HTTP/1.1 202 X\r\nContent-Len",
         r"HTTP/1.1 202 X\r\nContent-Length: 9\r\n\r\nab",
         r"HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
         r"HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
     ] {
-        for (class, then) in [("book", "expect c1 500"), ("look", "expect h1 POST /look Request-Id:a1")] {
+        for (class, outcome) in [("book", "expect c1 500"), ("look", "expect h1 POST /look Request-Id:a1")] {
             let settings = [("/settings/request_classes/0/aim_us", "15000000")];
             Setup { workers: 2, settings: &settings, ..Setup::default() }.run(&format!(
                 r#"
                 send c1 POST /{class} Request-Id:a1 Request-Timeout:20
                 expect h2 POST /{class} Request-Id:a1
-                send h2 raw {spoilt}
+                send h2 raw {truncated}
                 close h2
-                {then}
+                {outcome}
                 "#
             ));
         }
@@ -197,15 +201,15 @@
 }
 
 #[test]
-fn an_answer_without_end_is_bounded_in_size_and_ends_its_attempt() {
-    for endless in ["202 X-Much:#400000", "202 | #400000"] {
+fn oversized_worker_response_ends_its_attempt() {
+    for oversized in ["202 X-Much:#400000", "202 | #400000"] {
         run_scenario(
             1,
             &format!(
                 r#"
                 send c1 POST /book Request-Id:a1 Request-Timeout:9
                 expect h1 POST /book Request-Id:a1
-                send h1 {endless}
+                send h1 {oversized}
                 expect c1 500
                 "#
             ),
@@ -214,9 +218,10 @@
 }
 
 #[test]
-fn half_a_line_on_a_resting_connection_is_seen_before_the_next_request_whichever_comes_first() {
-    let (line, request) = (r"send h1 raw HTTP/1.1 2", "send c1 POST /book Request-Id:a2 Request-Timeout:9");
-    for (first, last) in [(line, request), (request, line)] {
+fn idle_connection_with_unexpected_bytes_is_not_reused_for_the_next_request() {
+    let (half_line, request) =
+        (r"send h1 raw HTTP/1.1 2", "send c1 POST /book Request-Id:a2 Request-Timeout:9");
+    for (first, last) in [(half_line, request), (request, half_line)] {
         run_scenario(
             1,
             &format!(
@@ -239,7 +244,7 @@
 }
 
 #[test]
-fn a_second_answer_ends_the_connection_that_it_came_on() {
+fn second_response_closes_its_worker_connection() {
     run_scenario(
         1,
         r#"
@@ -257,10 +262,10 @@
 }
 
 #[test]
-fn news_of_a_job_whose_client_has_gone_is_taken_and_serves_nobody() {
-    let (news, close) =
+fn callback_for_a_disconnected_clients_job_is_accepted_and_ends_it() {
+    let (result, close) =
         (r#"send n1 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#, "close c1");
-    for (first, last) in [(news, close), (close, news)] {
+    for (first, last) in [(result, close), (close, result)] {
         run_scenario(
             1,
             &format!(
@@ -285,7 +290,7 @@
 }
 
 #[test]
-fn a_reset_long_after_a_request_was_written_may_have_let_it_run() {
+fn non_idempotent_request_fails_when_its_connection_closes_late() {
     run_scenario(
         1,
         r#"
@@ -300,8 +305,8 @@
     );
 }
 
-/// A job that is out at `h1`, and a successor that takes over: the predecessor is told to end and has bequeathed the job.
-const BEQUEATHED: &str = r#"
+/// Steps for a job in flight at `h1` that the predecessor transfers to its successor after SIGTERM.
+const TRANSFERRED: &str = r#"
     send c1 POST /book Request-Id:a1 Request-Timeout:20
     expect h1 POST /book Request-Id:a1
     send h1 202
@@ -313,17 +318,17 @@
     "#;
 
 #[test]
-fn a_job_that_was_handed_over_ends_once_whatever_comes_in_the_same_moment() {
-    let done = r#"send n2 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#;
-    // Its result, twice; its client's end before or behind it.
+fn transferred_job_ends_once_with_repeated_results_or_a_disconnect() {
+    let result = r#"send n2 POST /_jobs/news | {"id":"a1","from":"h1","state":"done","result":"r1"}"#;
+    // First the result twice; then the result before and after the client's disconnect.
     run_with_passed_socket(
         1,
         &format!(
             r#"
-            {BEQUEATHED}
+            {TRANSFERRED}
             send program STOP
-            {done}
-            {done}
+            {result}
+            {result}
             send program CONT
             expect n2 200
             expect n2 200
@@ -332,12 +337,12 @@
             "#
         ),
     );
-    for (first, last) in [(done, "close c1"), ("close c1", done)] {
+    for (first, last) in [(result, "close c1"), ("close c1", result)] {
         run_with_passed_socket(
             1,
             &format!(
                 r#"
-                {BEQUEATHED}
+                {TRANSFERRED}
                 send program STOP
                 {first}
                 {last}
@@ -353,10 +358,12 @@
 }
 
 #[test]
-fn a_predecessor_that_is_killed_between_its_messages_leaves_a_successor_that_serves() {
-    // Held still before it can hand over, and killed: the successor begins with its own configuration.
-    for held in [true, false] {
-        let (stop, after) = if held { ("send predecessor STOP", "") } else { ("", "send predecessor KILL") };
+fn successor_serves_after_its_predecessor_is_killed_during_the_handover() {
+    // The predecessor is stopped before it can send the handover and then killed, or killed as soon as the successor
+    // serves. The successor goes on with its own configuration.
+    for stopped in [true, false] {
+        let (stop, after) =
+            if stopped { ("send predecessor STOP", "") } else { ("", "send predecessor KILL") };
         run_with_passed_socket(
             2,
             &format!(
@@ -376,7 +383,7 @@
                 expect c2 200 | r2
                 "#,
                 stop.replace("predecessor", "program"),
-                if held { "send predecessor KILL" } else { "" },
+                if stopped { "send predecessor KILL" } else { "" },
             ),
         );
     }
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -1,14 +1,15 @@
-//! Events that cross: what comes between two lines of the program. The crossing is forced, by holding the program still
-//! while bytes, ends and signals are laid in place, or by stand-ins that stop where they are told to.
+//! Tests of rare races between events. Each order is forced: the program is stopped with SIGSTOP while bytes, closes
+//! and signals are sent, or a stand-in worker or discovery service stops at a given point.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
 use scenario::Setup;
 
 #[test]
-fn where_two_at_once_are_barred_the_next_attempt_waits_as_long_as_the_settings_network_may_take() {
-    // The worker says nothing: after 2 s it counts as silent, its connection is ended, and that may take 1 s to get there.
+fn without_concurrent_attempts_a_resend_waits_for_the_cancel_to_arrive() {
+    // The worker sends nothing. After 2 s it counts as silent and its connection is closed, and the close may take 1 s (the
+    // connect timeout) to reach the worker. The next attempt may start only after that.
     let settings = [
         ("/settings/ceilings/may_duplicate", "false"),
         ("/settings/ceilings/connect_timeout_us", "1000000"),
@@ -26,20 +27,21 @@
     );
 }
 
-/// Connections to workers may take 20 s, and there is time for it.
-const LATE: [(&str, &str); 2] = [
+/// A connect timeout of 20 s, and an aim of 15 s for the class `look`.
+const SLOW_CONNECT: [(&str, &str); 2] = [
     ("/settings/ceilings/connect_timeout_us", "20000000"),
     ("/settings/request_classes/0/aim_us", "15000000"),
 ];
 
 #[test]
-fn a_connection_that_comes_up_as_its_client_leaves_is_not_written_to() {
-    // Held still, the program finds in one poll that the connection is up, and then that the client has gone.
-    for effect in ["look", "book"] {
-        Setup { settings: &LATE, ..Setup::default() }.run(&format!(
+fn connection_established_as_its_client_disconnects_is_closed_unwritten() {
+    // The program is stopped, so that it sees in one iteration of its event loop that the connection is established and
+    // that the client has disconnected.
+    for class in ["look", "book"] {
+        Setup { settings: &SLOW_CONNECT, ..Setup::default() }.run(&format!(
             r#"
             fill_backlog h1
-            send c1 POST /{effect} Request-Id:a1 Request-Timeout:20
+            send c1 POST /{class} Request-Id:a1 Request-Timeout:20
             info scheduler.in_flight=1
             send program STOP
             free_backlog h1
@@ -47,17 +49,17 @@
             close c1
             send program CONT
             wait h1
-            send c2 POST /{effect} Request-Id:a2 Request-Timeout:20
-            expect h1.2 POST /{effect} Request-Id:a2
+            send c2 POST /{class} Request-Id:a2 Request-Timeout:20
+            expect h1.2 POST /{class} Request-Id:a2
             "#
         ));
     }
 }
 
 #[test]
-fn a_connection_that_comes_up_as_its_worker_begins_to_drain_is_not_written_to() {
-    for (pushed, told) in [(true, "terminating"), (false, "terminating"), (true, "terminated")] {
-        Setup { pushed_list: pushed, settings: &LATE, ..Setup::default() }.run(&format!(
+fn connection_established_as_its_worker_drains_is_closed_unwritten() {
+    for (pushed_list, health) in [(true, "terminating"), (false, "terminating"), (true, "terminated")] {
+        Setup { pushed_list, settings: &SLOW_CONNECT, ..Setup::default() }.run(&format!(
             r#"
             expect d GET /discovery/hosts?watch=1&from=41
             send d watch
@@ -68,7 +70,7 @@
             send program STOP
             free_backlog h1
             take h1
-            send d chunk {{"seq":42,"whole":false,"hosts":[{{"host":"h1","dial":"127.0.0.1:9","site":"north","class":"big","health":"{told}"}}]}}\n
+            send d chunk {{"seq":42,"whole":false,"hosts":[{{"host":"h1","dial":"127.0.0.1:9","site":"north","class":"big","health":"{health}"}}]}}\n
             send program CONT
             wait h1
             expect c1 503
@@ -78,8 +80,8 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_later_than_the_settings_allow_is_not_written_to() {
-    // It counts as never made, so that a job which must not run twice is refused as harmless to try again.
+fn connection_established_after_the_connect_timeout_is_closed_unwritten() {
+    // The attempt counts as never sent, so that a non-idempotent job is refused with 503, which allows a repeat.
     let settings = [
         ("/settings/ceilings/connect_timeout_us", "3000000"),
         ("/settings/request_classes/1/aim_us", "15000000"),
@@ -103,10 +105,11 @@
 
 #[test]
 fn discovery_is_called_though_clients_at_rest_hold_all_descriptors() {
-    // They come while it is down; at its return the drain that it has must be heard. The program has 40 descriptors, and its
-    // configuration knows nothing of that.
-    let each = |line: &str| (1..=60).map(|nr| line.replace('#', &nr.to_string())).collect::<String>();
-    let (come, served) = (each("send c# GET /up\n"), each("expect c# 200\n"));
+    // Clients connect while discovery is down. When discovery returns, the program must call it and learn of the drain. The
+    // system allows the program 40 descriptors, and the configuration assumes 256.
+    let per_client =
+        |line: &str| (1..=60).map(|number| line.replace('#', &number.to_string())).collect::<String>();
+    let (requests, answers) = (per_client("send c# GET /up\n"), per_client("expect c# 200\n"));
     let script = format!(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
@@ -114,10 +117,10 @@
         send d chunk \n
         expect program discovery: the list is confirmed
         send program STOP
-        {come}
+        {requests}
         send d chunk \n
         send program CONT
-        {served}
+        {answers}
         mark
         until 200
         close d
