--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,18 +1,19 @@
-//! The program under settings of several customers: what a class means comes from its effect, and how far an attempt may
-//! be repeated from the figures, whatever its name or place.
+//! Tests of the program under several sets of settings. A class's meaning must come from its effect, and the limits on
+//! repeated attempts from the settings' numbers; a class's name or position must not matter.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
 use scenario::Setup;
 
-/// One customer: whether lists are pushed, and what differs from the usual configuration, in which the first class is
-/// `look`, the second `book`.
-type Customer = (bool, &'static [(&'static str, &'static str)]);
+/// A set of settings: whether the list is pushed, and the changes to the default configuration (JSON pointer and JSON
+/// value), in which the first class is `look` and the second `book`.
+type SettingsVariant = (bool, &'static [(&'static str, &'static str)]);
 
-/// The usual one; one whose effects are swapped, lists pushed, nothing but two attempts allowed; one with keyed classes, no
-/// talk, no reports, three attempts and one at a time.
-const CUSTOMERS: [Customer; 3] = [
+/// The default settings; settings with swapped effects, a pushed list, no probes, no cancelling, no notes of starts and
+/// at most two attempts; settings with keyed classes, no peer messages, no load reports and at most three attempts, one
+/// at a time.
+const VARIANTS: [SettingsVariant; 3] = [
     (false, &[]),
     (
         true,
@@ -44,64 +45,67 @@
     ),
 ];
 
-fn run_scenario(workers: usize, (pushed_list, settings): Customer, script: &str) {
+/// Runs a script under a set of settings, with an aim of 15 s for both classes.
+fn run_scenario(workers: usize, (pushed_list, settings): SettingsVariant, script: &str) {
     let aims = [
         ("/settings/request_classes/0/aim_us", "15000000"),
         ("/settings/request_classes/1/aim_us", "15000000"),
     ];
     let settings: Vec<_> = settings.iter().copied().chain(aims).collect();
-    // What an agent holds counts from the start: it says that there is nothing new.
-    let told = "expect d GET /discovery/hosts?watch=1&from=41\nsend d watch\nsend d chunk \\n\n";
-    let script = format!("{}{script}", if pushed_list { told } else { "" });
+    // The agent opens the watch and sends an empty line, which confirms the initial list.
+    let confirm_list = "expect d GET /discovery/hosts?watch=1&from=41\nsend d watch\nsend d chunk \\n\n";
+    let script = format!("{}{script}", if pushed_list { confirm_list } else { "" });
     Setup { workers, pushed_list, settings: &settings, ..Setup::default() }.run(&script);
 }
 
-/// The worker that gets a first job, and the other one: which it is hangs on whether schedulers talk.
-fn workers((_, settings): Customer) -> (&'static str, &'static str) {
+/// The worker that gets the first job, and the other worker. The order depends on peer messages being enabled.
+fn worker_order((_, settings): SettingsVariant) -> (&'static str, &'static str) {
     if settings.contains(&("/settings/ceilings/peers", "false")) { ("h1", "h2") } else { ("h2", "h1") }
 }
 
-/// An attempt of this class that may have run and then broke: what comes next.
-fn broken(customer: Customer, class: &str, again: bool) {
-    let (first, other) = workers(customer);
-    let next = if again {
+/// Closes the connection of an attempt that may have run, and expects a resend to the other worker or a failure.
+fn check_broken_attempt(variant: SettingsVariant, class: &str, resent: bool) {
+    let (first, other) = worker_order(variant);
+    let outcome = if resent {
         format!("expect {other} POST /{class} Request-Id:a1")
     } else {
         "expect c1 500".to_owned()
     };
     run_scenario(
         2,
-        customer,
+        variant,
         &format!(
             r#"
             send c1 POST /{class} Request-Id:a1 Request-Timeout:20
             expect {first} POST /{class} Request-Id:a1
             close {first}
-            {next}
+            {outcome}
             "#
         ),
     );
 }
 
 #[test]
-fn an_attempt_that_may_have_run_is_repeated_as_far_as_the_class_s_effect_lets_it_be() {
-    let [usual, swapped, keyed] = CUSTOMERS;
-    broken(usual, "look", true);
-    broken(usual, "book", false);
-    broken(swapped, "look", false);
-    broken(swapped, "book", true);
-    // Every worker remembers it for a minute: one that comes again is dropped there.
-    broken(keyed, "look", true);
-    // A thousandth of a second is over before the break is seen: it may not come again, nor be called harmless.
-    broken(keyed, "book", false);
+fn attempt_that_may_have_run_is_repeated_only_if_the_effect_allows_it() {
+    let [default, swapped, keyed] = VARIANTS;
+    check_broken_attempt(default, "look", true);
+    check_broken_attempt(default, "book", false);
+    check_broken_attempt(swapped, "look", false);
+    check_broken_attempt(swapped, "book", true);
+    // All workers remember the key for 60 s and drop a repeated attempt.
+    check_broken_attempt(keyed, "look", true);
+    // The memory span of 1 ms is over before the closed connection is noticed: the request is neither resent nor
+    // reported as safe to repeat.
+    check_broken_attempt(keyed, "book", false);
 }
 
 #[test]
-fn a_keyed_attempt_is_repeated_before_its_window_ends_and_not_after_it() {
-    // The same break, held back by a program that stands still; half of the window is left for the journey.
+fn keyed_attempt_is_repeated_only_within_its_memory_span() {
+    // The program is stopped for 1 s, so that it notices the closed connection late. Half of the memory span is
+    // reserved for the network delay of the repeat.
     let spans = [("20000000", "expect h2 POST /look Request-Id:a1"), ("1000000", "expect c1 503")];
-    for (span, next) in spans {
-        let mut settings = CUSTOMERS[2].1.to_vec();
+    for (span, outcome) in spans {
+        let mut settings = VARIANTS[2].1.to_vec();
         settings.push(("/settings/request_classes/0/memory_span_us", span));
         settings.push(("/settings/request_classes/0/aim_us", "15000000"));
         Setup { workers: 2, settings: &settings, ..Setup::default() }.run(&format!(
@@ -113,35 +117,36 @@
             close h1
             until 1001
             send program CONT
-            {next}
+            {outcome}
             "#
         ));
     }
 }
 
 #[test]
-fn no_request_has_more_attempts_than_its_customer_allows() {
-    // Each is handed back unstarted, which never holds another attempt back.
-    for (customer, most, class) in
-        [(CUSTOMERS[0], 4, "look"), (CUSTOMERS[1], 2, "book"), (CUSTOMERS[2], 3, "look")]
+fn request_has_at_most_the_configured_number_of_attempts() {
+    // The worker refuses each attempt unstarted, so that effects never prevent another attempt.
+    for (variant, max_attempts, class) in
+        [(VARIANTS[0], 4, "look"), (VARIANTS[1], 2, "book"), (VARIANTS[2], 3, "look")]
     {
-        let back: String = (1..=most)
-            .map(|nr| {
-                format!("expect h1.{nr} POST /{class} Request-Id:a1\nsend h1.{nr} 503 Not-Started:1 Connection:close\n")
+        let refusals: String = (1..=max_attempts)
+            .map(|number| {
+                format!("expect h1.{number} POST /{class} Request-Id:a1\nsend h1.{number} 503 Not-Started:1 Connection:close\n")
             })
             .collect();
-        let script = format!("send c1 POST /{class} Request-Id:a1 Request-Timeout:20\n{back}expect c1 503");
-        run_scenario(1, customer, &script);
+        let script =
+            format!("send c1 POST /{class} Request-Id:a1 Request-Timeout:20\n{refusals}expect c1 503");
+        run_scenario(1, variant, &script);
     }
 }
 
 #[test]
-fn a_short_deadline_is_kept_by_each_customer() {
-    for (customer, class) in [(CUSTOMERS[0], "book"), (CUSTOMERS[1], "look"), (CUSTOMERS[2], "book")] {
-        let (first, _) = workers(customer);
+fn short_client_timeouts_are_kept_under_each_variant() {
+    for (variant, class) in [(VARIANTS[0], "book"), (VARIANTS[1], "look"), (VARIANTS[2], "book")] {
+        let (first, _) = worker_order(variant);
         run_scenario(
             2,
-            customer,
+            variant,
             &format!(
                 r#"
                 send c1 POST /{class} Request-Id:a1 Request-Timeout:0.4 Work-Hint:1000
@@ -157,11 +162,11 @@
 }
 
 #[test]
-fn a_class_that_no_settings_name_is_unknown_to_each_customer() {
-    for customer in CUSTOMERS {
+fn unconfigured_class_is_not_found_under_each_variant() {
+    for variant in VARIANTS {
         run_scenario(
             2,
-            customer,
+            variant,
             r#"
             send c1 POST /stock-check Request-Id:a1 Request-Timeout:9
             expect c1 404
