--- a/tests/rules_kept.rs
+++ b/tests/rules_kept.rs
@@ -1,4 +1,5 @@
-//! Random legal streams of events, checked against the four rules by a ledger of its own.
+//! Property test: random valid event streams, checked against the four dispatcher rules by an independent ledger
+//! (`common::ledger`). Each stream is run twice and must give the same actions.
 
 mod common;
 
@@ -8,10 +9,10 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 #[test]
-fn random_streams_break_no_rule_and_repeat_exactly() {
-    for (nr, settings) in variants().into_iter().enumerate() {
+fn random_streams_break_no_rule_and_are_deterministic() {
+    for (variant, settings) in variants().into_iter().enumerate() {
         let config = Config { cases: 150, failure_persistence: None, ..Config::default() };
-        let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[nr as u8 + 1; 32]);
+        let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[variant as u8 + 1; 32]);
         let mut runner = TestRunner::new_with_rng(config, rng);
         let streams = proptest::collection::vec(step(), 50..400);
         let checked = runner.run(&streams, |steps| {
@@ -19,6 +20,6 @@
             prop_assert_eq!(first, play(settings.clone(), 3, &steps));
             Ok(())
         });
-        checked.unwrap_or_else(|failure| panic!("settings {nr}: {failure}"));
+        checked.unwrap_or_else(|failure| panic!("settings variant {variant}: {failure}"));
     }
 }
