--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -16,44 +16,46 @@
 //! # Steps
 //!
 //! * `send NAME MESSAGE` writes a message, or a datagram where the name is `p`.
-//! * `expect NAME MESSAGE` reads one message and compares it. `expect program TEXT` waits for a log line that contains the
-//!   text. `expect o… LINE` skips lines of the management port until one equals `LINE`; `expect p BYTES` skips other datagrams.
+//! * `expect NAME MESSAGE` reads one message and compares it. `expect program TEXT` waits for a log line that contains
+//!   the text. `expect o… LINE` skips lines of the management port until one equals `LINE`; `expect p BYTES` skips
+//!   other datagrams.
 //! * `send program SIGNAL` and `send predecessor SIGNAL` send `TERM`, `HUP`, `STOP`, `CONT` or `KILL`.
-//! * `send file d2` rewrites the configuration with discovery at the listener `d2`; `send file raw TEXT` replaces it with the
-//!   text. `set POINTER JSON` sets the value at a JSON pointer in every configuration written after it.
+//! * `send file d2` rewrites the configuration with discovery at the listener `d2`; `send file raw TEXT` replaces it
+//!   with the text. `set POINTER JSON` sets the value at a JSON pointer in every configuration written after it.
 //! * `close NAME` closes a connection, or the listener of this name where no connection has the name.
 //! * `take NAME` opens or accepts a connection without reading from it.
-//! * `ends NAME` waits until a connection is closed in order; a reset fails. `wait NAME` accepts a reset too. `wait program`
-//!   waits until the process has exited with status 0.
+//! * `ends NAME` waits until a connection is closed in order; a reset fails. `wait NAME` accepts a reset too. `wait
+//!   program` waits until the process has exited with status 0.
 //! * `none h1` checks that no connection to `h1` waits to be accepted.
 //! * `up c1` sends `GET /up` until the answer is 200.
 //! * `info LINE` polls the management port's `INFO` until it contains this line.
-//! * `mark` records the time. `after MS` and `within MS` check that at least, or at most, `MS` milliseconds have passed since
-//!   then; `until MS` sleeps until they have.
+//! * `mark` records the time. `after MS` and `within MS` check that at least, or at most, `MS` milliseconds have passed
+//!   since then; `until MS` sleeps until they have.
 //! * `fill_backlog h1` fills the accept queue of worker `h1`, so that nobody can connect to it until `free_backlog h1`. A
 //!   connection attempt made meanwhile completes when the kernel repeats it, about a second later.
 //! * `restart program` kills the process with SIGKILL and starts it again with the configuration file as it is.
-//! * `start successor` starts a second process that inherits the clients' socket: `program` and `o…` mean the new process from
-//!   then on. `start successor 3600` sets the new process's wall clock 3600 seconds ahead; a negative number, behind.
+//! * `start successor` starts a second process that inherits the clients' socket: `program` and `o…` mean the new
+//!   process from then on. `start successor 3600` sets the new process's wall clock 3600 seconds ahead; a negative
+//!   number, behind.
 //! * `never TEXT` checks that no log line so far contains the text.
 //! * `record_memory program` records the program's resident memory; `memory_growth KIB` checks that it has grown by at most
 //!   `KIB` KiB since then.
-//! * `ready NAME FUNCTION` registers a Gearman worker for a function and puts it to sleep; `pull NAME MESSAGE` expects that it
-//!   is woken, grabs a job and expects the message.
+//! * `ready NAME FUNCTION` registers a Gearman worker for a function and puts it to sleep; `pull NAME MESSAGE` expects
+//!   that it is woken, grabs a job and expects the message.
 //!
 //! Where a script uses neither `d` nor `d2`, both listeners confirm the list by themselves, and the script starts once the
 //! program has logged that the list is confirmed. Each step that waits for a condition fails after [`WAIT_LIMIT`].
 //!
 //! # Messages
 //!
-//! An HTTP message is `METHOD TARGET` or `STATUS`, then `Header:value` words, then `| body`. In an expectation `*` stands for
-//! any value, and headers and bodies that are not named are not compared. `watch` is the response head of a list watch.
-//! `raw TEXT` is written as it is and `chunk TEXT` as one chunk of a chunked body; `\r`, `\n`, `\t`, `\0` and `\xHH` in them
-//! stand for those bytes. `#N` is `N` bytes of padding.
+//! An HTTP message is `METHOD TARGET` or `STATUS`, then `Header:value` words, then `| body`. In an expectation `*`
+//! stands for any value, and headers and bodies that are not named are not compared. `watch` is the response head of a
+//! list watch. `raw TEXT` is written as it is and `chunk TEXT` as one chunk of a chunked body; `\r`, `\n`, `\t`, `\0`
+//! and `\xHH` in them stand for those bytes. `#N` is `N` bytes of padding.
 //!
-//! A Gearman message is `PACKET_TYPE FIELD … | LAST_FIELD`. `~` is an empty field and `*` any. `$NAME` takes the value that
-//! stands there at its first use and stands for that value from then on. `times N MESSAGE` is the message `N` times, sent in
-//! one write. `text LINE` is a line of the text protocol; `expect` skips other lines before it.
+//! A Gearman message is `PACKET_TYPE FIELD … | LAST_FIELD`. `~` is an empty field and `*` any. `$NAME` takes the value
+//! that stands there at its first use and stands for that value from then on. `times N MESSAGE` is the message `N`
+//! times, sent in one write. `text LINE` is a line of the text protocol; `expect` skips other lines before it.
 
 #[path = "../discovery/mod.rs"]
 mod discovery;
@@ -463,8 +465,8 @@
         self.track_delivery(address, false)
     }
 
-    /// Notes, while the program is stopped, that bytes or the close of the connection with this local address must reach the
-    /// program's socket before the program is continued.
+    /// Notes, while the program is stopped, that bytes or the close of the connection with this local address must
+    /// reach the program's socket before the program is continued.
     fn track_delivery(&mut self, address: SocketAddr, closed: bool) -> Result<(), String> {
         let SocketAddr::V4(address) = address else {
             return Err(format!("{address} is not an IPv4 address"));
@@ -504,8 +506,9 @@
         })
     }
 
-    /// Fills the accept queue of a worker's listener: one connection waits to be accepted and there is no space for another.
-    /// A connection attempt made meanwhile completes about a second after `free_backlog`, when its SYN is repeated.
+    /// Fills the accept queue of a worker's listener: one connection waits to be accepted and there is no space for
+    /// another. A connection attempt made meanwhile completes about a second after `free_backlog`, when its SYN is
+    /// repeated.
     fn fill_backlog(&mut self, name: &str) -> std::io::Result<()> {
         let listener = self.listeners.get(name).ok_or(ErrorKind::NotFound)?;
         // A second listen() on the same socket changes the size of the accept queue.
@@ -784,8 +787,8 @@
     }
 }
 
-/// Starts the program and returns it with a channel of its log lines. `clock_step` is the number of seconds by which its wall
-/// clock is shifted, or an empty string.
+/// Starts the program and returns it with a channel of its log lines. `clock_step` is the number of seconds by which
+/// its wall clock is shifted, or an empty string.
 fn start_program(
     config_file: &Path,
     max_descriptors: u32,
