--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -33,7 +33,7 @@
 //!   since then; `until MS` sleeps until they have.
 //! * `fill_backlog h1` fills the accept queue of worker `h1`, so that nobody can connect to it until `free_backlog h1`. A
 //!   connection attempt made meanwhile completes when the kernel repeats it, about a second later.
-//! * `restart program` kills the process with SIGKILL and starts it again with the configuration file as it is.
+//! * `restart program` kills the process with SIGKILL and starts it again. Only the configuration file remains.
 //! * `start successor` starts a second process that inherits the clients' socket: `program` and `o…` mean the new
 //!   process from then on. `start successor 3600` sets the new process's wall clock 3600 seconds ahead; a negative
 //!   number, behind.
@@ -43,8 +43,9 @@
 //! * `ready NAME FUNCTION` registers a Gearman worker for a function and puts it to sleep; `pull NAME MESSAGE` expects
 //!   that it is woken, grabs a job and expects the message.
 //!
-//! Where a script uses neither `d` nor `d2`, both listeners confirm the list by themselves, and the script starts once the
-//! program has logged that the list is confirmed. Each step that waits for a condition fails after [`WAIT_LIMIT`].
+//! Where the list is watched (not pushed, no operator file) and a script uses neither `d` nor `d2`, both listeners
+//! confirm the list by themselves, and the script starts once the program has logged that the list is confirmed. Each
+//! step that waits for a condition fails after [`WAIT_LIMIT`].
 //!
 //! # Messages
 //!
