--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -23,7 +23,7 @@
     /// # Errors
     /// A message that names the invalid or missing key, or says why the file cannot be read.
     pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        // A variable is what a person sets to try something, so it overrides the file.
+        // Variables are set by hand, to try out a value, so they override the file.
         Config::load_from(env, Precedence::Environment)
     }
 
@@ -132,7 +132,7 @@
             None => return Ok(default),
         };
         let value =
-            section.unsigned(key).map_err(|_| SettingsError::new(path, "is not a number of at least 0"))?;
+            section.unsigned(key).map_err(|_| SettingsError::new(path, "is not a number from 0 on"))?;
         Ok(value.unwrap_or(default))
     };
     let (mut parsed, names) = wire::settings_from_json(settings)?;
@@ -154,7 +154,7 @@
     if duration > MAX_DURATION {
         return Err(SettingsError::new(
             key,
-            format!("is {duration}: the maximum is {MAX_DURATION} microseconds"),
+            format!("is {duration}: {MAX_DURATION} microseconds are the most"),
         ));
     }
     Ok(())
@@ -166,7 +166,7 @@
         if value >= 0.0 {
             Ok(())
         } else {
-            Err(SettingsError::new(key, format!("is {value}: the minimum is 0")))
+            Err(SettingsError::new(key, format!("is {value}: 0 is the least")))
         }
     };
     check_unique("request_classes", names.classes())?;
@@ -208,10 +208,10 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() {
-            return Err(SettingsError::new(list, "contains an entry without a name"));
+            return Err(SettingsError::new(list, "has one without a name"));
         }
         if !seen.insert(name) {
-            return Err(SettingsError::new(format!("{list}.{name}"), "appears twice"));
+            return Err(SettingsError::new(format!("{list}.{name}"), "is there twice"));
         }
     }
     Ok(())
@@ -226,8 +226,8 @@
     number.ok_or_else(|| format!("'{key}': '{text}' is not a descriptor number of at least 3"))
 }
 
-/// The smallest value of `control_silence_ms`, in milliseconds. A shorter one could not be distinguished from the normal pause
-/// between two lines of a watch.
+/// The smallest value of `control_silence_ms`, in milliseconds. A shorter silence can also be the normal pause between two
+/// lines of a watch.
 const MIN_SILENCE_MS: u64 = 3_000;
 const DEFAULT_SILENCE_MS: u64 = 5_000;
 const MAX_SILENCE_MS: u64 = 3_600_000;
@@ -346,7 +346,7 @@
 
     #[test]
     fn valid_file_is_read_and_missing_keys_get_defaults() {
-        let config = read(VALID).expect("the file is valid");
+        let config = read(VALID).expect("a valid file was rejected");
         assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
         assert_eq!(
             (config.max_descriptors, config.max_open_requests, config.worker_idle_timeout),
@@ -362,7 +362,7 @@
     fn environment_overrides_file_at_start_and_file_overrides_environment_on_reload() {
         let env = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
         let listen = |text: &str, precedence| {
-            Config::read(text, env, precedence).expect("the file is valid").listen.to_string()
+            Config::read(text, env, precedence).expect("a valid file was rejected").listen.to_string()
         };
         assert_eq!(listen(VALID, Precedence::Environment), "127.0.0.9:1");
         assert_eq!(listen(VALID, Precedence::File), "127.0.0.1:8443");
@@ -378,12 +378,12 @@
         };
         let read =
             |passed: &'static str| Config::read(VALID, |name| variable(name, passed), Precedence::File);
-        let config = read("3").expect("the file is valid");
+        let config = read("3").expect("a valid file was rejected");
         assert_eq!(
             (config.passed_socket, config.upgrade_socket),
             (Some(3), Some(PathBuf::from("/t/calicolb.sock")))
         );
-        let config = read("").expect("the file is valid");
+        let config = read("").expect("a valid file was rejected");
         assert_eq!((config.passed_socket, config.upgrade_socket), (None, None));
         for invalid in ["three", "-1", "1"] {
             assert!(read(invalid).err().is_some_and(|message| message.contains("RELAY_PASSED_SOCKET")));
