--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -1,13 +1,13 @@
-//! The program with Gearman clients and workers on real sockets, in the language of `scenario`.
+//! End-to-end tests of the Gearman port with clients and workers on real sockets, as scripts for the `scenario` module.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
 
-use scenario::play_appliance;
+use scenario::run_with_operator_file;
 
 #[test]
-fn a_job_is_pulled_and_what_its_worker_tells_is_passed_on() {
-    play_appliance(
+fn grabbed_job_forwards_status_data_warning_and_result() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_worker_that_goes_in_the_middle_of_a_job_that_must_not_run_twice_ends_it() {
-    play_appliance(
+fn non_idempotent_job_fails_when_its_worker_disconnects() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -68,9 +68,10 @@
 }
 
 #[test]
-fn what_a_worker_was_woken_for_and_never_got_goes_elsewhere() {
-    // w1 leaves between NOOP and JOB_ASSIGN, w2 never asks: neither has run anything, so even this job may go on.
-    play_appliance(
+fn job_of_woken_worker_that_never_grabs_it_goes_to_another() {
+    // w1 leaves between NOOP and JOB_ASSIGN, and w2 sends no GRAB_JOB: neither ran the job, so that even a job that
+    // must not run twice is sent to w3.
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -93,8 +94,8 @@
 }
 
 #[test]
-fn a_job_that_may_run_twice_is_sent_again_and_its_late_end_meets_nothing() {
-    play_appliance(
+fn safe_job_is_resent_after_timeout_and_late_result_is_ignored() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -118,8 +119,8 @@
 }
 
 #[test]
-fn a_worker_that_failed_is_not_asked_again_for_what_must_not_run_twice() {
-    play_appliance(
+fn failed_non_idempotent_job_is_not_sent_again() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -140,8 +141,8 @@
 }
 
 #[test]
-fn a_client_that_leaves_keeps_the_lane_of_its_job_busy_until_the_worker_is_done() {
-    play_appliance(
+fn lane_stays_occupied_after_client_leaves_until_job_ends() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -167,8 +168,8 @@
 }
 
 #[test]
-fn a_background_job_outlives_its_client_and_its_end_is_told_while_it_is_remembered() {
-    play_appliance(
+fn background_job_survives_its_client_and_its_status_is_kept_for_recent_jobs() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -178,8 +179,8 @@
         close g1
         pull w1 JOB_ASSIGN $one look | one
         send w1 WORK_STATUS $one 1 | 4
-        send w1 ECHO_REQ | told
-        expect w1 ECHO_RES | told
+        send w1 ECHO_REQ | sync
+        expect w1 ECHO_RES | sync
         send g2 GET_STATUS $one
         expect g2 STATUS_RES $one 1 1 1 4
         send w1 WORK_COMPLETE $one | unheard
@@ -188,8 +189,8 @@
         send g2 GET_STATUS $one
         expect g2 STATUS_RES $one 1 0 1 1
         send w1 PRE_SLEEP
-        send w1 ECHO_REQ | told
-        expect w1 ECHO_RES | told
+        send w1 ECHO_REQ | sync
+        expect w1 ECHO_RES | sync
         send g2 SUBMIT_JOB_HIGH_BG look ~ | two
         expect g2 JOB_CREATED $two
         expect w1 NOOP
@@ -199,8 +200,8 @@
         send w1 GRAB_JOB
         expect w1 NO_JOB
         send w1 PRE_SLEEP
-        send w1 ECHO_REQ | told
-        expect w1 ECHO_RES | told
+        send w1 ECHO_REQ | sync
+        expect w1 ECHO_RES | sync
         send g2 SUBMIT_JOB_LOW_BG look ~ | three
         expect g2 JOB_CREATED $three
         pull w1 JOB_ASSIGN $three look | three
@@ -216,8 +217,8 @@
 }
 
 #[test]
-fn submissions_of_one_function_and_unique_id_are_one_run_with_an_end_for_each() {
-    play_appliance(
+fn submissions_with_same_function_and_unique_id_share_one_run() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -248,8 +249,8 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_worker_that_has_taken_its_abilities_back() {
-    play_appliance(
+fn worker_that_withdrew_abilities_gets_no_new_jobs() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -276,9 +277,9 @@
 }
 
 #[test]
-fn a_worker_that_has_just_come_is_cold() {
-    // So cold, and for so long, that it may be sent nothing.
-    play_appliance(
+fn newly_connected_worker_is_cold() {
+    // With a start capacity of 0.01 for one hour, a cold worker may be sent no job.
+    run_with_operator_file(
         0,
         r#"workers cold="1h" start-capacity=0.01 fall-multiple=1.0 fall-window="10ms""#,
         r#"
@@ -291,8 +292,8 @@
 }
 
 #[test]
-fn jobs_of_either_protocol_run_on_workers_of_the_other() {
-    play_appliance(
+fn gearman_and_http_jobs_run_on_workers_of_the_other_protocol() {
+    run_with_operator_file(
         1,
         "",
         r#"
@@ -315,8 +316,8 @@
 }
 
 #[test]
-fn skills_keep_jobs_from_workers_that_do_not_take_them() {
-    play_appliance(
+fn jobs_go_only_to_workers_with_the_function_and_protocol() {
+    run_with_operator_file(
         1,
         r#"
         function "look" class="look"
@@ -337,8 +338,8 @@
 }
 
 #[test]
-fn what_is_out_of_step_is_told_and_let_go_and_harms_nobody() {
-    play_appliance(
+fn invalid_packets_get_errors_and_leave_other_connections_unaffected() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -394,8 +395,8 @@
 }
 
 #[test]
-fn operators_see_and_steer_it_in_text_on_the_same_port() {
-    play_appliance(
+fn text_protocol_reports_and_changes_state() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -435,8 +436,8 @@
 }
 
 #[test]
-fn the_port_changes_nothing_where_the_operator_file_does_not_let_it() {
-    play_appliance(
+fn admin_changes_are_refused_unless_operator_file_allows_them() {
+    run_with_operator_file(
         0,
         r#"gearman listen="127.0.0.1:0""#,
         r#"
@@ -451,8 +452,8 @@
 }
 
 #[test]
-fn a_drain_answers_what_was_taken_and_takes_nothing_after_it() {
-    play_appliance(
+fn drain_answers_accepted_jobs_and_refuses_new_ones() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -476,8 +477,8 @@
 }
 
 #[test]
-fn hundreds_at_once_are_answered_in_order_and_let_others_through() {
-    play_appliance(
+fn pipelined_packets_are_answered_in_order_without_blocking_others() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -496,8 +497,8 @@
 }
 
 #[test]
-fn answers_to_submissions_come_before_those_to_what_was_sent_after_them() {
-    play_appliance(
+fn submission_is_answered_before_later_packets() {
+    run_with_operator_file(
         0,
         "",
         r#"
@@ -509,8 +510,8 @@
 }
 
 #[test]
-fn who_does_not_read_is_let_go_and_its_jobs_with_it() {
-    play_appliance(
+fn client_that_does_not_read_is_closed_and_its_jobs_abandoned() {
+    run_with_operator_file(
         0,
         "",
         r#"
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,7 +13,7 @@
 ];
 
 fn play(hops: usize, script: &str) {
-    Setup { hops, settings: &PATIENT, ..Setup::default() }.play(script);
+    Setup { workers: hops, settings: &PATIENT, ..Setup::default() }.run(script);
 }
 
 /// What brings other settings into force.
@@ -245,7 +245,7 @@
     let mut script = String::new();
     for nr in 0..1_000 {
         if nr == 100 {
-            script += "weigh program\n";
+            script += "record_memory program\n";
         }
         let list = classes(14_000_000 + nr, if nr % 2 == 0 { more } else { "" });
         let orgs = format!(r#"[{{"name":"acme","quota_rps":{nr}}},{{"name":"t{}","quota_rps":1}}]"#, nr % 50);
@@ -309,5 +309,5 @@
         never does not fit
         "#
     );
-    Setup { hops: 1, pass: true, settings: &PATIENT, ..Setup::default() }.play(&script);
+    Setup { workers: 1, pass_socket: true, settings: &PATIENT, ..Setup::default() }.run(&script);
 }
