--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -3,13 +3,13 @@
 
 mod chart;
 
-use calicolb_slopes::axes::{Axis, Budget, Row, Sample, rows};
-use calicolb_slopes::clock;
-use calicolb_slopes::counts::Counts;
-use calicolb_slopes::functions::{Effort, Function, Measured, measure, phases};
-use calicolb_slopes::report;
-use calicolb_slopes::scene::Size;
-use calicolb_slopes::suspicions::{self, Finding};
+use calicolb_scaling::axes::{Axis, Budget, Row, Sample, rows};
+use calicolb_scaling::clock;
+use calicolb_scaling::counts::Counts;
+use calicolb_scaling::functions::{Effort, Function, Measured, measure, phases};
+use calicolb_scaling::report;
+use calicolb_scaling::scene::Size;
+use calicolb_scaling::suspicions::{self, Finding};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::fs;
--- a/crates/rig/src/slopes/chart.rs
+++ b/crates/rig/src/slopes/chart.rs
@@ -1,7 +1,7 @@
 //! A chart for each axis: what was measured, with the laws drawn through it, both scales logarithmic.
 
-use calicolb_slopes::axes::{Axis, Quantity, Row};
-use calicolb_slopes::fit::{Growth, means};
+use calicolb_scaling::axes::{Axis, Quantity, Row};
+use calicolb_scaling::fit::{Growth, means};
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
--- a/crates/slopes/tests/clock.rs
+++ b/crates/scaling/tests/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of processor time.
 
-use calicolb_slopes::clock::{granularity, micros_a_round, thread_cpu};
+use calicolb_scaling::clock::{granularity, micros_a_round, thread_cpu};
 use std::thread;
 use std::time::Duration;
 
--- a/crates/slopes/tests/exponents.rs
+++ b/crates/scaling/tests/exponents.rs
@@ -1,9 +1,9 @@
 //! How messages and bytes of the control functions may grow, on a small fleet, in seconds: counts, no times. A mechanism
 //! that begins to tell more than its part is caught here before any large fleet is played.
 
-use calicolb_slopes::axes::{Axis, Budget, Quantity, Row, Sample, rows};
-use calicolb_slopes::fit::Growth;
-use calicolb_slopes::functions::{Effort, Function, measure, phases};
+use calicolb_scaling::axes::{Axis, Budget, Quantity, Row, Sample, rows};
+use calicolb_scaling::fit::Growth;
+use calicolb_scaling::functions::{Effort, Function, measure, phases};
 use std::sync::LazyLock;
 
 /// Three replays of each size.
--- a/crates/slopes/tests/fit.rs
+++ b/crates/scaling/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The statistics on data whose truth is known.
 
-use calicolb_slopes::fit::{CONFIDENCE, Form, Growth, Interval, Law, Mark, Point, Unfit};
+use calicolb_scaling::fit::{CONFIDENCE, Form, Growth, Interval, Law, Mark, Point, Unfit};
 
 /// Sizes as they are measured, three replays each.
 const SIZES: [f64; 6] = [50.0, 100.0, 200.0, 400.0, 690.0, 2_000.0];
--- a/crates/slopes/tests/play.rs
+++ b/crates/scaling/tests/play.rs
@@ -1,8 +1,8 @@
 //! The play of a fleet: what must come out of it whatever the sizes.
 
-use calicolb_slopes::counts::Sort;
-use calicolb_slopes::play::{Incident, play};
-use calicolb_slopes::scene::Size;
+use calicolb_scaling::counts::Sort;
+use calicolb_scaling::play::{Incident, play};
+use calicolb_scaling::scene::Size;
 
 const SMALL: Size = Size {
     workers: 60,
@@ -71,7 +71,7 @@
 #[test]
 fn a_zone_that_falls_silent_ends_nothing_and_is_found_by_connections_that_never_come_up() {
     let [lost, silent] = [Incident::ZoneLost, Incident::ZoneSilent].map(|how| play(&SMALL, 7, &[(5, how)]));
-    let told = |counts: &calicolb_slopes::counts::Counts| counts.total(0, Sort::Troubles).messages;
+    let told = |counts: &calicolb_scaling::counts::Counts| counts.total(0, Sort::Troubles).messages;
     assert!(told(&silent) < told(&lost), "{} {}", told(&silent), told(&lost));
     // What ran there has not ended for anybody; only jobs whose every try met a worker that is gone are refused.
     assert!(silent.unserved(0) < lost.unserved(0), "{} {}", silent.unserved(0), lost.unserved(0));
--- a/crates/slopes/tests/report.rs
+++ b/crates/scaling/tests/report.rs
@@ -1,10 +1,10 @@
 //! The tables, from made-up measurements whose truth is known.
 
-use calicolb_slopes::axes::{Axis, Budget, Quantity, Sample, rows};
-use calicolb_slopes::functions::{Function, Load, Measured};
-use calicolb_slopes::probe::Cost;
-use calicolb_slopes::report::{at_base, best, slopes};
-use calicolb_slopes::scene::Size;
+use calicolb_scaling::axes::{Axis, Budget, Quantity, Sample, rows};
+use calicolb_scaling::functions::{Function, Load, Measured};
+use calicolb_scaling::probe::Cost;
+use calicolb_scaling::report::{at_base, best, slopes};
+use calicolb_scaling::scene::Size;
 
 /// Samples of one function along one axis, whose worst second has so many bytes by the size.
 fn samples(axis: Axis, bytes: impl Fn(f64) -> f64) -> Vec<Sample> {
--- a/crates/slopes/tests/suspicions.rs
+++ b/crates/scaling/tests/suspicions.rs
@@ -1,8 +1,8 @@
 //! The probes behind the suspicions: that they tell apart what they are asked about.
 
-use calicolb_slopes::quota::{Spread, Tenancy};
-use calicolb_slopes::scene::Size;
-use calicolb_slopes::suspicions;
+use calicolb_scaling::quota::{Spread, Tenancy};
+use calicolb_scaling::scene::Size;
+use calicolb_scaling::suspicions;
 
 #[test]
 fn one_scheduler_counts_a_tenant_within_its_quota_and_no_more_than_that() {
