--- a/crates/bodies/tests/faults.rs
+++ b/crates/payload-store/tests/faults.rs
@@ -1,6 +1,6 @@
 //! A disk that fails in every way it can, and files that are changed behind the store's back.
 
-use calicolb_bodies::store::{Disk, Done, Fault, Folder, Plain, SEGMENT, Store, Task, Thread};
+use calicolb_payload_store::store::{Disk, Done, Fault, Folder, Plain, SEGMENT, Store, Task, Thread};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
