--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -3,13 +3,13 @@
 
 mod chart;
 
-use calicolb_scaling::axes::{Axis, Budget, Row, Sample, rows};
-use calicolb_scaling::clock;
-use calicolb_scaling::counts::Counts;
-use calicolb_scaling::functions::{Effort, Function, Measured, measure, phases};
+use calicolb_scaling::axes::{Axis, Budget, Row, Sample, fit_rows};
+use calicolb_scaling::counts::MessageCounts;
+use calicolb_scaling::cpu_clock;
+use calicolb_scaling::functions::{Function, MeasureOptions, Measurement, measure, simulate_phases};
+use calicolb_scaling::hypotheses::{self, Finding};
 use calicolb_scaling::report;
-use calicolb_scaling::scene::Size;
-use calicolb_scaling::suspicions::{self, Finding};
+use calicolb_scaling::scenario::FleetParameters;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::fs;
@@ -73,14 +73,14 @@
 }
 
 impl Slopes {
-    fn base(&self) -> Result<Size, String> {
-        let from = if self.quick { Axis::small_base() } else { Size::default() };
-        let base = Size {
+    fn base(&self) -> Result<FleetParameters, String> {
+        let from = if self.quick { Axis::small_fleet() } else { FleetParameters::default() };
+        let base = FleetParameters {
             workers: self.workers.unwrap_or(from.workers),
             schedulers: self.schedulers.unwrap_or(from.schedulers),
             tenants: self.tenants.unwrap_or(from.tenants),
             starts_per_s: self.starts.unwrap_or(from.starts_per_s),
-            replaced_a_day: self.replaced.unwrap_or(from.replaced_a_day),
+            replaced_per_day: self.replaced.unwrap_or(from.replaced_per_day),
             zones: self.zones.unwrap_or(from.zones),
             ..from
         };
@@ -88,8 +88,8 @@
         if sound { Ok(base) } else { Err("a fleet has workers, schedulers, zones and starts".to_owned()) }
     }
 
-    fn effort(&self) -> Effort {
-        Effort { times: !self.quick, seconds: self.seconds.max(1) }
+    fn effort(&self) -> MeasureOptions {
+        MeasureOptions { cpu_times: !self.quick, calm_seconds: self.seconds.max(1) }
     }
 
     fn budget(&self) -> Budget {
@@ -106,9 +106,9 @@
     let (base, budget) = (args.base()?, args.budget());
     fs::create_dir_all(&args.out).map_err(|error| format!("{}: {error}", args.out.display()))?;
     // First, while the process is small: what is resident grows with what is measured.
-    let gone = suspicions::gone(&base, args.seed, &resident);
+    let gone = hypotheses::departed_workers(&base, args.seed, &resident);
     let (samples, at_base) = sample(args, &base);
-    let rows = rows(&samples, &budget);
+    let rows = fit_rows(&samples, &budget);
     let mut found = vec![gone];
     found.extend(suspect(args, &base, &budget));
 
@@ -120,16 +120,16 @@
          far: predicted at over twice the largest size fitted.\n\n",
         args.seeds,
         args.seed,
-        args.effort().seconds,
-        clock::granularity().as_nanos()
+        args.effort().calm_seconds,
+        cpu_clock::granularity().as_nanos()
     );
-    text += &report::legend();
+    text += &report::function_legend();
     text += "\n";
-    text += &report::slopes(&rows);
+    text += &report::growth_table(&rows);
     text += "\n";
-    text += &report::at_base(&rows, &base, &at_base, &budget);
+    text += &report::base_table(&rows, &base, &at_base, &budget);
     text += "\n";
-    text += &report::findings(&found);
+    text += &report::findings_text(&found);
     print!("{text}");
 
     write(&args.out.join("table.txt"), text.as_bytes())?;
@@ -150,31 +150,31 @@
 }
 
 /// All sizes of all axes that are wanted, and the base, for all seeds.
-fn sample(args: &Slopes, base: &Size) -> (Vec<Sample>, Vec<Vec<Measured>>) {
+fn sample(args: &Slopes, base: &FleetParameters) -> (Vec<Sample>, Vec<Vec<Measurement>>) {
     let axes = if args.axes.is_empty() { Axis::ALL.to_vec() } else { args.axes.clone() };
     let seeds = args.seed..args.seed + args.seeds.max(1);
     let bar = ProgressBar::new((axes.len() as u64 * 6 + 1) * args.seeds.max(1));
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} {msg}, {eta} left") {
         bar.set_style(style);
     }
-    let seconds = args.effort().seconds;
-    let mut plays: Vec<(Size, u64, Counts)> = Vec::new();
-    let mut of = |size: &Size, seed: u64| {
-        let still = Size { days: 0, ..*size };
+    let seconds = args.effort().calm_seconds;
+    let mut plays: Vec<(FleetParameters, u64, MessageCounts)> = Vec::new();
+    let mut of = |size: &FleetParameters, seed: u64| {
+        let still = FleetParameters { days: 0, ..*size };
         let known = plays.iter().position(|(played, with, _)| (played, *with) == (&still, seed));
         let at = known.unwrap_or_else(|| {
-            plays.push((still, seed, phases(&still, seed, seconds)));
+            plays.push((still, seed, simulate_phases(&still, seed, seconds)));
             plays.len() - 1
         });
         measure(size, seed, args.effort(), &plays[at].2)
     };
     let mut samples = Vec::new();
     for axis in axes {
-        let sizes = if args.quick { axis.small_sizes() } else { axis.sizes() };
+        let sizes = if args.quick { axis.small_values() } else { axis.values() };
         for to in sizes {
             for seed in seeds.clone() {
                 bar.set_message(format!("{} {to}", axis.name()));
-                let measured = of(&axis.set(base, to), seed);
+                let measured = of(&axis.with_value(base, to), seed);
                 samples.push(Sample { axis, size: f64::from(to), seed, measured });
                 bar.inc(1);
             }
@@ -192,17 +192,17 @@
     (samples, at_base)
 }
 
-fn suspect(args: &Slopes, base: &Size, budget: &Budget) -> Vec<Finding> {
-    let times = args.effort().times;
+fn suspect(args: &Slopes, base: &FleetParameters, budget: &Budget) -> Vec<Finding> {
+    let times = args.effort().cpu_times;
     let fleets = if args.quick { &FLEETS[..3] } else { &FLEETS[..] };
     let mut found = vec![
-        suspicions::quota(args.seed, fleets),
-        suspicions::greetings(base, args.seed, times),
-        suspicions::troubles(base, args.seed, budget.bytes_per_s),
+        hypotheses::tenant_quota(args.seed, fleets),
+        hypotheses::hello_messages(base, args.seed, times),
+        hypotheses::fault_reports(base, args.seed, budget.bytes_per_s),
     ];
     if times {
-        found.extend(suspicions::lists(base, args.seed, (budget.bytes_per_s, budget.cpu_ms_per_s)));
-        found.push(suspicions::talk(base, args.seed, args.effort().seconds));
+        found.extend(hypotheses::worker_lists(base, args.seed, (budget.bytes_per_s, budget.cpu_ms_per_s)));
+        found.push(hypotheses::load_messages(base, args.seed, args.effort().calm_seconds));
     }
     found
 }
@@ -229,7 +229,7 @@
     for sample in along {
         for of in sample.measured.iter().filter(|measured| measured.function == function) {
             let (cost, mean, worst) = (of.cost, of.mean, of.worst);
-            let values = [cost.messages, cost.bytes, cost.cpu_us, cost.state];
+            let values = [cost.messages, cost.bytes, cost.cpu_us, cost.heap_bytes];
             let loads = [mean.bytes, mean.cpu_ms, worst.bytes, worst.cpu_ms];
             let line = [sample.size.to_string(), sample.seed.to_string()];
             table.write_record(line.into_iter().chain(values.into_iter().chain(loads).map(told)))?;
--- a/crates/rig/src/slopes/chart.rs
+++ b/crates/rig/src/slopes/chart.rs
@@ -1,7 +1,7 @@
 //! A chart for each axis: what was measured, with the laws drawn through it, both scales logarithmic.
 
 use calicolb_scaling::axes::{Axis, Quantity, Row};
-use calicolb_scaling::fit::{Growth, means};
+use calicolb_scaling::fit::{Growth, mean_by_size};
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
@@ -36,7 +36,9 @@
     // What is 0 has no place on a logarithmic scale.
     let shown: Vec<_> = rows
         .iter()
-        .map(|row| (row, means(&row.points).into_iter().filter(|at| at.value > 0.0).collect::<Vec<_>>()))
+        .map(|row| {
+            (row, mean_by_size(&row.points).into_iter().filter(|at| at.value > 0.0).collect::<Vec<_>>())
+        })
         .filter(|(_, points)| !points.is_empty())
         .collect();
     let all = shown.iter().flat_map(|(_, points)| points);
--- a/crates/scaling/src/axes.rs
+++ b/crates/scaling/src/axes.rs
@@ -1,8 +1,8 @@
 //! The axes, the sizes measured on each, and the growth of each quantity along them.
 
-use crate::fit::{Growth, Mark, Point};
-use crate::functions::{Function, Measured};
-use crate::scene::Size;
+use crate::fit::{Growth, GrowthFlag, Point};
+use crate::functions::{Function, Measurement};
+use crate::scenario::FleetParameters;
 use serde::Serialize;
 
 /// An exponent within this of 0 is that of what does not grow.
@@ -41,7 +41,7 @@
 
     /// The sizes measured; the last one is kept out of every fit. The letter's sizes lie in between, and are none of
     /// them.
-    pub fn sizes(self) -> [u32; 6] {
+    pub fn values(self) -> [u32; 6] {
         match self {
             Axis::Workers => [50, 100, 200, 400, 1_000, 2_000],
             Axis::Schedulers => [10, 30, 100, 200, 500, 1_000],
@@ -53,7 +53,7 @@
 
     /// The same for a small fleet, for counts in seconds; its cohorts are full at every size, as
     /// are those of the letter's fleet with three times its schedulers.
-    pub fn small_sizes(self) -> [u32; 6] {
+    pub fn small_values(self) -> [u32; 6] {
         match self {
             Axis::Workers => [4, 8, 12, 16, 24, 32],
             Axis::Schedulers => [16, 32, 48, 64, 96, 192],
@@ -64,12 +64,19 @@
     }
 
     /// The base of the small fleet: its workers are as full as the letter's.
-    pub fn small_base() -> Size {
-        Size { workers: 16, schedulers: 32, tenants: 24, starts_per_s: 40.0, zones: 2, ..Size::default() }
+    pub fn small_fleet() -> FleetParameters {
+        FleetParameters {
+            workers: 16,
+            schedulers: 32,
+            tenants: 24,
+            starts_per_s: 40.0,
+            zones: 2,
+            ..FleetParameters::default()
+        }
     }
 
     /// The base with this size on the axis.
-    pub fn set(self, base: &Size, to: u32) -> Size {
+    pub fn with_value(self, base: &FleetParameters, to: u32) -> FleetParameters {
         let mut size = *base;
         match self {
             Axis::Workers => size.workers = to,
@@ -82,7 +89,7 @@
     }
 
     /// Where a fleet stands on the axis.
-    pub fn of(self, size: &Size) -> f64 {
+    pub fn of(self, size: &FleetParameters) -> f64 {
         match self {
             Axis::Workers => f64::from(size.workers),
             Axis::Schedulers => f64::from(size.schedulers),
@@ -94,7 +101,7 @@
 
     /// The largest exponent that is allowed: in proportion to the size; nothing may grow by the days alone. A tenth is
     /// granted for what is fitted.
-    pub fn allowed(self) -> f64 {
+    pub fn max_exponent(self) -> f64 {
         if self == Axis::Days { 0.1 } else { 1.1 }
     }
 }
@@ -146,12 +153,12 @@
     }
 
     /// Its value, where the function has one.
-    pub fn of(self, measured: &Measured) -> Option<f64> {
+    pub fn of(self, measured: &Measurement) -> Option<f64> {
         match self {
             Quantity::Messages => measured.cost.messages,
             Quantity::Bytes => measured.cost.bytes,
             Quantity::CpuUs => measured.cost.cpu_us,
-            Quantity::State => measured.cost.state,
+            Quantity::State => measured.cost.heap_bytes,
             Quantity::WorstBytes => measured.worst.bytes,
             Quantity::WorstCpuMs => measured.worst.cpu_ms,
         }
@@ -196,7 +203,7 @@
     /// The seed.
     pub seed: u64,
     /// What came out.
-    pub measured: Vec<Measured>,
+    pub measured: Vec<Measurement>,
 }
 
 /// How one quantity of one function grows along one axis.
@@ -218,13 +225,13 @@
 
 impl Row {
     /// What speaks against it.
-    pub fn marks(&self) -> Vec<Mark> {
-        self.growth.marks(self.axis.allowed())
+    pub fn flags(&self) -> Vec<GrowthFlag> {
+        self.growth.flags(self.axis.max_exponent())
     }
 }
 
 /// Fits every quantity of every function along every axis that was sampled.
-pub fn rows(samples: &[Sample], budget: &Budget) -> Vec<Row> {
+pub fn fit_rows(samples: &[Sample], budget: &Budget) -> Vec<Row> {
     let mut rows = Vec::new();
     for function in Function::ALL {
         for axis in Axis::ALL {
@@ -238,7 +245,7 @@
                     Growth::Law(law, _) if law.exponent >= FLAT => {
                         quantity.budget(budget).and_then(|most| law.reaches(most))
                     }
-                    Growth::Law(..) | Growth::None | Growth::Unfit(_) => None,
+                    Growth::Law(..) | Growth::Absent | Growth::NotFitted(_) => None,
                 };
                 rows.push(Row { function, axis, quantity, points, growth, reaches });
             }
--- a/crates/scaling/src/clock.rs
+++ b/crates/scaling/src/cpu_clock.rs
@@ -9,7 +9,7 @@
 const SAMPLES: usize = 7;
 
 /// Processor time that this thread has used.
-pub fn thread_cpu() -> Duration {
+pub fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     let (seconds, nanos) =
         (u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0));
@@ -19,9 +19,9 @@
 /// The smallest step that the clock was seen to make, its own reading included.
 pub fn granularity() -> Duration {
     let step = |_| {
-        let before = thread_cpu();
+        let before = thread_cpu_time();
         loop {
-            let after = thread_cpu();
+            let after = thread_cpu_time();
             if after > before {
                 return after - before;
             }
@@ -33,7 +33,7 @@
 /// Processor microseconds that one round of the work on `state` takes: the least of [`SAMPLES`] series, each so long that
 /// the clock's step is a hundredth of it at most, and `least` at least. What a round needs is laid by `prepare`, whose
 /// time is not counted, for `lot` rounds at a time.
-pub fn micros_a_round<S, T>(
+pub fn micros_per_iteration<S, T>(
     least: Duration,
     lot: usize,
     state: &mut S,
@@ -47,9 +47,9 @@
             while spent < enough {
                 let inputs: Vec<T> = (0..lot.max(1)).map(|_| prepare(state)).collect();
                 rounds += inputs.len() as u32;
-                let before = thread_cpu();
+                let before = thread_cpu_time();
                 inputs.into_iter().for_each(|input| work(state, input));
-                spent += thread_cpu() - before;
+                spent += thread_cpu_time() - before;
             }
             spent.as_secs_f64() * 1e6 / f64::from(rounds)
         })
--- a/crates/scaling/src/fit.rs
+++ b/crates/scaling/src/fit.rs
@@ -46,7 +46,7 @@
 
 /// Why no law was fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum FitError {
     /// Fewer sizes than [`LEAST_SIZES`].
     #[error("too few sizes")]
     TooFew,
@@ -70,12 +70,12 @@
 /// How a value grows: by its exponent, and by the form that predicts: a power law, or a line where that lies clearly
 /// closer to what was measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Law {
+pub struct ScalingLaw {
     /// How fast the value grows: 0 not at all, 1 in proportion to the size, 2 with its square. Always that of the power
     /// law.
     pub exponent: f64,
     /// Where the exponent lies with [`CONFIDENCE`].
-    pub exponent_in: Interval,
+    pub exponent_interval: Interval,
     /// Share of the logarithms' variance that the power law explains; `None` where they do not vary.
     pub r2: Option<f64>,
     /// Smallest and largest size fitted.
@@ -130,24 +130,24 @@
     /// Where a value measured there lies with [`CONFIDENCE`].
     pub within: Interval,
     /// The size is more than [`FAR`] times outside the fitted ones.
-    pub far: bool,
+    pub extrapolated: bool,
 }
 
-impl Law {
+impl ScalingLaw {
     /// Fits a law to what was measured.
-    pub fn fit(points: &[Point]) -> Result<Law, Unfit> {
-        let means = means(points);
+    pub fn fit(points: &[Point]) -> Result<ScalingLaw, FitError> {
+        let means = mean_by_size(points);
         if means.len() < LEAST_SIZES {
-            return Err(Unfit::TooFew);
+            return Err(FitError::TooFew);
         }
         let positive = |value: f64| value.is_finite() && value > 0.0;
         if !means.iter().all(|point| positive(point.size) && positive(point.value)) {
-            return Err(Unfit::NoLogarithm);
+            return Err(FitError::NoLogarithm);
         }
         let logs: Vec<_> = means.iter().map(|point| (point.value.ln(), 1.0, point.size.ln())).collect();
-        let (power, r2) = Fitted::to(&logs).ok_or(Unfit::NoSolution)?;
+        let (power, r2) = Fitted::to(&logs).ok_or(FitError::NoSolution)?;
         let quantile = StudentsT::new(0.0, 1.0, (means.len() - 2) as f64)
-            .map_err(|_| Unfit::NoSolution)?
+            .map_err(|_| FitError::NoSolution)?
             .inverse_cdf(f64::midpoint(1.0, CONFIDENCE));
         // Errors in proportion to the value, as they are on logarithms: the rows of the line are divided by it.
         let parts: Vec<_> =
@@ -163,9 +163,9 @@
         let varies = logs.iter().any(|log| (log.0 - level).abs() > 1e-12 * level.abs().max(1.0));
         let half = quantile * (power.residual * power.inverse.1).sqrt();
         let exponent = power.parameters.1;
-        Ok(Law {
+        Ok(ScalingLaw {
             exponent,
-            exponent_in: Interval { low: exponent - half, high: exponent + half },
+            exponent_interval: Interval { low: exponent - half, high: exponent + half },
             r2: varies.then_some(r2),
             sizes: Interval { low: means[0].size, high: means[means.len() - 1].size },
             form: if closer.is_some() { Form::Line } else { Form::Power },
@@ -188,7 +188,7 @@
         Prediction {
             value,
             within: Interval { low: value / factor, high: value * factor },
-            far: size > self.sizes.high * FAR || size < self.sizes.low / FAR,
+            extrapolated: size > self.sizes.high * FAR || size < self.sizes.low / FAR,
         }
     }
 
@@ -199,12 +199,12 @@
             Form::Power => ((value.ln() - a) / b).exp(),
             Form::Line => (value - a) / b,
         };
-        (self.exponent_in.low > 0.0 && size.is_finite() && size > 0.0).then_some(size)
+        (self.exponent_interval.low > 0.0 && size.is_finite() && size > 0.0).then_some(size)
     }
 }
 
 /// The mean value of each size, smallest size first.
-pub fn means(points: &[Point]) -> Vec<Point> {
+pub fn mean_by_size(points: &[Point]) -> Vec<Point> {
     let mut sorted = points.to_vec();
     sorted.sort_by(|a, b| a.size.total_cmp(&b.size));
     let of = |alike: &[Point]| Point {
@@ -232,7 +232,7 @@
     }
 
     /// What was measured lies within the prediction's interval.
-    pub fn inside(&self) -> bool {
+    pub fn within_interval(&self) -> bool {
         self.predicted.within.contains(self.measured)
     }
 }
@@ -241,44 +241,48 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Growth {
     /// There is none of it at any size.
-    None,
+    Absent,
     /// By a law, fitted to all sizes but the largest.
-    Law(Law, HeldOut),
+    Law(ScalingLaw, HeldOut),
     /// No law could be fitted.
-    Unfit(Unfit),
+    NotFitted(FitError),
 }
 
 /// What speaks against a growth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum GrowthFlag {
     /// The exponent is above what is allowed, its whole interval.
-    Steep,
+    ExponentTooLarge,
     /// The largest size has more than the law of the smaller ones says, by more than the interval and a tenth.
-    Bends,
+    ExceedsPrediction,
 }
 
 impl Growth {
     /// Keeps the largest size out, fits a law to the others and compares.
     pub fn of(points: &[Point]) -> Growth {
         if points.iter().all(|point| point.value == 0.0) {
-            return Growth::None;
+            return Growth::Absent;
         }
-        let means = means(points);
-        let Some((last, rest)) = means.split_last() else { return Growth::Unfit(Unfit::TooFew) };
-        match Law::fit(rest) {
+        let means = mean_by_size(points);
+        let Some((last, rest)) = means.split_last() else { return Growth::NotFitted(FitError::TooFew) };
+        match ScalingLaw::fit(rest) {
             Ok(law) => {
                 let predicted = law.predict(last.size);
                 Growth::Law(law, HeldOut { size: last.size, measured: last.value, predicted })
             }
-            Err(why) => Growth::Unfit(why),
+            Err(why) => Growth::NotFitted(why),
         }
     }
 
     /// What speaks against it where the value may grow with this exponent at most.
-    pub fn marks(&self, allowed: f64) -> Vec<Mark> {
+    pub fn flags(&self, allowed: f64) -> Vec<GrowthFlag> {
         let Growth::Law(law, held) = self else { return Vec::new() };
-        let steep = law.exponent_in.low > allowed;
+        let steep = law.exponent_interval.low > allowed;
         let bends = held.measured > held.predicted.within.high && held.error() < -0.1;
-        [(steep, Mark::Steep), (bends, Mark::Bends)].into_iter().filter(|of| of.0).map(|of| of.1).collect()
+        [(steep, GrowthFlag::ExponentTooLarge), (bends, GrowthFlag::ExceedsPrediction)]
+            .into_iter()
+            .filter(|of| of.0)
+            .map(|of| of.1)
+            .collect()
     }
 }
--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -3,14 +3,14 @@
 //! laws fitted to both ([`fit`]) for every function ([`functions`]) along every axis ([`axes`]).
 
 pub mod axes;
-pub mod clock;
 pub mod counts;
+pub mod cpu_clock;
 pub mod fit;
 pub mod functions;
-pub mod play;
+pub mod hypotheses;
 pub mod probe;
 pub mod probe_jobs;
 pub mod quota;
 pub mod report;
-pub mod scene;
-pub mod suspicions;
+pub mod scenario;
+pub mod simulation;
--- a/crates/scaling/src/probe_jobs.rs
+++ b/crates/scaling/src/probe_jobs.rs
@@ -1,8 +1,8 @@
 //! Costs that come with jobs: a whole job in the module, tenants' buckets, load reports, and the timer of held jobs.
 
-use crate::clock;
-use crate::probe::{Cost, LEAST, event_us, kept};
-use crate::scene::{self, LANES, MILLI, SECOND, Size};
+use crate::cpu_clock;
+use crate::probe::{Cost, MIN_SERIES_TIME, event_cpu_us, retained_heap};
+use crate::scenario::{self, FleetParameters, LANES, MILLI, SECOND};
 use calicolb_decisions::api::*;
 use calicolb_decisions::rules::Dispatcher;
 
@@ -11,7 +11,7 @@
 /// Rounds of the timer after which the scene is laid anew: what was told of loads counts for some seconds only.
 const RELAY: u32 = 100;
 /// The timer of held jobs.
-pub(crate) const PUMP: TimerId = TimerId(1);
+pub(crate) const HOLD_TIMER: TimerId = TimerId(1);
 
 /// A job of a class, of a tenant or of none.
 pub(crate) fn arrival(now: Micros, id: u32, class: usize, tenant: Option<usize>, task_s: f64) -> Arrival {
@@ -38,12 +38,14 @@
 
 /// One whole job in the module: taken, its tenant's bucket asked, sent, started, ended. The bucket's own time cannot be
 /// told from the rest; the whole is its bound from above. The state is what tenants take in settings and buckets.
-pub fn job(size: &Size, seed: u64, times: bool) -> Cost {
-    let fresh = Size { days: 0, ..*size };
-    let none = Size { tenants: 0, ..fresh };
-    let state = kept(|| scene::settled(&fresh, seed)) - kept(|| scene::settled(&none, seed));
-    let cpu_us = times.then(|| {
-        let (mut held, mut out) = ((scene::settled(size, seed), scene::today(size), 0_u32), Vec::new());
+pub fn complete_job(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let fresh = FleetParameters { days: 0, ..*size };
+    let none = FleetParameters { tenants: 0, ..fresh };
+    let state = retained_heap(|| scenario::settled_scheduler(&fresh, seed))
+        - retained_heap(|| scenario::settled_scheduler(&none, seed));
+    let cpu_us = cpu_times.then(|| {
+        let (mut held, mut out) =
+            ((scenario::settled_scheduler(size, seed), scenario::current_time(size), 0_u32), Vec::new());
         let run = |held: &mut (Dispatcher, Micros, u32), ()| {
             let (dispatcher, now, nr) = held;
             *nr += 1;
@@ -76,29 +78,33 @@
             }
             out.clear();
         };
-        clock::micros_a_round(LEAST, 64, &mut held, |_| (), run)
+        cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 64, &mut held, |_| (), run)
     });
-    Cost { cpu_us, state: Some(state), ..Cost::default() }
+    Cost { cpu_us, heap_bytes: Some(state), ..Cost::default() }
 }
 
 /// A load report, brought by a probe.
-pub fn probed(size: &Size, seed: u64, times: bool) -> Cost {
+pub fn load_report(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
     let reports = |nr: u64| Event::Probed {
-        worker: scene::worker_at(size, seed, nr),
+        worker: scenario::active_worker(size, seed, nr),
         ending: Ending::Ok,
         elapsed: 2 * MILLI,
         report: Some(report((nr % u64::from(LANES)) as u32, 0)),
     };
-    Cost { cpu_us: event_us(size, seed, 1_000, times, reports), ..Cost::default() }
+    Cost { cpu_us: event_cpu_us(size, seed, 1_000, cpu_times, reports), ..Cost::default() }
 }
 
 /// The timer of held jobs, with as many held as it looks at and no lane free.
-pub fn timer(size: &Size, seed: u64, times: bool) -> Cost {
-    let cpu_us = times.then(|| {
-        let mut held =
-            Full { dispatcher: scene::settled(size, seed), now: scene::today(size), round: 0, job: 0 };
+pub fn hold_timer(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let cpu_us = cpu_times.then(|| {
+        let mut held = Full {
+            dispatcher: scenario::settled_scheduler(size, seed),
+            now: scenario::current_time(size),
+            round: 0,
+            job: 0,
+        };
         let look = |held: &mut Full, ()| held.look();
-        clock::micros_a_round(LEAST, 1, &mut held, |held| held.relay(size, seed), look)
+        cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 1, &mut held, |held| held.relay(size, seed), look)
     });
     Cost { cpu_us, ..Cost::default() }
 }
@@ -108,13 +114,13 @@
     dispatcher: Dispatcher,
     now: Micros,
     round: u32,
-    /// Jobs so far.
+    /// Jobs so extrapolated.
     job: u32,
 }
 
 impl Full {
     /// Once in [`RELAY`] rounds, others tell of their loads and jobs come anew.
-    fn relay(&mut self, size: &Size, seed: u64) {
+    fn relay(&mut self, size: &FleetParameters, seed: u64) {
         self.round += 1;
         if self.round % RELAY != 1 {
             return;
@@ -125,8 +131,8 @@
             self.dispatcher.on_event(self.now, Event::RequestAbandoned(RequestId(id)), &mut out);
         }
         for nr in 0..size.workers {
-            let worker = scene::worker_at(size, seed, u64::from(nr));
-            let body = scene::load(worker, LANES as u8, 200, 255);
+            let worker = scenario::active_worker(size, seed, u64::from(nr));
+            let body = scenario::encode_load(worker, LANES as u8, 200, 255);
             self.dispatcher.on_event(self.now, Event::Peer { from: 1, body }, &mut out);
             let (ending, elapsed, report) = (Ending::Ok, MILLI, Some(report(LANES, 0)));
             self.dispatcher.on_event(self.now, Event::Probed { worker, ending, elapsed, report }, &mut out);
@@ -142,7 +148,7 @@
         // A held job is looked at again 80 ms later at the latest.
         self.now += 80 * MILLI;
         let mut out = Vec::new();
-        self.dispatcher.on_event(self.now, Event::Timer(PUMP), &mut out);
+        self.dispatcher.on_event(self.now, Event::Timer(HOLD_TIMER), &mut out);
         std::hint::black_box(&out);
     }
 }
--- a/crates/scaling/src/quota.rs
+++ b/crates/scaling/src/quota.rs
@@ -3,7 +3,7 @@
 //! beyond it leaves the other lane free.
 
 use crate::probe_jobs::arrival;
-use crate::scene::{self, BEGIN, MILLI, SECOND, Size};
+use crate::scenario::{self, FleetParameters, MILLI, SECOND, START_TIME};
 use calicolb_decisions::api::*;
 use calicolb_decisions::rules::Dispatcher;
 
@@ -33,19 +33,24 @@
 impl Tenancy {
     /// So many schedulers, and a tenant with this quota.
     pub fn new(schedulers: u32, quota_per_s: f64) -> Self {
-        let size = Size { workers: 1, schedulers, tenants: 1, days: 0, ..Size::default() };
+        let size =
+            FleetParameters { workers: 1, schedulers, tenants: 1, days: 0, ..FleetParameters::default() };
         let begin = |rank| {
-            let mut settings = scene::settings(&size, rank);
+            let mut settings = scenario::settings(&size, rank);
             settings.zone = ZoneIx(0);
             settings.tenants = vec![Tenant { quota_per_s, share: 1.0 }];
             settings.reports = ReportSource::NoReports;
             settings.tells_start = false;
             (settings.limits.peers, settings.limits.probes) = (false, false);
-            let mut dispatcher = Dispatcher::new(settings, u64::from(rank), BEGIN);
-            let worker = Member { lanes: Some(2), ..scene::member(&size, 0, 0) };
+            let mut dispatcher = Dispatcher::new(settings, u64::from(rank), START_TIME);
+            let worker = Member { lanes: Some(2), ..scenario::member(&size, 0, 0) };
             let mut out = Vec::new();
-            dispatcher.on_event(BEGIN, Event::Members(ListKind::Full, vec![worker]), &mut out);
-            dispatcher.on_event(BEGIN, Event::Arrival(arrival(BEGIN, FILLER, 1, None, 60.0)), &mut out);
+            dispatcher.on_event(START_TIME, Event::Members(ListKind::Full, vec![worker]), &mut out);
+            dispatcher.on_event(
+                START_TIME,
+                Event::Arrival(arrival(START_TIME, FILLER, 1, None, 60.0)),
+                &mut out,
+            );
             dispatcher
         };
         Tenancy { schedulers: (0..schedulers).map(begin).collect(), quota_per_s, next: 0 }
@@ -98,7 +103,7 @@
             }
             let draw = rng.f64() * all;
             let to = bounds.partition_point(|&bound| bound <= draw).min(self.schedulers.len() - 1);
-            let counted = self.request(BEGIN + (at * SECOND as f64) as Micros, to);
+            let counted = self.request(START_TIME + (at * SECOND as f64) as Micros, to);
             if at > SECONDS.1 {
                 made += 1;
                 within += u32::from(counted);
@@ -108,7 +113,7 @@
 
     /// Requests of a burst at all schedulers at once, after an hour of rest, that are counted as within the quota.
     pub fn burst(&mut self) -> u32 {
-        let now = BEGIN + 3_600 * SECOND;
+        let now = START_TIME + 3_600 * SECOND;
         let all = (0..self.schedulers.len()).flat_map(|at| (0..BURST).map(move |_| at));
         all.map(|at| u32::from(self.request(now, at))).sum()
     }
--- a/crates/scaling/src/report.rs
+++ b/crates/scaling/src/report.rs
@@ -1,10 +1,10 @@
 //! The tables, as text.
 
 use crate::axes::{Axis, Budget, FLAT, Quantity, Row};
-use crate::fit::{Form, Growth, Interval, Law, Mark, Prediction, means};
-use crate::functions::{Function, Measured};
-use crate::scene::Size;
-use crate::suspicions::{BY_READING, Finding};
+use crate::fit::{Form, Growth, GrowthFlag, Interval, Prediction, ScalingLaw, mean_by_size};
+use crate::functions::{Function, Measurement};
+use crate::hypotheses::{Finding, NOT_MEASURED};
+use crate::scenario::FleetParameters;
 use std::fmt::Write as _;
 
 /// A law that is off by more than this at the size kept out of it predicts nothing where there is a better one.
@@ -32,17 +32,17 @@
     if part.is_finite() { format!("{:.1}%", 100.0 * part) } else { "-".to_owned() }
 }
 
-fn form(law: &Law) -> &'static str {
+fn form(law: &ScalingLaw) -> &'static str {
     match law.form {
         Form::Power => "power",
         Form::Line => "line",
     }
 }
 
-fn words(marks: &[Mark]) -> String {
-    let word = |mark: &Mark| match mark {
-        Mark::Steep => "STEEP",
-        Mark::Bends => "BENDS",
+fn words(marks: &[GrowthFlag]) -> String {
+    let word = |mark: &GrowthFlag| match mark {
+        GrowthFlag::ExponentTooLarge => "STEEP",
+        GrowthFlag::ExceedsPrediction => "BENDS",
     };
     marks.iter().map(word).collect::<Vec<_>>().join(" ")
 }
@@ -50,14 +50,14 @@
 /// Is told in one line with others.
 fn flat(row: &Row) -> bool {
     match &row.growth {
-        Growth::None => true,
-        Growth::Law(law, _) => law.exponent.abs() < FLAT && row.marks().is_empty(),
-        Growth::Unfit(_) => false,
+        Growth::Absent => true,
+        Growth::Law(law, _) => law.exponent.abs() < FLAT && row.flags().is_empty(),
+        Growth::NotFitted(_) => false,
     }
 }
 
 /// The slopes: one line for each function, axis and quantity that grows.
-pub fn slopes(rows: &[Row]) -> String {
+pub fn growth_table(rows: &[Row]) -> String {
     let mut text = String::new();
     let _ = writeln!(
         text,
@@ -80,15 +80,15 @@
         match &row.growth {
             Growth::Law(law, held) => {
                 let r2 = law.r2.map_or("-".to_owned(), |r2| format!("{r2:.3}"));
-                let within = format!("[{:.2}, {:.2}]", law.exponent_in.low, law.exponent_in.high);
-                let mut marks = words(&row.marks());
-                if !held.inside() {
+                let within = format!("[{:.2}, {:.2}]", law.exponent_interval.low, law.exponent_interval.high);
+                let mut marks = words(&row.flags());
+                if !held.within_interval() {
                     marks = format!("outside {marks}");
                 }
-                let far = if held.predicted.far { "far" } else { "" };
+                let extrapolated = if held.predicted.extrapolated { "far" } else { "" };
                 let _ = writeln!(
                     text,
-                    "{:>8.2} {within:<16} {r2:>6} | {:<5} {:>5} {:>9} {:<20} {:>9} {:>7}  {} {far}",
+                    "{:>8.2} {within:<16} {r2:>6} | {:<5} {:>5} {:>9} {:<20} {:>9} {:>7}  {} {extrapolated}",
                     law.exponent,
                     form(law),
                     held.size,
@@ -99,13 +99,13 @@
                     marks.trim()
                 );
             }
-            Growth::Unfit(why) => {
-                let seen = means(&row.points);
+            Growth::NotFitted(why) => {
+                let seen = mean_by_size(&row.points);
                 let seen: Vec<String> =
                     seen.iter().map(|at| format!("{}: {}", at.size, figure(at.value))).collect();
                 let _ = writeln!(text, "no law ({why}): {}", seen.join(", "));
             }
-            Growth::None => {}
+            Growth::Absent => {}
         }
     }
     let _ = writeln!(text, "\nNone at all, or the same at every size (exponent within {FLAT} of 0):");
@@ -120,15 +120,16 @@
 
 /// The law that a function's quantity is predicted by: of the axes along which it surely grows or shrinks, that whose
 /// law is least off at the size kept out; where all of these are off by more than [`OFF`], of all axes.
-pub fn best(rows: &[Row], function: Function, quantity: Quantity) -> Option<(Axis, &Law)> {
+pub fn best(rows: &[Row], function: Function, quantity: Quantity) -> Option<(Axis, &ScalingLaw)> {
     let of = rows.iter().filter(|row| row.function == function && row.quantity == quantity);
     let laws = of.filter_map(|row| match &row.growth {
         Growth::Law(law, held) => Some((row.axis, law, held.error().abs())),
-        Growth::None | Growth::Unfit(_) => None,
+        Growth::Absent | Growth::NotFitted(_) => None,
     });
-    let poor =
-        |law: &Law, error: f64| law.exponent.abs() < FLAT || law.exponent_in.contains(0.0) || error > OFF;
-    let order = |a: &(Axis, &Law, f64), b: &(Axis, &Law, f64)| {
+    let poor = |law: &ScalingLaw, error: f64| {
+        law.exponent.abs() < FLAT || law.exponent_interval.contains(0.0) || error > OFF
+    };
+    let order = |a: &(Axis, &ScalingLaw, f64), b: &(Axis, &ScalingLaw, f64)| {
         poor(a.1, a.2).cmp(&poor(b.1, b.2)).then(a.2.total_cmp(&b.2))
     };
     laws.min_by(order).map(|(axis, law, _)| (axis, law))
@@ -136,17 +137,22 @@
 
 /// The mean of what was measured of a function at one size, over the seeds.
 fn mean(
-    measured: &[Vec<Measured>],
+    measured: &[Vec<Measurement>],
     function: Function,
-    value: impl Fn(&Measured) -> Option<f64>,
+    value: impl Fn(&Measurement) -> Option<f64>,
 ) -> Option<f64> {
     let all = measured.iter().flatten().filter(|of| of.function == function).filter_map(value);
     let values: Vec<f64> = all.collect();
     (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
 }
 
-/// What the laws say of the base, beside what was measured there, and how far the budget goes.
-pub fn at_base(rows: &[Row], base: &Size, measured: &[Vec<Measured>], budget: &Budget) -> String {
+/// What the laws say of the base, beside what was measured there, and how extrapolated the budget goes.
+pub fn base_table(
+    rows: &[Row],
+    base: &FleetParameters,
+    measured: &[Vec<Measurement>],
+    budget: &Budget,
+) -> String {
     let mut text = String::new();
     let _ = writeln!(
         text,
@@ -176,7 +182,7 @@
                 );
                 continue;
             };
-            let Prediction { value, within, far } = law.predict(axis.of(base));
+            let Prediction { value, within, extrapolated } = law.predict(axis.of(base));
             let room = |of: f64| {
                 let times = quantity.budget(budget).map(|most| most / of);
                 times.map_or(String::new(), |times| format!("{}x", figure(times)))
@@ -201,7 +207,7 @@
                 percent(value / seen - 1.0),
                 if over { "OVER " } else { "" },
                 ends.join(", "),
-                if far { " (extrapolated)" } else { "" }
+                if extrapolated { " (extrapolated)" } else { "" }
             );
         }
     }
@@ -219,23 +225,23 @@
 }
 
 /// What was suspected, and what was found.
-pub fn findings(findings: &[Finding]) -> String {
+pub fn findings_text(findings: &[Finding]) -> String {
     let mut text = String::new();
     for finding in findings {
         let verdict = if finding.confirmed { "confirmed" } else { "ruled out" };
-        let _ = writeln!(text, "{verdict}: {} (line: {})", finding.suspected, finding.line);
-        for figure in &finding.figures {
+        let _ = writeln!(text, "{verdict}: {} (line: {})", finding.hypothesis, finding.threshold);
+        for figure in &finding.results {
             let _ = writeln!(text, "  {figure}");
         }
     }
-    for line in BY_READING {
+    for line in NOT_MEASURED {
         let _ = writeln!(text, "not measured: {line}");
     }
     text
 }
 
 /// What each function's costs are given for.
-pub fn legend() -> String {
+pub fn function_legend() -> String {
     let line = |of: &Function| format!("  {:<14} {}\n", of.name(), of.event());
     Function::ALL.iter().map(line).collect()
 }
--- a/crates/scaling/src/scene.rs
+++ b/crates/scaling/src/scenario.rs
@@ -15,7 +15,7 @@
 /// A day on the module's clock.
 pub const DAY: Micros = 24 * 3_600 * SECOND;
 /// When a fleet begins: any time but 0, which the module takes for 'never'.
-pub const BEGIN: Micros = 1_000_000 * SECOND;
+pub const START_TIME: Micros = 1_000_000 * SECOND;
 /// Kinds of machine.
 const KINDS: usize = 2;
 /// Jobs that a worker runs at once.
@@ -23,7 +23,7 @@
 
 /// How large a fleet is, and how busy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Size {
+pub struct FleetParameters {
     /// Workers.
     pub workers: u32,
     /// Schedulers.
@@ -37,32 +37,34 @@
     /// Zones.
     pub zones: u32,
     /// Tasks that run on a worker, in the mean: the same at every size, so that all fleets are equally full.
-    pub running_a_worker: f64,
+    #[serde(rename = "running_a_worker")]
+    pub tasks_per_worker: f64,
     /// Workers replaced a day, each by one with a new number.
-    pub replaced_a_day: u32,
+    #[serde(rename = "replaced_a_day")]
+    pub replaced_per_day: u32,
 }
 
 /// The size of the operators' letter on scale: 690 workers, 240 tenants, 140 starts a second with 3,400 running, 6 zones, 5 failures and 38
 /// replacements a day; 300 schedulers, as in the standing test.
-impl Default for Size {
+impl Default for FleetParameters {
     fn default() -> Self {
-        Size {
+        FleetParameters {
             workers: 690,
             schedulers: 300,
             tenants: 240,
             starts_per_s: 140.0,
             days: 1,
             zones: 6,
-            running_a_worker: 3_400.0 / 690.0,
-            replaced_a_day: 43,
+            tasks_per_worker: 3_400.0 / 690.0,
+            replaced_per_day: 43,
         }
     }
 }
 
-impl Size {
+impl FleetParameters {
     /// Mean time that a task runs, in seconds (Little's law).
     pub fn task_s(&self) -> f64 {
-        f64::from(self.workers) * self.running_a_worker / self.starts_per_s
+        f64::from(self.workers) * self.tasks_per_worker / self.starts_per_s
     }
 }
 
@@ -72,7 +74,7 @@
 }
 
 /// The line of a worker in the list. Its successor has the same place under a number of its own.
-pub fn member(size: &Size, seed: u64, nr: u32) -> Member {
+pub fn member(size: &FleetParameters, seed: u64, nr: u32) -> Member {
     let place = nr % size.workers;
     Member {
         worker: worker_id(seed, nr),
@@ -85,27 +87,27 @@
 }
 
 /// How many workers have gone.
-fn gone(size: &Size) -> u32 {
-    size.days * size.replaced_a_day
+fn departed_count(size: &FleetParameters) -> u32 {
+    size.days * size.replaced_per_day
 }
 
 /// The number of one of the workers in service.
-pub fn worker_at(size: &Size, seed: u64, nr: u64) -> WorkerId {
-    worker_id(seed, gone(size) + (nr % u64::from(size.workers)) as u32)
+pub fn active_worker(size: &FleetParameters, seed: u64, nr: u64) -> WorkerId {
+    worker_id(seed, departed_count(size) + (nr % u64::from(size.workers)) as u32)
 }
 
 /// The whole list.
-pub fn members(size: &Size, seed: u64) -> Vec<Member> {
-    (0..size.workers).map(|nr| member(size, seed, gone(size) + nr)).collect()
+pub fn members(size: &FleetParameters, seed: u64) -> Vec<Member> {
+    (0..size.workers).map(|nr| member(size, seed, departed_count(size) + nr)).collect()
 }
 
 /// The time at which a scheduler has its days of service behind it.
-pub fn today(size: &Size) -> Micros {
-    BEGIN + u64::from(size.days + 1) * DAY
+pub fn current_time(size: &FleetParameters) -> Micros {
+    START_TIME + u64::from(size.days + 1) * DAY
 }
 
 /// What a scheduler of this rank is told when it starts.
-pub fn settings(size: &Size, rank: u32) -> Settings {
+pub fn settings(size: &FleetParameters, rank: u32) -> Settings {
     let class = |aim: Micros, effect: Effect| Class {
         aim,
         stretch: 1.0,
@@ -161,53 +163,53 @@
 }
 
 /// A greeting, as it is on the wire (see the module's table of messages).
-pub fn greeting(zone: u32, asks: bool) -> Vec<u8> {
+pub fn encode_hello(zone: u32, asks: bool) -> Vec<u8> {
     vec![1, zone as u8, u8::from(asks)]
 }
 
 /// A scheduler's strikes against a worker, as they are on the wire.
-pub fn trouble(worker: WorkerId, strikes: u8) -> Vec<u8> {
+pub fn encode_fault_report(worker: WorkerId, strikes: u8) -> Vec<u8> {
     let [a, b, c, d] = worker.0.to_le_bytes();
     vec![1, a, b, c, d, strikes]
 }
 
 /// A load of so many lanes for so many units of 64 ms, as it is on the wire.
-pub fn load(worker: WorkerId, lanes: u8, soonest: u8, latest: u8) -> Vec<u8> {
+pub fn encode_load(worker: WorkerId, lanes: u8, soonest: u8, latest: u8) -> Vec<u8> {
     let [a, b, c, d] = worker.0.to_le_bytes();
     vec![1, lanes, a, b, c, d, soonest, latest]
 }
 
 /// The lists of the replacements: each day one list of changes.
-pub fn replacements(size: &Size, seed: u64) -> impl Iterator<Item = Vec<Member>> {
+pub fn replacements(size: &FleetParameters, seed: u64) -> impl Iterator<Item = Vec<Member>> {
     (0..size.days).map(move |day| {
-        let first = day * size.replaced_a_day;
+        let first = day * size.replaced_per_day;
         let gone = |nr| Member { status: WorkerStatus::Gone, ..member(size, seed, nr) };
         let pair = |nr| [gone(nr), member(size, seed, size.workers + nr)];
-        (first..first + size.replaced_a_day).flat_map(pair).collect()
+        (first..first + size.replaced_per_day).flat_map(pair).collect()
     })
 }
 
 /// A scheduler of rank 0 with its days of service behind it, which knows the list and where all the others stand; what
 /// it asked for meanwhile is dropped.
-pub fn settled(size: &Size, seed: u64) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(settings(size, 0), seed, BEGIN);
+pub fn settled_scheduler(size: &FleetParameters, seed: u64) -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(settings(size, 0), seed, START_TIME);
     let mut out = Vec::<Action>::new();
-    let first = members(&Size { days: 0, ..*size }, seed);
-    dispatcher.on_event(BEGIN, Event::Members(ListKind::Saved, first), &mut out);
+    let first = members(&FleetParameters { days: 0, ..*size }, seed);
+    dispatcher.on_event(START_TIME, Event::Members(ListKind::Saved, first), &mut out);
     for rank in 1..size.schedulers {
-        let body = greeting(rank % size.zones, false);
-        dispatcher.on_event(BEGIN, Event::Peer { from: rank, body }, &mut out);
+        let body = encode_hello(rank % size.zones, false);
+        dispatcher.on_event(START_TIME, Event::Peer { from: rank, body }, &mut out);
     }
-    dispatcher.on_event(BEGIN, Event::Members(ListKind::Changes, Vec::new()), &mut out);
+    dispatcher.on_event(START_TIME, Event::Members(ListKind::Changes, Vec::new()), &mut out);
     for (day, changed) in (1..).zip(replacements(size, seed)) {
-        dispatcher.on_event(BEGIN + day * DAY, Event::Members(ListKind::Changes, changed), &mut out);
+        dispatcher.on_event(START_TIME + day * DAY, Event::Members(ListKind::Changes, changed), &mut out);
     }
     dispatcher
 }
 
 /// A line of the list, as discovery writes it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Line {
+pub struct ListEntry {
     host: String,
     dial: String,
     site: String,
@@ -220,7 +222,7 @@
 
 /// A version of the list or the changes since another, as discovery writes it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Update<T> {
+pub struct ListMessage<T> {
     seq: u64,
     whole: bool,
     /// Its lines.
@@ -228,8 +230,8 @@
 }
 
 /// The text of these lines of the list.
-pub fn list_text(members: &[Member], whole: bool) -> String {
-    let line = |member: &Member| Line {
+pub fn list_json(members: &[Member], whole: bool) -> String {
+    let line = |member: &Member| ListEntry {
         host: format!("s-{:08x}", member.worker.0),
         dial: format!("10.{}.{}.{}:8443", member.zone.0, member.cell / 8 % 256, member.worker.0 % 250 + 1),
         site: char::from(b'a' + member.zone.0 as u8 % 26).to_string(),
@@ -244,6 +246,6 @@
         share: 1.0,
         born_ms: 1_796_000_000_000,
     };
-    let update = Update { seq: 41_000, whole, hosts: members.iter().map(line).collect() };
+    let update = ListMessage { seq: 41_000, whole, hosts: members.iter().map(line).collect() };
     serde_json::to_string(&update).unwrap_or_default()
 }
--- a/crates/scaling/src/play.rs
+++ b/crates/scaling/src/simulation.rs
@@ -5,9 +5,9 @@
 //! a network of one delay that loses nothing, jobs of exponential length at Poisson times, each at a scheduler drawn at
 //! random. The list stands still; its cost is measured by itself ([`crate::probe`]).
 
-use crate::counts::{Counts, Sort, sort};
-use crate::probe_jobs::{PUMP, arrival, report};
-use crate::scene::{self, BEGIN, LANES, MILLI, SECOND, Size};
+use crate::counts::{MessageCounts, MessageType, message_type};
+use crate::probe_jobs::{HOLD_TIMER, arrival, report};
+use crate::scenario::{self, FleetParameters, LANES, MILLI, SECOND, START_TIME};
 use calicolb_decisions::api::*;
 use calicolb_decisions::rules::Dispatcher;
 use std::cmp::Reverse;
@@ -70,7 +70,7 @@
 }
 
 struct Play<'a> {
-    size: &'a Size,
+    size: &'a FleetParameters,
     seed: u64,
     rng: fastrand::Rng,
     schedulers: Vec<Dispatcher>,
@@ -84,28 +84,30 @@
     /// Of each open request: how many attempts, and where the last went.
     sent: HashMap<(u32, RequestId), (u32, usize)>,
     next_id: u32,
-    counts: Counts,
+    counts: MessageCounts,
 }
 
 /// Plays a fleet once it has settled, in phases of so many seconds, each of which begins with an incident.
-pub fn play(size: &Size, seed: u64, phases: &[(u64, Incident)]) -> Counts {
+pub fn simulate(size: &FleetParameters, seed: u64, phases: &[(u64, Incident)]) -> MessageCounts {
     // The list stands still: nobody has gone.
-    let size = &Size { days: 0, ..*size };
+    let size = &FleetParameters { days: 0, ..*size };
     let begin = (FILLING + SETTLING) / SECOND;
-    let counts = Counts::new(size.schedulers as usize, begin, phases.iter().map(|phase| phase.0));
+    let counts = MessageCounts::new(size.schedulers as usize, begin, phases.iter().map(|phase| phase.0));
     let mut play = Play {
         size,
         seed,
         rng: fastrand::Rng::with_seed(seed),
         schedulers: (0..size.schedulers)
-            .map(|rank| Dispatcher::new(scene::settings(size, rank), seed ^ u64::from(rank) << 20, BEGIN))
+            .map(|rank| {
+                Dispatcher::new(scenario::settings(size, rank), seed ^ u64::from(rank) << 20, START_TIME)
+            })
             .collect(),
         hosts: (0..size.workers).map(|_| Host::default()).collect(),
-        index: (0..size.workers).map(|nr| (scene::worker_id(seed, nr), nr as usize)).collect(),
+        index: (0..size.workers).map(|nr| (scenario::worker_id(seed, nr), nr as usize)).collect(),
         times: BinaryHeap::new(),
         coming: HashMap::new(),
         laid: 0,
-        now: BEGIN,
+        now: START_TIME,
         sent: HashMap::new(),
         next_id: 0,
         counts,
@@ -116,7 +118,7 @@
         play.lay(at, What::Incident(incident));
         at += seconds * SECOND;
     }
-    play.run(BEGIN + at);
+    play.run(START_TIME + at);
     play.counts
 }
 
@@ -131,10 +133,10 @@
     /// exponential, what is left of each is like a whole one.
     fn begin(&mut self) {
         for at in 0..self.size.schedulers {
-            let list = Event::Members(ListKind::Saved, scene::members(self.size, self.seed));
+            let list = Event::Members(ListKind::Saved, scenario::members(self.size, self.seed));
             self.lay(0, What::Reach(at, list));
         }
-        let running = (f64::from(self.size.workers) * self.size.running_a_worker) as u64;
+        let running = (f64::from(self.size.workers) * self.size.tasks_per_worker) as u64;
         for _ in 0..running {
             let after = 100 * MILLI + self.rng.u64(0..FILLING);
             self.lay(after, What::Job { next: false });
@@ -177,18 +179,18 @@
     }
 
     fn second(&self) -> u64 {
-        (self.now - BEGIN) / SECOND
+        (self.now - START_TIME) / SECOND
     }
 
-    fn count(&mut self, at: u32, sort: Sort, bytes: u64) {
+    fn count(&mut self, at: u32, sort: MessageType, bytes: u64) {
         self.counts.add(at as usize, sort, self.second(), bytes);
     }
 
     /// An event reaches a scheduler, and what that asks for is carried out.
     fn reach(&mut self, at: u32, event: Event) {
         match &event {
-            Event::Peer { body, .. } => self.count(at, sort(body), body.len() as u64),
-            Event::Timer(PUMP) => self.count(at, Sort::Timers, 0),
+            Event::Peer { body, .. } => self.count(at, message_type(body), body.len() as u64),
+            Event::Timer(HOLD_TIMER) => self.count(at, MessageType::Timer, 0),
             _ => {}
         }
         let mut out = Vec::new();
@@ -208,7 +210,7 @@
             Action::SendMessage { to, body } => {
                 let all = to.map_or(0..self.size.schedulers, |to| to..to + 1);
                 for to in all.filter(|&to| to != at) {
-                    self.count(at, sort(&body), body.len() as u64);
+                    self.count(at, message_type(&body), body.len() as u64);
                     self.lay(DELAY, What::Reach(to, Event::Peer { from: at, body: body.clone() }));
                 }
             }
@@ -223,7 +225,7 @@
         let attempts = self.sent.get(&(at, request)).map_or(0, |sent| sent.0);
         self.sent.insert((at, request), (attempts + 1, host));
         let task = Task { at, request, attempt: attempts, length };
-        let patience = scene::settings(self.size, at).limits.connect_timeout;
+        let patience = scenario::settings(self.size, at).limits.connect_timeout;
         match self.hosts[host].state {
             State::Serves => {}
             State::Dead => return self.ended(host, task, Ending::Unreachable, DELAY),
@@ -268,7 +270,7 @@
         let outcome = Outcome {
             request: task.request,
             attempt: task.attempt,
-            worker: scene::worker_id(self.seed, host as u32),
+            worker: scenario::worker_id(self.seed, host as u32),
             ending,
             elapsed: task.length,
             concluded: served,
@@ -294,12 +296,12 @@
     fn probe(&mut self, at: u32, worker: WorkerId) {
         let Some(&host) = self.index.get(&worker) else { return };
         // A request and an answer.
-        self.count(at, Sort::Probes, PROBE_BYTES / 2);
-        self.count(at, Sort::Probes, PROBE_BYTES / 2);
+        self.count(at, MessageType::Probe, PROBE_BYTES / 2);
+        self.count(at, MessageType::Probe, PROBE_BYTES / 2);
         let serves = self.hosts[host].state == State::Serves;
         let ending = if serves { Ending::Ok } else { Ending::Unreachable };
         let report = serves.then(|| self.report(host));
-        let patience = scene::settings(self.size, at).limits.connect_timeout;
+        let patience = scenario::settings(self.size, at).limits.connect_timeout;
         let elapsed = if self.hosts[host].state == State::Silent { patience } else { 2 * DELAY };
         let probed = Event::Probed { worker, ending, elapsed, report };
         self.lay(elapsed, What::Reach(at, probed));
@@ -309,9 +311,9 @@
         match incident {
             Incident::None => {}
             Incident::Restart => {
-                let settings = scene::settings(self.size, 0);
+                let settings = scenario::settings(self.size, 0);
                 self.schedulers[0] = Dispatcher::new(settings, !self.seed, self.now);
-                let list = Event::Members(ListKind::Saved, scene::members(self.size, self.seed));
+                let list = Event::Members(ListKind::Saved, scenario::members(self.size, self.seed));
                 self.reach(0, list);
             }
             Incident::ZoneLost | Incident::ZoneSilent => {
--- a/crates/scaling/tests/clock.rs
+++ b/crates/scaling/tests/cpu_clock.rs
@@ -1,6 +1,6 @@
 //! The clock of processor time.
 
-use calicolb_scaling::clock::{granularity, micros_a_round, thread_cpu};
+use calicolb_scaling::cpu_clock::{granularity, micros_per_iteration, thread_cpu_time};
 use std::thread;
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 
 #[test]
 fn rest_costs_nothing_and_work_does() {
-    let before = thread_cpu();
+    let before = thread_cpu_time();
     thread::sleep(Duration::from_millis(60));
-    let rested = thread_cpu() - before;
+    let rested = thread_cpu_time() - before;
     assert!(rested < Duration::from_millis(30), "{rested:?}");
     let step = granularity();
     assert!(step > Duration::ZERO && step <= Duration::from_millis(10), "{step:?}");
@@ -22,7 +22,7 @@
 #[test]
 fn twice_the_work_costs_twice_and_what_is_prepared_is_not_counted() {
     let least = Duration::from_millis(2);
-    let us = |rounds: u64| micros_a_round(least, 4, &mut (), |()| work(400_000), |(), ()| work(rounds));
+    let us = |rounds: u64| micros_per_iteration(least, 4, &mut (), |()| work(400_000), |(), ()| work(rounds));
     // In turns, the least of each: what else is on the machine slows one of two that are measured one after the other.
     let (mut once, mut twice) = (f64::INFINITY, f64::INFINITY);
     for _ in 0..5 {
--- a/crates/scaling/tests/exponents.rs
+++ b/crates/scaling/tests/exponents.rs
@@ -1,28 +1,28 @@
 //! How messages and bytes of the control functions may grow, on a small fleet, in seconds: counts, no times. A mechanism
 //! that begins to tell more than its part is caught here before any large fleet is played.
 
-use calicolb_scaling::axes::{Axis, Budget, Quantity, Row, Sample, rows};
+use calicolb_scaling::axes::{Axis, Budget, Quantity, Row, Sample, fit_rows};
 use calicolb_scaling::fit::Growth;
-use calicolb_scaling::functions::{Effort, Function, measure, phases};
+use calicolb_scaling::functions::{Function, MeasureOptions, measure, simulate_phases};
 use std::sync::LazyLock;
 
 /// Three replays of each size.
 const SEEDS: [u64; 3] = [1, 2, 3];
-const EFFORT: Effort = Effort { times: false, seconds: 5 };
+const OPTIONS: MeasureOptions = MeasureOptions { cpu_times: false, calm_seconds: 5 };
 /// The axes along which fleets are played anew.
 const PLAYED: [Axis; 3] = [Axis::Workers, Axis::Schedulers, Axis::Starts];
 
 static SAMPLES: LazyLock<Vec<Sample>> = LazyLock::new(|| {
-    let base = Axis::small_base();
+    let base = Axis::small_fleet();
     let at =
-        |axis: Axis| axis.small_sizes().into_iter().flat_map(move |to| SEEDS.map(|seed| (axis, to, seed)));
+        |axis: Axis| axis.small_values().into_iter().flat_map(move |to| SEEDS.map(|seed| (axis, to, seed)));
     PLAYED
         .into_iter()
         .flat_map(at)
         .map(|(axis, to, seed)| {
-            let size = axis.set(&base, to);
-            let counts = phases(&size, seed, EFFORT.seconds);
-            Sample { axis, size: f64::from(to), seed, measured: measure(&size, seed, EFFORT, &counts) }
+            let size = axis.with_value(&base, to);
+            let counts = simulate_phases(&size, seed, OPTIONS.calm_seconds);
+            Sample { axis, size: f64::from(to), seed, measured: measure(&size, seed, OPTIONS, &counts) }
         })
         .collect()
 });
@@ -31,11 +31,11 @@
 fn bound(function: Function, axis: Axis) -> f64 {
     match (function, axis) {
         // A line, or a record, for each worker.
-        (Function::List | Function::Handover, Axis::Workers) => 1.02,
+        (Function::FullList | Function::Handover, Axis::Workers) => 1.02,
         // All are told once, and answer once.
-        (Function::GreetingsOne | Function::GreetingsAll, Axis::Schedulers) => 1.05,
+        (Function::SingleStart | Function::MassStart, Axis::Schedulers) => 1.05,
         // Who sees trouble tells all; who has heard it says nothing. Less is seen where less runs.
-        (Function::Troubles, _) => 1.1,
+        (Function::FaultReports, _) => 1.1,
         // Cohorts are full at all these sizes: what a job costs in words grows neither with the fleet nor with its load.
         _ => 0.1,
     }
@@ -44,9 +44,9 @@
 /// Where messages or bytes grow faster than they may, by the law or at the size kept out of it.
 fn beyond(samples: &[Sample]) -> Vec<String> {
     // Timers are no messages, and a small fleet has too few probes for a law.
-    let sends = |row: &Row| !matches!(row.function, Function::Timers | Function::Probes);
+    let sends = |row: &Row| !matches!(row.function, Function::HoldTimer | Function::Probes);
     let counted = |row: &&Row| sends(row) && matches!(row.quantity, Quantity::Messages | Quantity::Bytes);
-    let all = rows(samples, &Budget::default());
+    let all = fit_rows(samples, &Budget::default());
     let over = all.iter().filter(counted).filter_map(|row| {
         let Growth::Law(law, held) = &row.growth else { return None };
         let most = bound(row.function, row.axis);
@@ -72,14 +72,14 @@
 
 #[test]
 fn every_function_that_sends_has_a_law_along_every_axis_played() {
-    let all = rows(&SAMPLES, &Budget::default());
+    let all = fit_rows(&SAMPLES, &Budget::default());
     for function in [
-        Function::List,
-        Function::Watch,
-        Function::Talk,
-        Function::GreetingsOne,
-        Function::GreetingsAll,
-        Function::Troubles,
+        Function::FullList,
+        Function::ListChange,
+        Function::LoadMessages,
+        Function::SingleStart,
+        Function::MassStart,
+        Function::FaultReports,
     ] {
         for axis in PLAYED {
             let law = all.iter().any(|row| {
@@ -95,7 +95,7 @@
 fn talk_that_goes_to_all_instead_of_the_cohort_is_caught() {
     let mut samples = SAMPLES.clone();
     for sample in samples.iter_mut().filter(|sample| sample.axis == Axis::Schedulers) {
-        let talk = sample.measured.iter_mut().filter(|measured| measured.function == Function::Talk);
+        let talk = sample.measured.iter_mut().filter(|measured| measured.function == Function::LoadMessages);
         talk.for_each(|of| of.cost.messages = of.cost.messages.map(|sent| sent * (sample.size - 1.0) / 7.0));
     }
     let caught = beyond(&samples);
@@ -106,7 +106,7 @@
 fn greetings_that_are_answered_to_all_are_caught() {
     let mut samples = SAMPLES.clone();
     for sample in samples.iter_mut().filter(|sample| sample.axis == Axis::Schedulers) {
-        for of in sample.measured.iter_mut().filter(|measured| measured.function == Function::GreetingsOne) {
+        for of in sample.measured.iter_mut().filter(|measured| measured.function == Function::SingleStart) {
             of.cost.messages = Some((sample.size - 1.0) * sample.size);
         }
     }
@@ -120,9 +120,9 @@
 #[test]
 fn a_growth_that_begins_only_beyond_the_sizes_fitted_is_caught() {
     let mut samples = SAMPLES.clone();
-    let largest = f64::from(Axis::Workers.small_sizes()[5]);
+    let largest = f64::from(Axis::Workers.small_values()[5]);
     for sample in samples.iter_mut().filter(|of| of.axis == Axis::Workers && of.size == largest) {
-        for of in sample.measured.iter_mut().filter(|measured| measured.function == Function::Watch) {
+        for of in sample.measured.iter_mut().filter(|measured| measured.function == Function::ListChange) {
             of.cost.bytes = of.cost.bytes.map(|bytes| 2.0 * bytes);
         }
     }
--- a/crates/scaling/tests/fit.rs
+++ b/crates/scaling/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The statistics on data whose truth is known.
 
-use calicolb_scaling::fit::{CONFIDENCE, Form, Growth, Interval, Law, Mark, Point, Unfit};
+use calicolb_scaling::fit::{CONFIDENCE, FitError, Form, Growth, GrowthFlag, Interval, Point, ScalingLaw};
 
 /// Sizes as they are measured, three replays each.
 const SIZES: [f64; 6] = [50.0, 100.0, 200.0, 400.0, 690.0, 2_000.0];
@@ -18,13 +18,13 @@
 
 #[test]
 fn an_exact_law_is_recovered_and_predicts_exactly() {
-    let law = Law::fit(&points(|size| 3.0 * size.powf(1.5))).expect("it can be fitted");
+    let law = ScalingLaw::fit(&points(|size| 3.0 * size.powf(1.5))).expect("it can be fitted");
     assert!((law.exponent - 1.5).abs() < 1e-9, "{law:?}");
     assert_eq!(law.form, Form::Power);
     assert!((law.predict(1.0).value - 3.0).abs() < 1e-6, "{law:?}");
     assert!(law.r2.is_some_and(|r2| r2 > 1.0 - 1e-9), "{law:?}");
     let there = law.predict(1_000.0);
-    assert!((there.value / (3.0 * 1_000.0_f64.powf(1.5)) - 1.0).abs() < 1e-9 && !there.far);
+    assert!((there.value / (3.0 * 1_000.0_f64.powf(1.5)) - 1.0).abs() < 1e-9 && !there.extrapolated);
     assert!(law.reaches(there.value).is_some_and(|size| (size - 1_000.0).abs() < 1e-3));
 }
 
@@ -45,8 +45,8 @@
             })
             .collect();
         let Growth::Law(law, out) = Growth::of(&all) else { panic!("it can be fitted") };
-        covered += usize::from(law.exponent_in.contains(0.7));
-        held += usize::from(out.inside());
+        covered += usize::from(law.exponent_interval.contains(0.7));
+        held += usize::from(out.within_interval());
     }
     let share = |count: usize| count as f64 / f64::from(rounds);
     let near = Interval { low: CONFIDENCE - 0.025, high: CONFIDENCE + 0.025 };
@@ -64,7 +64,7 @@
     };
     assert_eq!(law.form, Form::Line, "{law:?}");
     // A power law alone would be off by a third there.
-    assert!(out.inside() && out.error().abs() < 0.03, "{out:?}");
+    assert!(out.within_interval() && out.error().abs() < 0.03, "{out:?}");
     assert!(law.exponent > 0.0 && law.exponent < 1.0, "the exponent is still the power law's: {law:?}");
     let there = law.predict(1_000.0);
     assert!((there.value / 4_900.0 - 1.0).abs() < 0.03, "{there:?}");
@@ -75,10 +75,10 @@
 fn a_planted_square_is_marked_and_what_grows_in_proportion_is_not() {
     let mut rng = fastrand::Rng::with_seed(11);
     let square = Growth::of(&points(|size| size * size * (0.05 * normal(&mut rng)).exp()));
-    assert_eq!(square.marks(1.1), [Mark::Steep], "{square:?}");
+    assert_eq!(square.flags(1.1), [GrowthFlag::ExponentTooLarge], "{square:?}");
     let line = Growth::of(&points(|size| 40.0 * size * (0.05 * normal(&mut rng)).exp()));
-    assert_eq!(line.marks(1.1), [], "{line:?}");
-    assert_eq!(line.marks(0.5), [Mark::Steep]);
+    assert_eq!(line.flags(1.1), [], "{line:?}");
+    assert_eq!(line.flags(0.5), [GrowthFlag::ExponentTooLarge]);
 }
 
 #[test]
@@ -86,8 +86,8 @@
     let hidden = Growth::of(&points(|size| 1e5 + size * size));
     let Growth::Law(law, out) = hidden else { panic!("it can be fitted") };
     assert!(law.exponent < 1.0, "the smaller sizes do not show it: {law:?}");
-    assert!(!out.inside() && out.error() < -0.5, "{out:?}");
-    assert_eq!(hidden.marks(1.0), [Mark::Bends]);
+    assert!(!out.within_interval() && out.error() < -0.5, "{out:?}");
+    assert_eq!(hidden.flags(1.0), [GrowthFlag::ExceedsPrediction]);
 }
 
 #[test]
@@ -95,27 +95,27 @@
     let mut rng = fastrand::Rng::with_seed(3);
     let mut all = points(|size| size * (0.02 * normal(&mut rng)).exp());
     let Growth::Law(_, out) = Growth::of(&all) else { panic!("it can be fitted") };
-    assert!(out.inside() && out.error().abs() < 0.1, "{out:?}");
+    assert!(out.within_interval() && out.error().abs() < 0.1, "{out:?}");
     all.iter_mut().filter(|point| point.size == 2_000.0).for_each(|point| point.value *= 0.5);
     let Growth::Law(_, out) = Growth::of(&all) else { panic!("it can be fitted") };
-    assert!(!out.inside() && (out.error() - 1.0).abs() < 0.1, "{out:?}");
+    assert!(!out.within_interval() && (out.error() - 1.0).abs() < 0.1, "{out:?}");
 }
 
 #[test]
 fn a_size_more_than_twice_beyond_the_fitted_ones_is_said_to_be_extrapolated() {
-    let law = Law::fit(&points(|size| size)).expect("it can be fitted");
-    assert!(!law.predict(4_000.0).far && !law.predict(25.0).far);
-    assert!(law.predict(4_001.0).far && law.predict(24.0).far);
+    let law = ScalingLaw::fit(&points(|size| size)).expect("it can be fitted");
+    assert!(!law.predict(4_000.0).extrapolated && !law.predict(25.0).extrapolated);
+    assert!(law.predict(4_001.0).extrapolated && law.predict(24.0).extrapolated);
 }
 
 #[test]
 fn what_is_not_there_or_does_not_vary_or_has_no_logarithm_gets_no_made_up_figures() {
-    assert_eq!(Growth::of(&points(|_| 0.0)), Growth::None);
+    assert_eq!(Growth::of(&points(|_| 0.0)), Growth::Absent);
     let Growth::Law(law, out) = Growth::of(&points(|_| 12.0)) else { panic!("a constant has exponent 0") };
     assert!(law.exponent.abs() < 1e-9 && law.r2.is_none() && law.reaches(24.0).is_none(), "{law:?}");
-    assert!(out.inside() && out.error().abs() < 1e-9);
+    assert!(out.within_interval() && out.error().abs() < 1e-9);
     let gaps = Growth::of(&points(|size| if size < 100.0 { 0.0 } else { size }));
-    assert_eq!(gaps, Growth::Unfit(Unfit::NoLogarithm));
+    assert_eq!(gaps, Growth::NotFitted(FitError::NoLogarithm));
     let two: Vec<Point> = points(|size| size).into_iter().filter(|point| point.size <= 100.0).collect();
-    assert_eq!(Law::fit(&two), Err(Unfit::TooFew));
+    assert_eq!(ScalingLaw::fit(&two), Err(FitError::TooFew));
 }
--- a/crates/scaling/tests/suspicions.rs
+++ b/crates/scaling/tests/hypotheses.rs
@@ -1,8 +1,8 @@
 //! The probes behind the suspicions: that they tell apart what they are asked about.
 
+use calicolb_scaling::hypotheses;
 use calicolb_scaling::quota::{Spread, Tenancy};
-use calicolb_scaling::scene::Size;
-use calicolb_scaling::suspicions;
+use calicolb_scaling::scenario::FleetParameters;
 
 #[test]
 fn one_scheduler_counts_a_tenant_within_its_quota_and_no_more_than_that() {
@@ -25,11 +25,17 @@
 
 #[test]
 fn a_finding_states_its_figures_its_line_and_on_which_side_of_it_they_are() {
-    let size =
-        Size { workers: 16, schedulers: 16, zones: 2, tenants: 2, starts_per_s: 20.0, ..Size::default() };
-    let troubles = |budget| suspicions::troubles(&size, 3, budget);
+    let size = FleetParameters {
+        workers: 16,
+        schedulers: 16,
+        zones: 2,
+        tenants: 2,
+        starts_per_s: 20.0,
+        ..FleetParameters::default()
+    };
+    let troubles = |budget| hypotheses::fault_reports(&size, 3, budget);
     assert!(troubles(10.0).confirmed && !troubles(1e9).confirmed);
-    assert!(troubles(1e9).figures[0].starts_with("8 workers of 16 schedulers die"), "{:?}", troubles(1e9));
-    let gone = suspicions::gone(&size, 3, &|| 0);
-    assert_eq!(gone.figures.len(), 3, "after 1, 73 and 365 days");
+    assert!(troubles(1e9).results[0].starts_with("8 workers of 16 schedulers die"), "{:?}", troubles(1e9));
+    let gone = hypotheses::departed_workers(&size, 3, &|| 0);
+    assert_eq!(gone.results.len(), 3, "after 1, 73 and 365 days");
 }
--- a/examples/renewal.rs
+++ b/examples/settings_update.rs
@@ -1,6 +1,6 @@
 //! How long it takes until other settings are in force: 240 tenants, 10 classes, 690 workers, 3,400 open requests.
 //!
-//! `cargo run --release --example renewal` prints one line for each kind of change: the median and the longest of 200
+//! `cargo run --release --example settings_update` prints one line for each kind of change: the median and the longest of 200
 //! take-ups in microseconds, for reading and checking the settings, placing their names, and the module.
 
 use calicolb::api::*;
