--- a/crates/payload-store/src/lib.rs
+++ b/crates/payload-store/src/lib.rs
@@ -1,12 +1,13 @@
-//! Request bodies that may be needed again.
+//! Stores request payloads that may be needed again for a further attempt.
 //!
-//! * [`keeper`] decides, without I/O and clock, which body is in memory, in a file, dropped or never kept.
-//! * [`store`] keeps bodies in files that are checked when they are read back.
+//! * [`placement`] decides, without I/O and without a clock, whether a payload is in memory, in a file, dropped or
+//!   never kept.
+//! * [`file_store`] keeps payloads in files and checks them when they are read back.
 //!
-//! See `docs/bodies.md`. Which next hop a job goes to, and whether it goes again, is decided elsewhere.
+//! This crate does not choose the worker of a job and does not decide whether a job is sent again.
 
-pub mod keeper;
-pub mod store;
+pub mod file_store;
+pub mod placement;
 
-/// A body, as its host numbers it.
-pub type BodyId = u64;
+/// Identifies a payload; the caller assigns the numbers.
+pub type PayloadId = u64;
