--- a/crates/scaling/src/axes.rs
+++ b/crates/scaling/src/axes.rs
@@ -1,34 +1,34 @@
-//! The axes, the sizes measured on each, and the growth of each quantity along them.
+//! The fleet parameters that are varied, the values measured for each, and how each quantity grows along them.
 
 use crate::fit::{Growth, GrowthFlag, Point};
 use crate::functions::{Function, Measurement};
 use crate::scenario::FleetParameters;
 use serde::Serialize;
 
-/// An exponent within this of 0 is that of what does not grow.
-pub const FLAT: f64 = 0.05;
+/// A quantity whose exponent is closer to 0 than this counts as constant.
+pub const FLAT_EXPONENT: f64 = 0.05;
 
-/// What is varied while all else stays as in the base.
+/// The fleet parameter that is varied while all others keep their values from the base fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Axis {
-    /// Workers.
+    /// Number of workers.
     Workers,
-    /// Schedulers.
+    /// Number of schedulers.
     Schedulers,
-    /// Tenants.
+    /// Number of tenants.
     Tenants,
-    /// Starts a second.
+    /// Tasks started per second in the whole fleet.
     Starts,
-    /// Days of service.
+    /// Days that a scheduler has been in service.
     Days,
 }
 
 impl Axis {
-    /// All of them.
+    /// All axes.
     pub const ALL: [Axis; 5] = [Axis::Workers, Axis::Schedulers, Axis::Tenants, Axis::Starts, Axis::Days];
 
-    /// Its name, as a word of a file name.
+    /// Name of the axis, used in tables and file names.
     pub fn name(self) -> &'static str {
         match self {
             Axis::Workers => "workers",
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The sizes measured; the last one is kept out of every fit. The letter's sizes lie in between, and are none of
-    /// them.
+    /// Values that are measured; the last one is held out of every fit. The values of the default fleet lie between
+    /// them and are not among them.
     pub fn values(self) -> [u32; 6] {
         match self {
             Axis::Workers => [50, 100, 200, 400, 1_000, 2_000],
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The same for a small fleet, for counts in seconds; its cohorts are full at every size, as
-    /// are those of the letter's fleet with three times its schedulers.
+    /// Values for a small fleet, whose counts take seconds to obtain. Its cohorts are full at every value, as are
+    /// those of the default fleet with three times its schedulers.
     pub fn small_values(self) -> [u32; 6] {
         match self {
             Axis::Workers => [4, 8, 12, 16, 24, 32],
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The base of the small fleet: its workers are as full as the letter's.
+    /// Base of the small fleet, with as many tasks per worker as the default fleet.
     pub fn small_fleet() -> FleetParameters {
         FleetParameters {
             workers: 16,
@@ -75,57 +75,57 @@
         }
     }
 
-    /// The base with this size on the axis.
-    pub fn with_value(self, base: &FleetParameters, to: u32) -> FleetParameters {
-        let mut size = *base;
+    /// The base fleet with this value on the axis.
+    pub fn with_value(self, base: &FleetParameters, value: u32) -> FleetParameters {
+        let mut fleet = *base;
         match self {
-            Axis::Workers => size.workers = to,
-            Axis::Schedulers => size.schedulers = to,
-            Axis::Tenants => size.tenants = to,
-            Axis::Starts => size.starts_per_s = f64::from(to),
-            Axis::Days => size.days = to,
+            Axis::Workers => fleet.workers = value,
+            Axis::Schedulers => fleet.schedulers = value,
+            Axis::Tenants => fleet.tenants = value,
+            Axis::Starts => fleet.starts_per_s = f64::from(value),
+            Axis::Days => fleet.days = value,
         }
-        size
+        fleet
     }
 
-    /// Where a fleet stands on the axis.
-    pub fn of(self, size: &FleetParameters) -> f64 {
+    /// Value of a fleet on the axis.
+    pub fn value_in(self, fleet: &FleetParameters) -> f64 {
         match self {
-            Axis::Workers => f64::from(size.workers),
-            Axis::Schedulers => f64::from(size.schedulers),
-            Axis::Tenants => f64::from(size.tenants),
-            Axis::Starts => size.starts_per_s,
-            Axis::Days => f64::from(size.days),
+            Axis::Workers => f64::from(fleet.workers),
+            Axis::Schedulers => f64::from(fleet.schedulers),
+            Axis::Tenants => f64::from(fleet.tenants),
+            Axis::Starts => fleet.starts_per_s,
+            Axis::Days => f64::from(fleet.days),
         }
     }
 
-    /// The largest exponent that is allowed: in proportion to the size; nothing may grow by the days alone. A tenth is
-    /// granted for what is fitted.
+    /// Largest exponent allowed along the axis: 1, growth in proportion to the size, and 0 along the days of service,
+    /// plus 0.1 as a margin for the fit.
     pub fn max_exponent(self) -> f64 {
         if self == Axis::Days { 0.1 } else { 1.1 }
     }
 }
 
-/// What is fitted.
+/// The quantity that a law is fitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
-    /// Messages by the event.
+    /// Messages per event.
     Messages,
-    /// Bytes by the event.
+    /// Bytes per event.
     Bytes,
-    /// Processor microseconds by the event.
+    /// Processor time per event, in microseconds.
     CpuUs,
-    /// Bytes on the heap.
+    /// Heap memory, in bytes.
     State,
-    /// Bytes of a scheduler in its worst second.
+    /// Bytes that one scheduler sends and receives in its worst second.
     WorstBytes,
-    /// Processor milliseconds of a scheduler in its worst second.
+    /// Processor time of one scheduler in its worst second, in milliseconds.
     WorstCpuMs,
 }
 
 impl Quantity {
-    /// All of them.
+    /// All quantities.
     pub const ALL: [Quantity; 6] = [
         Quantity::Messages,
         Quantity::Bytes,
@@ -135,7 +135,7 @@
         Quantity::WorstCpuMs,
     ];
 
-    /// Its name, with its unit.
+    /// Name of the quantity with its unit, used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Quantity::Messages => "messages",
@@ -147,24 +147,24 @@
         }
     }
 
-    /// It is a count, the same in every run of the same seed.
-    pub fn counted(self) -> bool {
+    /// Returns true if the quantity is a count, which is the same in every run with the same seed.
+    pub fn is_count(self) -> bool {
         !matches!(self, Quantity::CpuUs | Quantity::WorstCpuMs)
     }
 
-    /// Its value, where the function has one.
-    pub fn of(self, measured: &Measurement) -> Option<f64> {
+    /// Value of the quantity; `None` if the function has none.
+    pub fn value_in(self, measurement: &Measurement) -> Option<f64> {
         match self {
-            Quantity::Messages => measured.cost.messages,
-            Quantity::Bytes => measured.cost.bytes,
-            Quantity::CpuUs => measured.cost.cpu_us,
-            Quantity::State => measured.cost.heap_bytes,
-            Quantity::WorstBytes => measured.worst.bytes,
-            Quantity::WorstCpuMs => measured.worst.cpu_ms,
+            Quantity::Messages => measurement.cost.messages,
+            Quantity::Bytes => measurement.cost.bytes,
+            Quantity::CpuUs => measurement.cost.cpu_us,
+            Quantity::State => measurement.cost.heap_bytes,
+            Quantity::WorstBytes => measurement.worst.bytes,
+            Quantity::WorstCpuMs => measurement.worst.cpu_ms,
         }
     }
 
-    /// What one scheduler may spend of it, where the budget speaks of it.
+    /// Limit for one scheduler; `None` if the budget does not limit the quantity.
     pub fn budget(self, budget: &Budget) -> Option<f64> {
         match self {
             Quantity::State => Some(budget.state_bytes),
@@ -175,90 +175,91 @@
     }
 }
 
-/// What a scheduler may spend on control.
+/// Resources that one scheduler may spend on control functions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Processor milliseconds a second.
+    /// Processor time in milliseconds per second.
     pub cpu_ms_per_s: f64,
-    /// Bytes a second, in and out.
+    /// Bytes sent and received per second.
     pub bytes_per_s: f64,
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub state_bytes: f64,
 }
 
-/// That of the operators' letter on scale: 2.9% of a core, 24 KB a second, 128 MB.
+/// The operators' requirement: 2.9% of a core, 24 KB per second and 128 MB.
 impl Default for Budget {
     fn default() -> Self {
         Budget { cpu_ms_per_s: 29.0, bytes_per_s: 24e3, state_bytes: 128e6 }
     }
 }
 
-/// All functions at one size of one axis, by one seed.
+/// Measurements of all functions at one value of one axis with one seed.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// The axis.
+    /// The varied parameter.
     pub axis: Axis,
-    /// Where on it.
+    /// Value of that parameter.
     pub size: f64,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What came out.
+    /// One measurement per function.
     pub measured: Vec<Measurement>,
 }
 
-/// How one quantity of one function grows along one axis.
+/// Growth of one quantity of one function along one axis.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The function.
+    /// The control function.
     pub function: Function,
-    /// The axis.
+    /// The varied parameter.
     pub axis: Axis,
-    /// The quantity.
+    /// The measured quantity.
     pub quantity: Quantity,
-    /// What was measured.
+    /// The measured values.
     pub points: Vec<Point>,
-    /// The law, and the size kept out of it.
+    /// The fitted law and the held-out value.
     pub growth: Growth,
-    /// The size at which this function alone uses up the budget, by the law; `None` where it does not grow or has none.
-    pub reaches: Option<f64>,
+    /// Value on the axis at which this function alone uses up the budget according to the law; `None` if the quantity
+    /// does not grow or has no budget.
+    pub exhausted_at: Option<f64>,
 }
 
 impl Row {
-    /// What speaks against it.
+    /// Reasons to reject this growth.
     pub fn flags(&self) -> Vec<GrowthFlag> {
         self.growth.flags(self.axis.max_exponent())
     }
 }
 
-/// Fits every quantity of every function along every axis that was sampled.
+/// Fits every quantity of every function along every sampled axis.
 pub fn fit_rows(samples: &[Sample], budget: &Budget) -> Vec<Row> {
     let mut rows = Vec::new();
     for function in Function::ALL {
         for axis in Axis::ALL {
             for quantity in Quantity::ALL {
-                let points: Vec<Point> = points(samples, function, axis, quantity);
+                let points: Vec<Point> = collect_points(samples, function, axis, quantity);
                 if points.is_empty() {
                     continue;
                 }
                 let growth = Growth::of(&points);
-                let reaches = match &growth {
-                    Growth::Law(law, _) if law.exponent >= FLAT => {
-                        quantity.budget(budget).and_then(|most| law.reaches(most))
+                let exhausted_at = match &growth {
+                    Growth::Law(law, _) if law.exponent >= FLAT_EXPONENT => {
+                        quantity.budget(budget).and_then(|limit| law.size_at(limit))
                     }
                     Growth::Law(..) | Growth::Absent | Growth::NotFitted(_) => None,
                 };
-                rows.push(Row { function, axis, quantity, points, growth, reaches });
+                rows.push(Row { function, axis, quantity, points, growth, exhausted_at });
             }
         }
     }
     rows
 }
 
-fn points(samples: &[Sample], function: Function, axis: Axis, quantity: Quantity) -> Vec<Point> {
+fn collect_points(samples: &[Sample], function: Function, axis: Axis, quantity: Quantity) -> Vec<Point> {
     let along = samples.iter().filter(|sample| sample.axis == axis);
     let value = |sample: &Sample| {
-        let of = sample.measured.iter().find(|measured| measured.function == function)?;
-        quantity.of(of).map(|value| Point { size: sample.size, value })
+        let measurement = sample.measured.iter().find(|measurement| measurement.function == function)?;
+        quantity.value_in(measurement).map(|value| Point { size: sample.size, value })
     };
     along.filter_map(value).collect()
 }
--- a/crates/scaling/src/counts.rs
+++ b/crates/scaling/src/counts.rs
@@ -1,128 +1,137 @@
-//! What schedulers of a play sent and received, counted by scheduler and second.
+//! Messages that simulated schedulers sent and received, counted per scheduler and second.
 
 use std::collections::BTreeMap;
 use std::ops::{Add, Range};
 
-/// Bytes of the heads of UDP and IP round a datagram.
-pub const HEADS: f64 = 28.0;
+/// Size of the UDP and IP headers of a datagram, in bytes.
+pub const UDP_IP_HEADER_BYTES: f64 = 28.0;
 
-/// What is counted.
+/// The kind of message or event that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageType {
-    /// Loads told within a cohort.
+    /// Worker load sent to the schedulers of a cohort.
     Load,
-    /// Greetings.
+    /// Hello messages.
     Hello,
-    /// News of workers' troubles.
+    /// Fault reports about workers.
     FaultReport,
-    /// Probes: requests and answers.
+    /// Probe requests and probe answers.
     Probe,
-    /// Timers that came due; they have no bytes.
+    /// Expired timers; they have no bytes.
     Timer,
 }
 
-/// How many, and their bytes.
+/// Number of messages and their size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCount {
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes, without those of UDP and IP.
+    /// Bytes without the UDP and IP headers.
     pub bytes: u64,
 }
 
 impl MessageCount {
-    /// The bytes of datagrams with the heads of UDP and IP.
-    pub fn with_heads(&self) -> f64 {
-        self.bytes as f64 + HEADS * self.messages as f64
+    /// Bytes including the UDP and IP headers of each datagram.
+    pub fn bytes_with_headers(&self) -> f64 {
+        self.bytes as f64 + UDP_IP_HEADER_BYTES * self.messages as f64
     }
 }
 
 impl Add for MessageCount {
     type Output = MessageCount;
 
-    fn add(self, more: MessageCount) -> MessageCount {
-        MessageCount { messages: self.messages + more.messages, bytes: self.bytes + more.bytes }
+    fn add(self, other: MessageCount) -> MessageCount {
+        MessageCount { messages: self.messages + other.messages, bytes: self.bytes + other.bytes }
     }
 }
 
-/// What was counted, by scheduler and second, in and out together.
+/// Counts of messages sent and received, per scheduler and second.
 #[derive(Debug)]
 pub struct MessageCounts {
-    /// Of each scheduler; a second without any is not there.
-    tallies: Vec<BTreeMap<(MessageType, u64), MessageCount>>,
-    /// The phases that are measured, one after the other: from which second up to which, jobs that arrived, and jobs
-    /// that were refused or failed.
+    /// Counts of each scheduler by message type and second; a second without messages has no entry.
+    by_scheduler: Vec<BTreeMap<(MessageType, u64), MessageCount>>,
+    /// Measured phases in order: the range of seconds, the number of jobs that arrived, and the number of jobs that
+    /// were refused or failed.
     phases: Vec<(Range<u64>, u64, u64)>,
 }
 
 impl MessageCounts {
-    /// Nothing yet, of so many schedulers, with phases of so many seconds from this second on.
+    /// Empty counts for `schedulers` schedulers. The phases start at second `begin` and last `lengths` seconds each.
     pub(crate) fn new(schedulers: usize, begin: u64, lengths: impl Iterator<Item = u64>) -> Self {
-        let mut from = begin;
+        let mut start = begin;
         let phase = |length: u64| {
-            let span = from..from + length;
-            from = span.end;
+            let span = start..start + length;
+            start = span.end;
             (span, 0, 0)
         };
-        MessageCounts { tallies: vec![BTreeMap::new(); schedulers], phases: lengths.map(phase).collect() }
+        MessageCounts {
+            by_scheduler: vec![BTreeMap::new(); schedulers],
+            phases: lengths.map(phase).collect(),
+        }
     }
 
-    /// One more message at a scheduler.
-    pub(crate) fn add(&mut self, at: usize, sort: MessageType, second: u64, bytes: u64) {
-        let count = self.tallies[at].entry((sort, second)).or_default();
+    /// Counts one message at a scheduler.
+    pub(crate) fn add(&mut self, scheduler: usize, message_type: MessageType, second: u64, bytes: u64) {
+        let count = self.by_scheduler[scheduler].entry((message_type, second)).or_default();
         *count = *count + MessageCount { messages: 1, bytes };
     }
 
-    /// Jobs that arrived in this second, and such that were refused or failed.
-    pub(crate) fn jobs_in(&mut self, second: u64, arrived: u64, unserved: u64) {
+    /// Counts jobs that arrived in this second, and jobs that were refused or failed.
+    pub(crate) fn count_jobs(&mut self, second: u64, arrived: u64, unserved: u64) {
         let phase = self.phases.iter_mut().find(|(span, ..)| span.contains(&second));
-        if let Some((_, jobs, lost)) = phase {
-            (*jobs, *lost) = (*jobs + arrived, *lost + unserved);
+        if let Some((_, jobs, unserved_jobs)) = phase {
+            (*jobs, *unserved_jobs) = (*jobs + arrived, *unserved_jobs + unserved);
         }
     }
 
-    /// Jobs that arrived in a phase.
+    /// Number of jobs that arrived in a phase.
     pub fn jobs(&self, phase: usize) -> u64 {
         self.phases[phase].1
     }
 
-    /// Jobs that were refused or failed in a phase.
+    /// Number of jobs that were refused or failed in a phase.
     pub fn unserved(&self, phase: usize) -> u64 {
         self.phases[phase].2
     }
 
-    fn measured(&self, phase: usize, sort: MessageType) -> impl Iterator<Item = MessageCount> {
+    fn counts_in_phase(&self, phase: usize, message_type: MessageType) -> impl Iterator<Item = MessageCount> {
         let span = self.phases[phase].0.clone();
-        let all = self.tallies.iter().flatten();
-        all.filter(move |((of, second), _)| *of == sort && span.contains(second)).map(|(_, count)| *count)
+        let counts = self.by_scheduler.iter().flatten();
+        counts
+            .filter(move |((counted_type, second), _)| *counted_type == message_type && span.contains(second))
+            .map(|(_, count)| *count)
     }
 
-    /// Of one sort in a phase, over all schedulers: each message is counted where it is sent and where it is received.
-    pub fn total(&self, phase: usize, sort: MessageType) -> MessageCount {
-        self.measured(phase, sort).fold(MessageCount::default(), MessageCount::add)
+    /// Messages of one type in a phase over all schedulers. A message counts twice, at its sender and at its
+    /// receiver.
+    pub fn total(&self, phase: usize, message_type: MessageType) -> MessageCount {
+        self.counts_in_phase(phase, message_type).fold(MessageCount::default(), MessageCount::add)
     }
 
-    /// Of one sort, the worst second of the scheduler that was worst off in a phase, by bytes.
-    pub fn worst(&self, phase: usize, sort: MessageType) -> MessageCount {
-        self.measured(phase, sort).max_by_key(|count| (count.bytes, count.messages)).unwrap_or_default()
+    /// The largest count of one type in one second of one scheduler within a phase, by bytes.
+    pub fn worst(&self, phase: usize, message_type: MessageType) -> MessageCount {
+        self.counts_in_phase(phase, message_type)
+            .max_by_key(|count| (count.bytes, count.messages))
+            .unwrap_or_default()
     }
 
-    /// Greetings of the very beginning, when all schedulers start at once: the worst scheduler's, all in all.
+    /// Hello messages of the scheduler with the most bytes before the first phase, when all schedulers start at once.
     pub fn mass_restart(&self) -> MessageCount {
-        let begin = self.phases.first().map_or(u64::MAX, |(span, ..)| span.start);
-        let early = |at: &(MessageType, u64)| at.0 == MessageType::Hello && at.1 < begin;
-        let of = |tally: &BTreeMap<(MessageType, u64), MessageCount>| {
-            tally
+        let first_phase = self.phases.first().map_or(u64::MAX, |(span, ..)| span.start);
+        let before_phases = |key: &(MessageType, u64)| key.0 == MessageType::Hello && key.1 < first_phase;
+        let hello_total = |counts: &BTreeMap<(MessageType, u64), MessageCount>| {
+            counts
                 .iter()
-                .filter(|(at, _)| early(at))
+                .filter(|(key, _)| before_phases(key))
                 .map(|(_, count)| *count)
                 .fold(MessageCount::default(), MessageCount::add)
         };
-        self.tallies.iter().map(of).max_by_key(|count| count.bytes).unwrap_or_default()
+        self.by_scheduler.iter().map(hello_total).max_by_key(|count| count.bytes).unwrap_or_default()
     }
 }
 
-/// What a datagram is, by its length (see the module's table of messages).
+/// The type of a peer datagram, told by its length: 3 bytes for hello, 6 for a fault report, otherwise a load
+/// message.
 pub(crate) fn message_type(body: &[u8]) -> MessageType {
     match body.len() {
         3 => MessageType::Hello,
--- a/crates/scaling/src/cpu_clock.rs
+++ b/crates/scaling/src/cpu_clock.rs
@@ -1,14 +1,14 @@
-//! The processor time of the calling thread, whatever else the machine does meanwhile.
+//! Measures the processor time of the calling thread, which does not include the time of other threads and processes.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// What one reading may be off by, as a part of the whole.
-const PRECISION: f64 = 0.01;
-/// Samples of which the least counts: whoever else is on the machine can only add to what a thread needs.
-const SAMPLES: usize = 7;
+/// Largest relative error of one measurement.
+const MAX_RELATIVE_ERROR: f64 = 0.01;
+/// Number of series; the shortest one counts, since other load on the machine can only add to the time of a thread.
+const SERIES_COUNT: usize = 7;
 
-/// Processor time that this thread has used.
+/// Processor time used by this thread.
 pub fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     let (seconds, nanos) =
@@ -16,7 +16,7 @@
     Duration::new(seconds, nanos)
 }
 
-/// The smallest step that the clock was seen to make, its own reading included.
+/// Smallest observed step of the clock, including the time of reading it.
 pub fn granularity() -> Duration {
     let step = |_| {
         let before = thread_cpu_time();
@@ -30,28 +30,28 @@
     (0..64).map(step).min().unwrap_or(Duration::ZERO)
 }
 
-/// Processor microseconds that one round of the work on `state` takes: the least of [`SAMPLES`] series, each so long that
-/// the clock's step is a hundredth of it at most, and `least` at least. What a round needs is laid by `prepare`, whose
-/// time is not counted, for `lot` rounds at a time.
+/// Processor microseconds of one iteration of `work` on `state`: the smallest result of [`SERIES_COUNT`] series. A series
+/// lasts `min_time` or 100 clock steps, whichever is longer. `prepare` makes the inputs for `batch_size` iterations at a time;
+/// its time is not counted.
 pub fn micros_per_iteration<S, T>(
-    least: Duration,
-    lot: usize,
+    min_time: Duration,
+    batch_size: usize,
     state: &mut S,
     mut prepare: impl FnMut(&mut S) -> T,
     mut work: impl FnMut(&mut S, T),
 ) -> f64 {
-    let enough = least.max(granularity().div_f64(PRECISION));
-    (0..SAMPLES)
+    let series_time = min_time.max(granularity().div_f64(MAX_RELATIVE_ERROR));
+    (0..SERIES_COUNT)
         .map(|_| {
-            let (mut spent, mut rounds) = (Duration::ZERO, 0_u32);
-            while spent < enough {
-                let inputs: Vec<T> = (0..lot.max(1)).map(|_| prepare(state)).collect();
-                rounds += inputs.len() as u32;
+            let (mut cpu_time, mut iterations) = (Duration::ZERO, 0_u32);
+            while cpu_time < series_time {
+                let inputs: Vec<T> = (0..batch_size.max(1)).map(|_| prepare(state)).collect();
+                iterations += inputs.len() as u32;
                 let before = thread_cpu_time();
                 inputs.into_iter().for_each(|input| work(state, input));
-                spent += thread_cpu_time() - before;
+                cpu_time += thread_cpu_time() - before;
             }
-            spent.as_secs_f64() * 1e6 / f64::from(rounds)
+            cpu_time.as_secs_f64() * 1e6 / f64::from(iterations)
         })
         .fold(f64::INFINITY, f64::min)
 }
--- a/crates/scaling/src/lib.rs
+++ b/crates/scaling/src/lib.rs
@@ -1,6 +1,7 @@
-//! What each control function of a scheduler costs by the size of the fleet: single costs measured on the decision
-//! module as it is ([`probe`], [`probe_jobs`]), messages counted in a play of a whole fleet of it ([`play`]), and power
-//! laws fitted to both ([`fit`]) for every function ([`functions`]) along every axis ([`axes`]).
+//! Measures how the cost of each scheduler control function grows with the size of the fleet. The cost of single
+//! events is measured on the decision module ([`probe`], [`probe_jobs`]), messages are counted in a simulation of a
+//! whole fleet of schedulers ([`simulation`]), and power laws are fitted to both ([`fit`]) for every control function
+//! ([`functions`]) along every axis ([`axes`]).
 
 pub mod axes;
 pub mod counts;
--- a/crates/scaling/src/probe.rs
+++ b/crates/scaling/src/probe.rs
@@ -1,5 +1,5 @@
-//! Single costs of each control function, measured on the decision module as it is: one event at a time, given to a
-//! scheduler that knows a fleet of some size.
+//! Measures the cost of single events of each control function on the decision module. The events go to a scheduler
+//! that knows a fleet of the given size.
 
 use crate::cpu_clock;
 use crate::scenario::{self, FleetParameters, ListEntry, ListMessage, MILLI, START_TIME};
@@ -9,191 +9,199 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Processor time that a series takes at least.
+/// Minimum processor time of a measurement series.
 pub(crate) const MIN_SERIES_TIME: Duration = Duration::from_millis(4);
 
-/// What one event of a function costs one scheduler. `None`: not of this function, or not measured here.
+/// Cost of one event of a function for one scheduler; `None` if the function has no such cost or it is not measured
+/// here.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Messages, in and out.
+    /// Messages sent and received.
     pub messages: Option<f64>,
-    /// Their bytes.
+    /// Bytes of those messages.
     pub bytes: Option<f64>,
-    /// Processor time, in microseconds.
+    /// Processor time in microseconds.
     pub cpu_us: Option<f64>,
-    /// Bytes on the heap that it keeps.
+    /// Heap memory in bytes: what remains allocated, or the peak for parsing a list and for a handover.
     pub heap_bytes: Option<f64>,
 }
 
-/// A probe measures processor time too, where `times` says so: counts alone are the same in every run.
-pub type Probe = fn(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost;
+/// Measures the cost of an event. Processor time is measured only if `cpu_times` is set; counts are the same in every
+/// run.
+pub type Probe = fn(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost;
 
 /// Processor microseconds of one event on a settled scheduler.
 pub(crate) fn event_cpu_us(
-    size: &FleetParameters,
+    fleet: &FleetParameters,
     seed: u64,
-    lot: usize,
+    batch_size: usize,
     cpu_times: bool,
     mut events: impl FnMut(u64) -> Event,
 ) -> Option<f64> {
     if !cpu_times {
         return None;
     }
-    let mut held = (scenario::settled_scheduler(size, seed), scenario::current_time(size));
-    let (mut out, mut nr) = (Vec::new(), 0);
+    let mut state = (scenario::settled_scheduler(fleet, seed), scenario::current_time(fleet));
+    let (mut actions, mut number) = (Vec::new(), 0);
     let prepare = |_: &mut (Dispatcher, Micros)| {
-        nr += 1;
-        events(nr)
+        number += 1;
+        events(number)
     };
-    let work = |held: &mut (Dispatcher, Micros), event| {
-        held.1 += MILLI;
-        held.0.on_event(held.1, event, &mut out);
-        out.clear();
+    let work = |state: &mut (Dispatcher, Micros), event| {
+        state.1 += MILLI;
+        state.0.on_event(state.1, event, &mut actions);
+        actions.clear();
     };
-    Some(cpu_clock::micros_per_iteration(MIN_SERIES_TIME, lot, &mut held, prepare, work))
+    Some(cpu_clock::micros_per_iteration(MIN_SERIES_TIME, batch_size, &mut state, prepare, work))
 }
 
-/// Bytes on the heap that the making of this takes and keeps.
+/// Heap bytes that `make` allocates and that its result still holds.
 pub(crate) fn retained_heap<T>(make: impl FnOnce() -> T) -> f64 {
-    let mut made = None;
-    let info = measure(|| made = Some(make()));
-    drop(made);
-    info.bytes_current as f64
+    let mut value = None;
+    let allocations = measure(|| value = Some(make()));
+    drop(value);
+    allocations.bytes_current as f64
 }
 
-/// Bytes of a call to discovery and of its answer with this body.
-fn call_bytes(target: &str, body: &str) -> f64 {
-    let call = format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n");
+/// Bytes of a request to discovery and of its response with this body.
+fn request_bytes(target: &str, body: &str) -> f64 {
+    let request = format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n");
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    (call.len() + head.len() + body.len()) as f64
+    (request.len() + head.len() + body.len()) as f64
 }
 
-/// The whole list, after a call or a watch that broke: a call, its answer, and what the module makes of it.
-pub fn full_list(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let all = scenario::members(size, seed);
-    let bytes = call_bytes("/discovery/hosts", &scenario::list_json(&all, true));
-    let alone = retained_heap(|| Dispatcher::new(scenario::settings(size, 0), seed, START_TIME));
-    let state = retained_heap(|| scenario::settled_scheduler(size, seed)) - alone;
-    let whole = |_| Event::Members(ListKind::Full, all.clone());
-    let cpu_us = event_cpu_us(size, seed, 8, cpu_times, whole);
-    Cost { messages: Some(2.0), bytes: Some(bytes), cpu_us, heap_bytes: Some(state) }
+/// The full worker list, requested after a failed call or a broken watch: the request, its response, and applying it
+/// in the decision module.
+pub fn full_list(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let members = scenario::members(fleet, seed);
+    let bytes = request_bytes("/discovery/hosts", &scenario::list_json(&members, true));
+    let without_list = retained_heap(|| Dispatcher::new(scenario::settings(fleet, 0), seed, START_TIME));
+    let list_heap = retained_heap(|| scenario::settled_scheduler(fleet, seed)) - without_list;
+    let full_list = |_| Event::Members(ListKind::Full, members.clone());
+    let cpu_us = event_cpu_us(fleet, seed, 8, cpu_times, full_list);
+    Cost { messages: Some(2.0), bytes: Some(bytes), cpu_us, heap_bytes: Some(list_heap) }
 }
 
-/// The reading of the whole list's text, into values and from these into lines, as the program does before the module
-/// hears of it.
-pub fn parse_list(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let text = scenario::list_json(&scenario::members(size, seed), true);
-    let read = |_: &mut (), text: &str| {
-        let update: Option<ListMessage<Value>> = serde_json::from_str(text).ok();
-        let hosts = update.map(|update| update.hosts).unwrap_or_default();
-        let lines = hosts.into_iter().filter_map(|host| serde_json::from_value::<ListEntry>(host).ok());
-        std::hint::black_box(lines.count());
+/// Parsing the text of the full worker list into JSON values and these into list entries, as the program does before
+/// it passes the list to the decision module.
+pub fn parse_list(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let text = scenario::list_json(&scenario::members(fleet, seed), true);
+    let parse = |_: &mut (), text: &str| {
+        let message: Option<ListMessage<Value>> = serde_json::from_str(text).ok();
+        let hosts = message.map(|message| message.hosts).unwrap_or_default();
+        let entries = hosts.into_iter().filter_map(|host| serde_json::from_value::<ListEntry>(host).ok());
+        std::hint::black_box(entries.count());
     };
     let cpu_us = cpu_times
-        .then(|| cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 1, &mut (), |_| text.as_str(), read));
-    let transient = measure(|| read(&mut (), &text)).bytes_max as f64;
-    Cost { cpu_us, heap_bytes: Some(transient), ..Cost::default() }
+        .then(|| cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 1, &mut (), |_| text.as_str(), parse));
+    let peak_heap = measure(|| parse(&mut (), &text)).bytes_max as f64;
+    Cost { cpu_us, heap_bytes: Some(peak_heap), ..Cost::default() }
 }
 
-/// One line of the list that changes, by the watch.
-pub fn list_change(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let all = scenario::members(size, seed);
-    let line = |nr: u64| {
-        // One drains, and is in service again.
-        let standing = if nr.is_multiple_of(2) { WorkerStatus::On } else { WorkerStatus::Draining };
-        Member { status: standing, ..all[(nr.div_ceil(2) % all.len() as u64) as usize].clone() }
+/// One changed line of the worker list, received over the watch.
+pub fn list_change(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let members = scenario::members(fleet, seed);
+    let entry = |number: u64| {
+        // A worker alternates between draining and in service.
+        let status = if number.is_multiple_of(2) { WorkerStatus::On } else { WorkerStatus::Draining };
+        Member { status, ..members[(number.div_ceil(2) % members.len() as u64) as usize].clone() }
     };
-    let text = scenario::list_json(&[line(1)], false) + "\n";
-    let chunk = format!("{:x}\r\n{text}\r\n", text.len()).len() as f64;
-    let change = |nr| Event::Members(ListKind::Changes, vec![line(nr)]);
-    let cpu_us = event_cpu_us(size, seed, 64, cpu_times, change);
-    Cost { messages: Some(1.0), bytes: Some(chunk), cpu_us, heap_bytes: None }
+    let text = scenario::list_json(&[entry(1)], false) + "\n";
+    let chunk_bytes = format!("{:x}\r\n{text}\r\n", text.len()).len() as f64;
+    let change = |number| Event::Members(ListKind::Changes, vec![entry(number)]);
+    let cpu_us = event_cpu_us(fleet, seed, 64, cpu_times, change);
+    Cost { messages: Some(1.0), bytes: Some(chunk_bytes), cpu_us, heap_bytes: None }
 }
 
-/// The dealing of schedulers into cohorts and of workers to cohorts and ranges, all anew.
-pub fn assign_cohorts(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let nothing = |_| Event::Members(ListKind::Changes, Vec::new());
-    let cpu_us = event_cpu_us(size, seed, 64, cpu_times, nothing);
+/// Assigning all schedulers to cohorts and all workers to cohorts and size ranges.
+pub fn assign_cohorts(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let empty_change = |_| Event::Members(ListKind::Changes, Vec::new());
+    let cpu_us = event_cpu_us(fleet, seed, 64, cpu_times, empty_change);
     Cost { cpu_us, ..Cost::default() }
 }
 
-/// A greeting heard, and answered.
-pub fn receive_hello(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let others = u64::from(size.schedulers.max(2) - 1);
-    let greets = |nr: u64| {
-        let rank = 1 + (nr % others) as u32;
-        Event::Peer { from: rank, body: scenario::encode_hello(rank % size.zones, true) }
+/// Receiving a hello message and answering it.
+pub fn receive_hello(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let other_schedulers = u64::from(fleet.schedulers.max(2) - 1);
+    let hello_event = |number: u64| {
+        let rank = 1 + (number % other_schedulers) as u32;
+        Event::Peer { from: rank, body: scenario::encode_hello(rank % fleet.zones, true) }
     };
-    let cpu_us = event_cpu_us(size, seed, 1_000, cpu_times, greets);
+    let cpu_us = event_cpu_us(fleet, seed, 1_000, cpu_times, hello_event);
     Cost { cpu_us, ..Cost::default() }
 }
 
-/// News of a worker's trouble, heard.
-pub fn receive_fault_report(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let others = u64::from(size.schedulers.max(2) - 1);
-    let tells = |nr: u64| {
-        let worker = scenario::active_worker(size, seed, nr);
-        Event::Peer { from: 1 + (nr % others) as u32, body: scenario::encode_fault_report(worker, 2) }
+/// Receiving a fault report about a worker.
+pub fn receive_fault_report(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let other_schedulers = u64::from(fleet.schedulers.max(2) - 1);
+    let peer_event = |number: u64| {
+        let worker = scenario::active_worker(fleet, seed, number);
+        Event::Peer {
+            from: 1 + (number % other_schedulers) as u32,
+            body: scenario::encode_fault_report(worker, 2),
+        }
     };
-    let cpu_us = event_cpu_us(size, seed, 1_000, cpu_times, tells);
+    let cpu_us = event_cpu_us(fleet, seed, 1_000, cpu_times, peer_event);
     Cost { cpu_us, ..Cost::default() }
 }
 
-/// A load heard from another of the cohort.
-pub fn receive_load(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let others = u64::from(size.schedulers.max(2) - 1);
-    let tells = |nr: u64| {
-        let worker = scenario::active_worker(size, seed, nr / 2);
-        let body = scenario::encode_load(worker, (nr % 2) as u8, 40, 90);
-        Event::Peer { from: 1 + (nr / 2 % others.min(7)) as u32, body }
+/// Receiving a load message from another scheduler of the cohort.
+pub fn receive_load(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let other_schedulers = u64::from(fleet.schedulers.max(2) - 1);
+    let peer_event = |number: u64| {
+        let worker = scenario::active_worker(fleet, seed, number / 2);
+        let body = scenario::encode_load(worker, (number % 2) as u8, 40, 90);
+        Event::Peer { from: 1 + (number / 2 % other_schedulers.min(7)) as u32, body }
     };
-    let cpu_us = event_cpu_us(size, seed, 1_000, cpu_times, tells);
+    let cpu_us = event_cpu_us(fleet, seed, 1_000, cpu_times, peer_event);
     Cost { cpu_us, ..Cost::default() }
 }
 
-/// The own load at one worker told to its cohort.
-pub fn send_load(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let all = event_cpu_us(size, seed, 4, cpu_times, |_| Event::SuccessorActive(false));
-    // Those that have gone are told of as well.
-    let told = f64::from(size.workers + size.days * size.replaced_per_day);
-    Cost { cpu_us: all.map(|all| all / told), ..Cost::default() }
+/// Sending the scheduler's own load at one worker to its cohort.
+pub fn send_load(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let all_loads_us = event_cpu_us(fleet, seed, 4, cpu_times, |_| Event::SuccessorActive(false));
+    // Loads of workers that have left the fleet are sent as well.
+    let loads_sent = f64::from(fleet.workers + fleet.days * fleet.replaced_per_day);
+    Cost { cpu_us: all_loads_us.map(|us| us / loads_sent), ..Cost::default() }
 }
 
-/// What knowledge a successor is handed: written by one process and read by the other, both on this machine.
-pub fn handover(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let mut dispatcher = scenario::settled_scheduler(size, seed);
-    let now = scenario::current_time(size);
+/// Handover of knowledge to a successor: one process writes it and the other reads it, both on the same machine.
+pub fn handover(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let mut dispatcher = scenario::settled_scheduler(fleet, seed);
+    let now = scenario::current_time(fleet);
     let mut bytes = 0;
-    let mut over = |dispatcher: &mut Dispatcher, out: &mut Vec<Action>| {
+    let mut hand_over = |dispatcher: &mut Dispatcher, actions: &mut Vec<Action>| {
         let text = serde_json::to_vec(&dispatcher.knowledge()).unwrap_or_default();
         bytes = text.len();
-        let handed = serde_json::from_slice(&text).unwrap_or_default();
-        dispatcher.on_event(now, Event::KnowledgeReceived(handed), out);
-        out.clear();
+        let knowledge = serde_json::from_slice(&text).unwrap_or_default();
+        dispatcher.on_event(now, Event::KnowledgeReceived(knowledge), actions);
+        actions.clear();
     };
-    let mut out = Vec::new();
-    let transient = measure(|| over(&mut dispatcher, &mut out)).bytes_max as f64;
+    let mut actions = Vec::new();
+    let peak_heap = measure(|| hand_over(&mut dispatcher, &mut actions)).bytes_max as f64;
     let cpu_us = cpu_times.then(|| {
         cpu_clock::micros_per_iteration(
             MIN_SERIES_TIME,
             1,
             &mut dispatcher,
             |_| (),
-            |held, ()| over(held, &mut out),
+            |state, ()| hand_over(state, &mut actions),
         )
     });
-    Cost { messages: Some(1.0), bytes: Some(bytes as f64), cpu_us, heap_bytes: Some(transient) }
+    Cost { messages: Some(1.0), bytes: Some(bytes as f64), cpu_us, heap_bytes: Some(peak_heap) }
 }
 
-/// The workers that have gone: what they take of the knowledge handed over, and the heap of a scheduler with them.
-pub fn departed_workers(size: &FleetParameters, seed: u64, _cpu_times: bool) -> Cost {
-    let none = FleetParameters { days: 0, ..*size };
-    let text =
-        |size: &FleetParameters| scenario::settled_scheduler(size, seed).knowledge().to_string().len() as f64;
-    let bytes = text(size) - text(&none);
+/// Workers that have left the fleet: their share of the knowledge handed over, and the heap of a scheduler that still
+/// keeps them.
+pub fn departed_workers(fleet: &FleetParameters, seed: u64, _cpu_times: bool) -> Cost {
+    let new_fleet = FleetParameters { days: 0, ..*fleet };
+    let knowledge_bytes = |fleet: &FleetParameters| {
+        scenario::settled_scheduler(fleet, seed).knowledge().to_string().len() as f64
+    };
+    let bytes = knowledge_bytes(fleet) - knowledge_bytes(&new_fleet);
     Cost {
         bytes: Some(bytes),
-        heap_bytes: Some(retained_heap(|| scenario::settled_scheduler(size, seed))),
+        heap_bytes: Some(retained_heap(|| scenario::settled_scheduler(fleet, seed))),
         ..Cost::default()
     }
 }
--- a/crates/scaling/src/probe_jobs.rs
+++ b/crates/scaling/src/probe_jobs.rs
@@ -1,4 +1,5 @@
-//! Costs that come with jobs: a whole job in the module, tenants' buckets, load reports, and the timer of held jobs.
+//! Measures costs that are tied to jobs: a complete job in the decision module, token buckets of tenants, load
+//! reports, and the timer of the hold queue.
 
 use crate::cpu_clock;
 use crate::probe::{Cost, MIN_SERIES_TIME, event_cpu_us, retained_heap};
@@ -6,14 +7,15 @@
 use calicolb_decisions::api::*;
 use calicolb_decisions::rules::Dispatcher;
 
-/// Held jobs that the timer looks at in one go.
-const HELD: u32 = 8;
-/// Rounds of the timer after which the scene is laid anew: what was told of loads counts for some seconds only.
-const RELAY: u32 = 100;
-/// The timer of held jobs.
+/// Held jobs that the timer examines in one run.
+const HELD_JOBS: u32 = 8;
+/// Timer runs after which the loads and the held jobs are renewed, since a reported load is valid for a few seconds
+/// only.
+const RENEW_AFTER: u32 = 100;
+/// The timer of the hold queue.
 pub(crate) const HOLD_TIMER: TimerId = TimerId(1);
 
-/// A job of a class, of a tenant or of none.
+/// An arriving job of a class, optionally of a tenant, with an expected duration of `task_s` seconds.
 pub(crate) fn arrival(now: Micros, id: u32, class: usize, tenant: Option<usize>, task_s: f64) -> Arrival {
     Arrival {
         request: RequestId(id),
@@ -26,7 +28,7 @@
     }
 }
 
-/// A report of a worker on which so many jobs run and so many wait.
+/// A load report of a worker with `running` running and `waiting` waiting jobs.
 pub(crate) fn report(running: u32, waiting: u32) -> Report {
     Report {
         outstanding: Some(f64::from(running + waiting)),
@@ -36,31 +38,36 @@
     }
 }
 
-/// One whole job in the module: taken, its tenant's bucket asked, sent, started, ended. The bucket's own time cannot be
-/// told from the rest; the whole is its bound from above. The state is what tenants take in settings and buckets.
-pub fn complete_job(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let fresh = FleetParameters { days: 0, ..*size };
-    let none = FleetParameters { tenants: 0, ..fresh };
-    let state = retained_heap(|| scenario::settled_scheduler(&fresh, seed))
-        - retained_heap(|| scenario::settled_scheduler(&none, seed));
+/// One complete job in the decision module: it is accepted, checked against its tenant's token bucket, sent, started
+/// and ended. The time of the bucket alone cannot be separated from the rest; the total is an upper bound. The heap
+/// bytes are those of the tenants' settings and buckets.
+pub fn complete_job(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let new_fleet = FleetParameters { days: 0, ..*fleet };
+    let without_tenants = FleetParameters { tenants: 0, ..new_fleet };
+    let tenant_heap = retained_heap(|| scenario::settled_scheduler(&new_fleet, seed))
+        - retained_heap(|| scenario::settled_scheduler(&without_tenants, seed));
     let cpu_us = cpu_times.then(|| {
-        let (mut held, mut out) =
-            ((scenario::settled_scheduler(size, seed), scenario::current_time(size), 0_u32), Vec::new());
-        let run = |held: &mut (Dispatcher, Micros, u32), ()| {
-            let (dispatcher, now, nr) = held;
-            *nr += 1;
+        let (mut state, mut actions) =
+            ((scenario::settled_scheduler(fleet, seed), scenario::current_time(fleet), 0_u32), Vec::new());
+        let run = |state: &mut (Dispatcher, Micros, u32), ()| {
+            let (dispatcher, now, number) = state;
+            *number += 1;
             let (request, tenant) =
-                (RequestId(*nr), (size.tenants > 0).then(|| (*nr % size.tenants) as usize));
-            dispatcher.on_event(*now, Event::Arrival(arrival(*now, *nr, 0, tenant, size.task_s())), &mut out);
-            let sent = out.iter().find_map(|action| match action {
+                (RequestId(*number), (fleet.tenants > 0).then(|| (*number % fleet.tenants) as usize));
+            dispatcher.on_event(
+                *now,
+                Event::Arrival(arrival(*now, *number, 0, tenant, fleet.task_s())),
+                &mut actions,
+            );
+            let sent = actions.iter().find_map(|action| match action {
                 Action::Send { worker, .. } => Some(*worker),
                 _ => None,
             });
             if let Some(worker) = sent {
                 *now += MILLI;
                 let note = Event::Note { request, attempt: 0, note: AttemptNote::Started };
-                dispatcher.on_event(*now, note, &mut out);
-                let elapsed = (size.task_s() * SECOND as f64) as Micros;
+                dispatcher.on_event(*now, note, &mut actions);
+                let elapsed = (fleet.task_s() * SECOND as f64) as Micros;
                 *now += elapsed;
                 let outcome = Outcome {
                     request,
@@ -72,83 +79,87 @@
                     running: false,
                     report: Some(report(3, 0)),
                 };
-                dispatcher.on_event(*now, Event::Outcome(outcome), &mut out);
+                dispatcher.on_event(*now, Event::Outcome(outcome), &mut actions);
             } else {
-                dispatcher.on_event(*now, Event::RequestAbandoned(request), &mut out);
+                dispatcher.on_event(*now, Event::RequestAbandoned(request), &mut actions);
             }
-            out.clear();
+            actions.clear();
         };
-        cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 64, &mut held, |_| (), run)
+        cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 64, &mut state, |_| (), run)
     });
-    Cost { cpu_us, heap_bytes: Some(state), ..Cost::default() }
+    Cost { cpu_us, heap_bytes: Some(tenant_heap), ..Cost::default() }
 }
 
-/// A load report, brought by a probe.
-pub fn load_report(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
-    let reports = |nr: u64| Event::Probed {
-        worker: scenario::active_worker(size, seed, nr),
+/// A load report received with a probe's answer.
+pub fn load_report(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+    let reports = |number: u64| Event::Probed {
+        worker: scenario::active_worker(fleet, seed, number),
         ending: Ending::Ok,
         elapsed: 2 * MILLI,
-        report: Some(report((nr % u64::from(LANES)) as u32, 0)),
+        report: Some(report((number % u64::from(LANES)) as u32, 0)),
     };
-    Cost { cpu_us: event_cpu_us(size, seed, 1_000, cpu_times, reports), ..Cost::default() }
+    Cost { cpu_us: event_cpu_us(fleet, seed, 1_000, cpu_times, reports), ..Cost::default() }
 }
 
-/// The timer of held jobs, with as many held as it looks at and no lane free.
-pub fn hold_timer(size: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
+/// The timer of the hold queue, with the maximum number of held jobs that one run examines and no free lane.
+pub fn hold_timer(fleet: &FleetParameters, seed: u64, cpu_times: bool) -> Cost {
     let cpu_us = cpu_times.then(|| {
-        let mut held = Full {
-            dispatcher: scenario::settled_scheduler(size, seed),
-            now: scenario::current_time(size),
-            round: 0,
-            job: 0,
+        let mut state = FullScheduler {
+            dispatcher: scenario::settled_scheduler(fleet, seed),
+            now: scenario::current_time(fleet),
+            runs: 0,
+            jobs: 0,
         };
-        let look = |held: &mut Full, ()| held.look();
-        cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 1, &mut held, |held| held.relay(size, seed), look)
+        let run = |state: &mut FullScheduler, ()| state.run_timer();
+        cpu_clock::micros_per_iteration(MIN_SERIES_TIME, 1, &mut state, |state| state.renew(fleet, seed), run)
     });
     Cost { cpu_us, ..Cost::default() }
 }
 
-/// A scheduler all whose workers are full, with jobs held.
-struct Full {
+/// A scheduler with held jobs whose workers are all full.
+struct FullScheduler {
     dispatcher: Dispatcher,
     now: Micros,
-    round: u32,
-    /// Jobs so extrapolated.
-    job: u32,
+    runs: u32,
+    /// Number of jobs created.
+    jobs: u32,
 }
 
-impl Full {
-    /// Once in [`RELAY`] rounds, others tell of their loads and jobs come anew.
-    fn relay(&mut self, size: &FleetParameters, seed: u64) {
-        self.round += 1;
-        if self.round % RELAY != 1 {
+impl FullScheduler {
+    /// Renews the loads and the held jobs once in [`RENEW_AFTER`] runs.
+    fn renew(&mut self, fleet: &FleetParameters, seed: u64) {
+        self.runs += 1;
+        if self.runs % RENEW_AFTER != 1 {
             return;
         }
-        let mut out = Vec::new();
-        let before = self.job.saturating_sub(HELD)..self.job;
-        for id in before {
-            self.dispatcher.on_event(self.now, Event::RequestAbandoned(RequestId(id)), &mut out);
+        let mut actions = Vec::new();
+        let held_jobs = self.jobs.saturating_sub(HELD_JOBS)..self.jobs;
+        for id in held_jobs {
+            self.dispatcher.on_event(self.now, Event::RequestAbandoned(RequestId(id)), &mut actions);
         }
-        for nr in 0..size.workers {
-            let worker = scenario::active_worker(size, seed, u64::from(nr));
+        for number in 0..fleet.workers {
+            let worker = scenario::active_worker(fleet, seed, u64::from(number));
             let body = scenario::encode_load(worker, LANES as u8, 200, 255);
-            self.dispatcher.on_event(self.now, Event::Peer { from: 1, body }, &mut out);
+            self.dispatcher.on_event(self.now, Event::Peer { from: 1, body }, &mut actions);
             let (ending, elapsed, report) = (Ending::Ok, MILLI, Some(report(LANES, 0)));
-            self.dispatcher.on_event(self.now, Event::Probed { worker, ending, elapsed, report }, &mut out);
+            self.dispatcher.on_event(
+                self.now,
+                Event::Probed { worker, ending, elapsed, report },
+                &mut actions,
+            );
         }
-        for id in self.job..self.job + HELD {
-            let job = arrival(self.now, id, 1, None, size.task_s());
-            self.dispatcher.on_event(self.now, Event::Arrival(job), &mut out);
+        for id in self.jobs..self.jobs + HELD_JOBS {
+            let job = arrival(self.now, id, 1, None, fleet.task_s());
+            self.dispatcher.on_event(self.now, Event::Arrival(job), &mut actions);
         }
-        self.job += HELD;
+        self.jobs += HELD_JOBS;
     }
 
-    fn look(&mut self) {
-        // A held job is looked at again 80 ms later at the latest.
+    fn run_timer(&mut self) {
+        // A held job is examined again after at most 80 ms.
         self.now += 80 * MILLI;
-        let mut out = Vec::new();
-        self.dispatcher.on_event(self.now, Event::Timer(HOLD_TIMER), &mut out);
-        std::hint::black_box(&out);
+        let mut actions = Vec::new();
+        self.dispatcher.on_event(self.now, Event::Timer(HOLD_TIMER), &mut actions);
+        std::hint::black_box(&actions);
     }
 }
--- a/crates/scaling/src/scenario.rs
+++ b/crates/scaling/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A fleet of a given size, as the decision module is told of it: settings, lists, and their text on the wire.
+//! Builds a fleet of a given size as the decision module sees it: settings, worker lists, and the encoded messages.
 
 use calicolb_decisions::api::{
     Action, Class, Effect, Event, KindIx, Limits, ListKind, Member, Micros, Prices, QueueOrder, ReportSource,
@@ -8,44 +8,44 @@
 use calicolb_fleet::hash::mix;
 use serde::{Deserialize, Serialize};
 
-/// A millisecond on the module's clock.
+/// One millisecond of the decision module's clock.
 pub const MILLI: Micros = 1_000;
-/// A second on the module's clock.
+/// One second of the decision module's clock.
 pub const SECOND: Micros = 1_000_000;
-/// A day on the module's clock.
+/// One day of the decision module's clock.
 pub const DAY: Micros = 24 * 3_600 * SECOND;
-/// When a fleet begins: any time but 0, which the module takes for 'never'.
+/// Time at which a fleet starts; not 0, since the decision module uses 0 for "never".
 pub const START_TIME: Micros = 1_000_000 * SECOND;
-/// Kinds of machine.
+/// Number of machine kinds.
 const KINDS: usize = 2;
-/// Jobs that a worker runs at once.
+/// Jobs that a worker runs at the same time.
 pub const LANES: u32 = 8;
 
-/// How large a fleet is, and how busy.
+/// Size and load of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct FleetParameters {
-    /// Workers.
+    /// Number of workers.
     pub workers: u32,
-    /// Schedulers.
+    /// Number of schedulers.
     pub schedulers: u32,
-    /// Tenants with a quota.
+    /// Number of tenants with a quota.
     pub tenants: u32,
-    /// Tasks that are started in a second, over the whole fleet.
+    /// Tasks started per second in the whole fleet.
     pub starts_per_s: f64,
-    /// Days of service that a scheduler has behind it.
+    /// Days that a scheduler has been in service.
     pub days: u32,
-    /// Zones.
+    /// Number of zones.
     pub zones: u32,
-    /// Tasks that run on a worker, in the mean: the same at every size, so that all fleets are equally full.
+    /// Mean number of running tasks per worker; the same at every size, so that all fleets are equally loaded.
     #[serde(rename = "running_a_worker")]
     pub tasks_per_worker: f64,
-    /// Workers replaced a day, each by one with a new number.
+    /// Workers replaced per day, each by a worker with a new number.
     #[serde(rename = "replaced_a_day")]
     pub replaced_per_day: u32,
 }
 
-/// The size of the operators' letter on scale: 690 workers, 240 tenants, 140 starts a second with 3,400 running, 6 zones, 5 failures and 38
-/// replacements a day; 300 schedulers, as in the standing test.
+/// The fleet that the operators plan for: 690 workers, 240 tenants, 140 started tasks per second with 3,400 running,
+/// 6 zones, 5 failures and 38 replacements per day. The 300 schedulers are those of the regular fleet test.
 impl Default for FleetParameters {
     fn default() -> Self {
         FleetParameters {
@@ -62,52 +62,52 @@
 }
 
 impl FleetParameters {
-    /// Mean time that a task runs, in seconds (Little's law).
+    /// Mean running time of a task in seconds, by Little's law.
     pub fn task_s(&self) -> f64 {
         f64::from(self.workers) * self.tasks_per_worker / self.starts_per_s
     }
 }
 
-/// The number of a worker, as if drawn by its name.
-pub fn worker_id(seed: u64, nr: u32) -> WorkerId {
-    WorkerId(mix(seed, u64::from(nr)) as u32)
+/// Identifier of a worker, which looks like the hash of a name.
+pub fn worker_id(seed: u64, number: u32) -> WorkerId {
+    WorkerId(mix(seed, u64::from(number)) as u32)
 }
 
-/// The line of a worker in the list. Its successor has the same place under a number of its own.
-pub fn member(size: &FleetParameters, seed: u64, nr: u32) -> Member {
-    let place = nr % size.workers;
+/// List entry of a worker. Its replacement gets the same zone, kind and cell with another identifier.
+pub fn member(fleet: &FleetParameters, seed: u64, number: u32) -> Member {
+    let position = number % fleet.workers;
     Member {
-        worker: worker_id(seed, nr),
-        zone: ZoneIx((place % size.zones) as usize),
-        kind: KindIx((place / size.zones) as usize % KINDS),
-        cell: place / 16,
+        worker: worker_id(seed, number),
+        zone: ZoneIx((position % fleet.zones) as usize),
+        kind: KindIx((position / fleet.zones) as usize % KINDS),
+        cell: position / 16,
         weight: 1.0,
         ..Member::default()
     }
 }
 
-/// How many workers have gone.
-fn departed_count(size: &FleetParameters) -> u32 {
-    size.days * size.replaced_per_day
+/// Number of workers that have left the fleet.
+fn departed_count(fleet: &FleetParameters) -> u32 {
+    fleet.days * fleet.replaced_per_day
 }
 
-/// The number of one of the workers in service.
-pub fn active_worker(size: &FleetParameters, seed: u64, nr: u64) -> WorkerId {
-    worker_id(seed, departed_count(size) + (nr % u64::from(size.workers)) as u32)
+/// Identifier of one of the workers in service.
+pub fn active_worker(fleet: &FleetParameters, seed: u64, number: u64) -> WorkerId {
+    worker_id(seed, departed_count(fleet) + (number % u64::from(fleet.workers)) as u32)
 }
 
-/// The whole list.
-pub fn members(size: &FleetParameters, seed: u64) -> Vec<Member> {
-    (0..size.workers).map(|nr| member(size, seed, departed_count(size) + nr)).collect()
+/// The full worker list.
+pub fn members(fleet: &FleetParameters, seed: u64) -> Vec<Member> {
+    (0..fleet.workers).map(|number| member(fleet, seed, departed_count(fleet) + number)).collect()
 }
 
-/// The time at which a scheduler has its days of service behind it.
-pub fn current_time(size: &FleetParameters) -> Micros {
-    START_TIME + u64::from(size.days + 1) * DAY
+/// Time at which a scheduler has completed its days of service.
+pub fn current_time(fleet: &FleetParameters) -> Micros {
+    START_TIME + u64::from(fleet.days + 1) * DAY
 }
 
-/// What a scheduler of this rank is told when it starts.
-pub fn settings(size: &FleetParameters, rank: u32) -> Settings {
+/// Settings of the scheduler with this rank.
+pub fn settings(fleet: &FleetParameters, rank: u32) -> Settings {
     let class = |aim: Micros, effect: Effect| Class {
         aim,
         stretch: 1.0,
@@ -122,12 +122,12 @@
     let tenant = Tenant { quota_per_s: 13.0, share: 1.0 };
     Settings {
         rank,
-        instances: size.schedulers,
-        zone: ZoneIx((rank % size.zones) as usize),
-        zones: size.zones as usize,
+        instances: fleet.schedulers,
+        zone: ZoneIx((rank % fleet.zones) as usize),
+        zones: fleet.zones as usize,
         kinds: KINDS,
         classes: vec![class(7_100 * MILLI, Effect::Safe), class(60 * SECOND, Effect::Unsafe)],
-        tenants: vec![tenant; size.tenants as usize],
+        tenants: vec![tenant; fleet.tenants as usize],
         over_share_worth: 0.2,
         worth_by_work: false,
         list_on_request: true,
@@ -162,52 +162,53 @@
     }
 }
 
-/// A greeting, as it is on the wire (see the module's table of messages).
+/// An encoded hello message: version, zone, and a flag that requests an answer.
 pub fn encode_hello(zone: u32, asks: bool) -> Vec<u8> {
     vec![1, zone as u8, u8::from(asks)]
 }
 
-/// A scheduler's strikes against a worker, as they are on the wire.
+/// An encoded fault report with a scheduler's strikes against a worker.
 pub fn encode_fault_report(worker: WorkerId, strikes: u8) -> Vec<u8> {
     let [a, b, c, d] = worker.0.to_le_bytes();
     vec![1, a, b, c, d, strikes]
 }
 
-/// A load of so many lanes for so many units of 64 ms, as it is on the wire.
+/// An encoded load message: `lanes` occupied lanes, which become free between `soonest` and `latest`, both in units
+/// of 64 ms.
 pub fn encode_load(worker: WorkerId, lanes: u8, soonest: u8, latest: u8) -> Vec<u8> {
     let [a, b, c, d] = worker.0.to_le_bytes();
     vec![1, lanes, a, b, c, d, soonest, latest]
 }
 
-/// The lists of the replacements: each day one list of changes.
-pub fn replacements(size: &FleetParameters, seed: u64) -> impl Iterator<Item = Vec<Member>> {
-    (0..size.days).map(move |day| {
-        let first = day * size.replaced_per_day;
-        let gone = |nr| Member { status: WorkerStatus::Gone, ..member(size, seed, nr) };
-        let pair = |nr| [gone(nr), member(size, seed, size.workers + nr)];
-        (first..first + size.replaced_per_day).flat_map(pair).collect()
+/// The list changes caused by replacements, one list per day.
+pub fn replacements(fleet: &FleetParameters, seed: u64) -> impl Iterator<Item = Vec<Member>> {
+    (0..fleet.days).map(move |day| {
+        let first = day * fleet.replaced_per_day;
+        let removed = |number| Member { status: WorkerStatus::Gone, ..member(fleet, seed, number) };
+        let removed_and_replacement = |number| [removed(number), member(fleet, seed, fleet.workers + number)];
+        (first..first + fleet.replaced_per_day).flat_map(removed_and_replacement).collect()
     })
 }
 
-/// A scheduler of rank 0 with its days of service behind it, which knows the list and where all the others stand; what
-/// it asked for meanwhile is dropped.
-pub fn settled_scheduler(size: &FleetParameters, seed: u64) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(settings(size, 0), seed, START_TIME);
-    let mut out = Vec::<Action>::new();
-    let first = members(&FleetParameters { days: 0, ..*size }, seed);
-    dispatcher.on_event(START_TIME, Event::Members(ListKind::Saved, first), &mut out);
-    for rank in 1..size.schedulers {
-        let body = encode_hello(rank % size.zones, false);
-        dispatcher.on_event(START_TIME, Event::Peer { from: rank, body }, &mut out);
+/// The scheduler of rank 0 after its days of service; it knows the worker list and the zones of all other schedulers.
+/// The actions it requested so far are dropped.
+pub fn settled_scheduler(fleet: &FleetParameters, seed: u64) -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(settings(fleet, 0), seed, START_TIME);
+    let mut actions = Vec::<Action>::new();
+    let initial = members(&FleetParameters { days: 0, ..*fleet }, seed);
+    dispatcher.on_event(START_TIME, Event::Members(ListKind::Saved, initial), &mut actions);
+    for rank in 1..fleet.schedulers {
+        let body = encode_hello(rank % fleet.zones, false);
+        dispatcher.on_event(START_TIME, Event::Peer { from: rank, body }, &mut actions);
     }
-    dispatcher.on_event(START_TIME, Event::Members(ListKind::Changes, Vec::new()), &mut out);
-    for (day, changed) in (1..).zip(replacements(size, seed)) {
-        dispatcher.on_event(START_TIME + day * DAY, Event::Members(ListKind::Changes, changed), &mut out);
+    dispatcher.on_event(START_TIME, Event::Members(ListKind::Changes, Vec::new()), &mut actions);
+    for (day, changed) in (1..).zip(replacements(fleet, seed)) {
+        dispatcher.on_event(START_TIME + day * DAY, Event::Members(ListKind::Changes, changed), &mut actions);
     }
     dispatcher
 }
 
-/// A line of the list, as discovery writes it.
+/// A line of the worker list in discovery's format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ListEntry {
     host: String,
@@ -220,18 +221,19 @@
     born_ms: u64,
 }
 
-/// A version of the list or the changes since another, as discovery writes it.
+/// A full list or a list of changes in discovery's format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ListMessage<T> {
     seq: u64,
-    whole: bool,
-    /// Its lines.
+    #[serde(rename = "whole")]
+    full: bool,
+    /// The lines of the list.
     pub hosts: Vec<T>,
 }
 
-/// The text of these lines of the list.
-pub fn list_json(members: &[Member], whole: bool) -> String {
-    let line = |member: &Member| ListEntry {
+/// The JSON text of a list with these members.
+pub fn list_json(members: &[Member], full: bool) -> String {
+    let list_entry = |member: &Member| ListEntry {
         host: format!("s-{:08x}", member.worker.0),
         dial: format!("10.{}.{}.{}:8443", member.zone.0, member.cell / 8 % 256, member.worker.0 % 250 + 1),
         site: char::from(b'a' + member.zone.0 as u8 % 26).to_string(),
@@ -246,6 +248,6 @@
         share: 1.0,
         born_ms: 1_796_000_000_000,
     };
-    let update = ListMessage { seq: 41_000, whole, hosts: members.iter().map(line).collect() };
-    serde_json::to_string(&update).unwrap_or_default()
+    let message = ListMessage { seq: 41_000, full, hosts: members.iter().map(list_entry).collect() };
+    serde_json::to_string(&message).unwrap_or_default()
 }
--- a/crates/scaling/src/simulation.rs
+++ b/crates/scaling/src/simulation.rs
@@ -1,9 +1,9 @@
-//! A whole fleet of schedulers on the decision module as it is, in one thread and without a clock of its own: what
-//! they tell each other, the probes and the timers are counted for each scheduler and second.
+//! Simulates a whole fleet of schedulers, each with its own decision module, in one thread and on a simulated clock.
+//! Peer messages, probes and timers are counted per scheduler and second.
 //!
-//! The world round them is the least that brings these out: workers of [`LANES`] lanes with a queue in order of arrival,
-//! a network of one delay that loses nothing, jobs of exponential length at Poisson times, each at a scheduler drawn at
-//! random. The list stands still; its cost is measured by itself ([`crate::probe`]).
+//! The environment is the simplest that causes these messages: workers with [`LANES`] lanes and a first-in-first-out
+//! queue, a network with a constant delay and no losses, and jobs of exponential duration with Poisson arrivals, each
+//! at a random scheduler. The worker list does not change; its cost is measured separately ([`crate::probe`]).
 
 use crate::counts::{MessageCounts, MessageType, message_type};
 use crate::probe_jobs::{HOLD_TIMER, arrival, report};
@@ -13,148 +13,152 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-/// How long a message or an answer is on its way.
-const DELAY: Micros = 500;
-/// Bytes of a probe's request and answer, heads and the report in the body.
+/// One-way network delay of a message or an answer.
+const NETWORK_DELAY: Micros = 500;
+/// Bytes of a probe's request and answer together, including headers and the load report.
 const PROBE_BYTES: u64 = 150;
-/// The jobs that run from the beginning arrive within this time.
-const FILLING: Micros = 3 * SECOND;
-/// From then on the fleet settles for so long before anything is measured.
-const SETTLING: Micros = 4 * SECOND;
+/// Time within which the jobs that run at the start arrive.
+const FILL_TIME: Micros = 3 * SECOND;
+/// Time for the fleet to settle after that, before the first measured phase.
+const SETTLE_TIME: Micros = 4 * SECOND;
 
-/// What happens at the beginning of a phase.
+/// Incident at the start of a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Incident {
-    /// Nothing.
+    /// No incident.
     None,
-    /// The scheduler of rank 0 starts anew.
+    /// The scheduler of rank 0 restarts.
     Restart,
-    /// All workers of zone 0 die at once, and every connection to them is reset; discovery has not told yet.
+    /// All workers of zone 0 fail at once and every connection to them is reset; discovery has not reported it yet.
     ZoneLost,
-    /// They fall silent instead: nothing ends, and no new connection comes up.
+    /// All workers of zone 0 stop responding: running jobs do not end and new connections are not established.
     ZoneSilent,
 }
 
-enum What {
-    /// A job reaches a scheduler; the next one is drawn, if there is to be one.
+enum SimulationEvent {
+    /// A job reaches a scheduler; `next` also schedules the arrival of the following job.
     Job { next: bool },
     /// An event reaches a scheduler.
-    Reach(u32, Event),
-    /// A task ends on a worker, if it still runs.
-    End(usize, Task),
-    /// It happens.
+    Deliver(u32, Event),
+    /// A task ends on a worker if it is still running there.
+    TaskEnd(usize, Task),
+    /// An incident occurs.
     Incident(Incident),
 }
 
 #[derive(Clone, Copy, PartialEq)]
 struct Task {
-    at: u32,
+    scheduler: u32,
     request: RequestId,
     attempt: u32,
-    length: Micros,
+    duration: Micros,
 }
 
 #[derive(Default)]
-struct Host {
+struct SimulatedWorker {
     running: Vec<Task>,
     waiting: VecDeque<Task>,
-    state: State,
+    state: WorkerState,
 }
 
 #[derive(Clone, Copy, Default, PartialEq)]
-enum State {
+enum WorkerState {
     #[default]
-    Serves,
-    Dead,
+    Serving,
+    Failed,
     Silent,
 }
 
-struct Play<'a> {
-    size: &'a FleetParameters,
+struct Simulation<'a> {
+    fleet: &'a FleetParameters,
     seed: u64,
     rng: fastrand::Rng,
     schedulers: Vec<Dispatcher>,
-    hosts: Vec<Host>,
-    index: HashMap<WorkerId, usize>,
-    /// What is to come, by time and in order of laying.
-    times: BinaryHeap<Reverse<(Micros, u64)>>,
-    coming: HashMap<u64, What>,
-    laid: u64,
+    workers: Vec<SimulatedWorker>,
+    index_by_id: HashMap<WorkerId, usize>,
+    /// Times and sequence numbers of the scheduled events; equal times run in the order of scheduling.
+    schedule_order: BinaryHeap<Reverse<(Micros, u64)>>,
+    scheduled: HashMap<u64, SimulationEvent>,
+    last_sequence: u64,
     now: Micros,
-    /// Of each open request: how many attempts, and where the last went.
-    sent: HashMap<(u32, RequestId), (u32, usize)>,
-    next_id: u32,
+    /// For each open request, the number of attempts and the worker of the last one.
+    open_requests: HashMap<(u32, RequestId), (u32, usize)>,
+    last_id: u32,
     counts: MessageCounts,
 }
 
-/// Plays a fleet once it has settled, in phases of so many seconds, each of which begins with an incident.
-pub fn simulate(size: &FleetParameters, seed: u64, phases: &[(u64, Incident)]) -> MessageCounts {
-    // The list stands still: nobody has gone.
-    let size = &FleetParameters { days: 0, ..*size };
-    let begin = (FILLING + SETTLING) / SECOND;
-    let counts = MessageCounts::new(size.schedulers as usize, begin, phases.iter().map(|phase| phase.0));
-    let mut play = Play {
-        size,
+/// Simulates a fleet and counts its messages. The phases follow after the fleet has settled; each is given by its
+/// length in seconds and the incident at its start.
+pub fn simulate(fleet: &FleetParameters, seed: u64, phases: &[(u64, Incident)]) -> MessageCounts {
+    // The worker list does not change: no worker has left the fleet.
+    let fleet = &FleetParameters { days: 0, ..*fleet };
+    let first_phase = (FILL_TIME + SETTLE_TIME) / SECOND;
+    let counts =
+        MessageCounts::new(fleet.schedulers as usize, first_phase, phases.iter().map(|phase| phase.0));
+    let mut simulation = Simulation {
+        fleet,
         seed,
         rng: fastrand::Rng::with_seed(seed),
-        schedulers: (0..size.schedulers)
+        schedulers: (0..fleet.schedulers)
             .map(|rank| {
-                Dispatcher::new(scenario::settings(size, rank), seed ^ u64::from(rank) << 20, START_TIME)
+                Dispatcher::new(scenario::settings(fleet, rank), seed ^ u64::from(rank) << 20, START_TIME)
             })
             .collect(),
-        hosts: (0..size.workers).map(|_| Host::default()).collect(),
-        index: (0..size.workers).map(|nr| (scenario::worker_id(seed, nr), nr as usize)).collect(),
-        times: BinaryHeap::new(),
-        coming: HashMap::new(),
-        laid: 0,
+        workers: (0..fleet.workers).map(|_| SimulatedWorker::default()).collect(),
+        index_by_id: (0..fleet.workers)
+            .map(|number| (scenario::worker_id(seed, number), number as usize))
+            .collect(),
+        schedule_order: BinaryHeap::new(),
+        scheduled: HashMap::new(),
+        last_sequence: 0,
         now: START_TIME,
-        sent: HashMap::new(),
-        next_id: 0,
+        open_requests: HashMap::new(),
+        last_id: 0,
         counts,
     };
-    play.begin();
-    let mut at = FILLING + SETTLING;
+    simulation.start();
+    let mut phase_start = FILL_TIME + SETTLE_TIME;
     for &(seconds, incident) in phases {
-        play.lay(at, What::Incident(incident));
-        at += seconds * SECOND;
+        simulation.schedule(phase_start, SimulationEvent::Incident(incident));
+        phase_start += seconds * SECOND;
     }
-    play.run(START_TIME + at);
-    play.counts
+    simulation.run(START_TIME + phase_start);
+    simulation.counts
 }
 
-impl Play<'_> {
-    fn lay(&mut self, after: Micros, what: What) {
-        self.laid += 1;
-        self.times.push(Reverse((self.now + after, self.laid)));
-        self.coming.insert(self.laid, what);
+impl Simulation<'_> {
+    fn schedule(&mut self, after: Micros, event: SimulationEvent) {
+        self.last_sequence += 1;
+        self.schedule_order.push(Reverse((self.now + after, self.last_sequence)));
+        self.scheduled.insert(self.last_sequence, event);
     }
 
-    /// All schedulers start, and as many jobs as run in the mean are there within a few seconds; as their length is
-    /// exponential, what is left of each is like a whole one.
-    fn begin(&mut self) {
-        for at in 0..self.size.schedulers {
-            let list = Event::Members(ListKind::Saved, scenario::members(self.size, self.seed));
-            self.lay(0, What::Reach(at, list));
+    /// Starts all schedulers, and the mean number of running jobs within a few seconds. Since their duration is
+    /// exponential, the remaining duration has the same distribution as the full one.
+    fn start(&mut self) {
+        for scheduler in 0..self.fleet.schedulers {
+            let list = Event::Members(ListKind::Saved, scenario::members(self.fleet, self.seed));
+            self.schedule(0, SimulationEvent::Deliver(scheduler, list));
         }
-        let running = (f64::from(self.size.workers) * self.size.tasks_per_worker) as u64;
+        let running = (f64::from(self.fleet.workers) * self.fleet.tasks_per_worker) as u64;
         for _ in 0..running {
-            let after = 100 * MILLI + self.rng.u64(0..FILLING);
-            self.lay(after, What::Job { next: false });
+            let after = 100 * MILLI + self.rng.u64(0..FILL_TIME);
+            self.schedule(after, SimulationEvent::Job { next: false });
         }
-        self.lay(FILLING, What::Job { next: true });
+        self.schedule(FILL_TIME, SimulationEvent::Job { next: true });
     }
 
-    fn run(&mut self, until: Micros) {
-        while let Some(Reverse((time, nr))) = self.times.pop() {
-            if time >= until {
+    fn run(&mut self, end: Micros) {
+        while let Some(Reverse((time, sequence))) = self.schedule_order.pop() {
+            if time >= end {
                 return;
             }
             self.now = time;
-            match self.coming.remove(&nr) {
-                Some(What::Job { next }) => self.job(next),
-                Some(What::Reach(at, event)) => self.reach(at, event),
-                Some(What::End(at, task)) => self.end(at, task),
-                Some(What::Incident(incident)) => self.incident(incident),
+            match self.scheduled.remove(&sequence) {
+                Some(SimulationEvent::Job { next }) => self.job_arrives(next),
+                Some(SimulationEvent::Deliver(scheduler, event)) => self.deliver(scheduler, event),
+                Some(SimulationEvent::TaskEnd(worker_index, task)) => self.end_task(worker_index, task),
+                Some(SimulationEvent::Incident(incident)) => self.apply_incident(incident),
                 None => {}
             }
         }
@@ -164,169 +168,186 @@
         (-mean * (1.0 - self.rng.f64()).ln() * SECOND as f64) as Micros
     }
 
-    fn job(&mut self, next: bool) {
+    fn job_arrives(&mut self, next: bool) {
         if next {
-            let gap = self.exponential(1.0 / self.size.starts_per_s);
-            self.lay(gap, What::Job { next });
+            let interval = self.exponential(1.0 / self.fleet.starts_per_s);
+            self.schedule(interval, SimulationEvent::Job { next });
         }
-        self.counts.jobs_in(self.second(), 1, 0);
-        self.next_id += 1;
+        self.counts.count_jobs(self.current_second(), 1, 0);
+        self.last_id += 1;
         let class = usize::from(self.rng.u8(0..10) > 0);
-        let tenant = (self.size.tenants > 0).then(|| self.rng.usize(0..self.size.tenants as usize));
-        let job = arrival(self.now, self.next_id, class, tenant, self.size.task_s());
-        let at = self.rng.u32(0..self.size.schedulers);
-        self.reach(at, Event::Arrival(job));
+        let tenant = (self.fleet.tenants > 0).then(|| self.rng.usize(0..self.fleet.tenants as usize));
+        let job = arrival(self.now, self.last_id, class, tenant, self.fleet.task_s());
+        let scheduler = self.rng.u32(0..self.fleet.schedulers);
+        self.deliver(scheduler, Event::Arrival(job));
     }
 
-    fn second(&self) -> u64 {
+    fn current_second(&self) -> u64 {
         (self.now - START_TIME) / SECOND
     }
 
-    fn count(&mut self, at: u32, sort: MessageType, bytes: u64) {
-        self.counts.add(at as usize, sort, self.second(), bytes);
+    fn count_message(&mut self, scheduler: u32, message_type: MessageType, bytes: u64) {
+        self.counts.add(scheduler as usize, message_type, self.current_second(), bytes);
     }
 
-    /// An event reaches a scheduler, and what that asks for is carried out.
-    fn reach(&mut self, at: u32, event: Event) {
+    /// Delivers an event to a scheduler and carries out the resulting actions.
+    fn deliver(&mut self, scheduler: u32, event: Event) {
         match &event {
-            Event::Peer { body, .. } => self.count(at, message_type(body), body.len() as u64),
-            Event::Timer(HOLD_TIMER) => self.count(at, MessageType::Timer, 0),
+            Event::Peer { body, .. } => self.count_message(scheduler, message_type(body), body.len() as u64),
+            Event::Timer(HOLD_TIMER) => self.count_message(scheduler, MessageType::Timer, 0),
             _ => {}
         }
-        let mut out = Vec::new();
-        self.schedulers[at as usize].on_event(self.now, event, &mut out);
-        out.into_iter().for_each(|action| self.act(at, action));
+        let mut actions = Vec::new();
+        self.schedulers[scheduler as usize].on_event(self.now, event, &mut actions);
+        actions.into_iter().for_each(|action| self.execute(scheduler, action));
     }
 
-    fn act(&mut self, at: u32, action: Action) {
+    fn execute(&mut self, scheduler: u32, action: Action) {
         match action {
-            Action::Send { request, worker, .. } => self.send(at, request, worker),
-            Action::Cancel { request, attempt } => self.cancel(at, request, attempt),
+            Action::Send { request, worker, .. } => self.send_attempt(scheduler, request, worker),
+            Action::Cancel { request, attempt } => self.cancel(scheduler, request, attempt),
             Action::Refuse { request, .. } | Action::Fail(request) => {
-                self.counts.jobs_in(self.second(), 0, 1);
-                self.sent.remove(&(at, request));
+                self.counts.count_jobs(self.current_second(), 0, 1);
+                self.open_requests.remove(&(scheduler, request));
             }
-            Action::Probe(worker) => self.probe(at, worker),
+            Action::Probe(worker) => self.probe(scheduler, worker),
             Action::SendMessage { to, body } => {
-                let all = to.map_or(0..self.size.schedulers, |to| to..to + 1);
-                for to in all.filter(|&to| to != at) {
-                    self.count(at, message_type(&body), body.len() as u64);
-                    self.lay(DELAY, What::Reach(to, Event::Peer { from: at, body: body.clone() }));
+                let receivers = to.map_or(0..self.fleet.schedulers, |to| to..to + 1);
+                for to in receivers.filter(|&to| to != scheduler) {
+                    self.count_message(scheduler, message_type(&body), body.len() as u64);
+                    self.schedule(
+                        NETWORK_DELAY,
+                        SimulationEvent::Deliver(to, Event::Peer { from: scheduler, body: body.clone() }),
+                    );
                 }
             }
-            Action::SetTimer { timer, after } => self.lay(after, What::Reach(at, Event::Timer(timer))),
+            Action::SetTimer { timer, after } => {
+                self.schedule(after, SimulationEvent::Deliver(scheduler, Event::Timer(timer)))
+            }
             Action::FetchList | Action::Subscribe(_) | Action::CloseIdle(_) | Action::Log(_) => {}
         }
     }
 
-    fn send(&mut self, at: u32, request: RequestId, worker: WorkerId) {
-        let Some(&host) = self.index.get(&worker) else { return };
-        let length = self.exponential(self.size.task_s());
-        let attempts = self.sent.get(&(at, request)).map_or(0, |sent| sent.0);
-        self.sent.insert((at, request), (attempts + 1, host));
-        let task = Task { at, request, attempt: attempts, length };
-        let patience = scenario::settings(self.size, at).limits.connect_timeout;
-        match self.hosts[host].state {
-            State::Serves => {}
-            State::Dead => return self.ended(host, task, Ending::Unreachable, DELAY),
-            State::Silent => return self.ended(host, task, Ending::Unreachable, patience),
+    fn send_attempt(&mut self, scheduler: u32, request: RequestId, worker: WorkerId) {
+        let Some(&worker_index) = self.index_by_id.get(&worker) else { return };
+        let duration = self.exponential(self.fleet.task_s());
+        let attempts = self.open_requests.get(&(scheduler, request)).map_or(0, |sent| sent.0);
+        self.open_requests.insert((scheduler, request), (attempts + 1, worker_index));
+        let task = Task { scheduler, request, attempt: attempts, duration };
+        let connect_timeout = scenario::settings(self.fleet, scheduler).limits.connect_timeout;
+        match self.workers[worker_index].state {
+            WorkerState::Serving => {}
+            WorkerState::Failed => {
+                return self.report_outcome(worker_index, task, Ending::Unreachable, NETWORK_DELAY);
+            }
+            WorkerState::Silent => {
+                return self.report_outcome(worker_index, task, Ending::Unreachable, connect_timeout);
+            }
         }
-        self.hosts[host].waiting.push_back(task);
-        self.fill(host);
+        self.workers[worker_index].waiting.push_back(task);
+        self.start_waiting_tasks(worker_index);
     }
 
-    /// Waiting tasks start while there are lanes.
-    fn fill(&mut self, host: usize) {
-        while self.hosts[host].running.len() < LANES as usize {
-            let Some(task) = self.hosts[host].waiting.pop_front() else { return };
-            self.hosts[host].running.push(task);
+    /// Starts waiting tasks while lanes are free.
+    fn start_waiting_tasks(&mut self, worker_index: usize) {
+        while self.workers[worker_index].running.len() < LANES as usize {
+            let Some(task) = self.workers[worker_index].waiting.pop_front() else { return };
+            self.workers[worker_index].running.push(task);
             let (request, attempt) = (task.request, task.attempt);
             let note = Event::Note { request, attempt, note: AttemptNote::Started };
-            self.lay(2 * DELAY, What::Reach(task.at, note));
-            self.lay(DELAY + task.length, What::End(host, task));
+            self.schedule(2 * NETWORK_DELAY, SimulationEvent::Deliver(task.scheduler, note));
+            self.schedule(NETWORK_DELAY + task.duration, SimulationEvent::TaskEnd(worker_index, task));
         }
     }
 
-    fn end(&mut self, host: usize, task: Task) {
-        let there = &self.hosts[host];
-        let running = there.running.iter().position(|running| *running == task);
-        let Some(nr) = running.filter(|_| there.state == State::Serves) else { return };
-        self.hosts[host].running.swap_remove(nr);
-        self.fill(host);
-        self.ended(host, task, Ending::Ok, DELAY);
+    fn end_task(&mut self, worker_index: usize, task: Task) {
+        let worker = &self.workers[worker_index];
+        let running = worker.running.iter().position(|running| *running == task);
+        let Some(position) = running.filter(|_| worker.state == WorkerState::Serving) else { return };
+        self.workers[worker_index].running.swap_remove(position);
+        self.start_waiting_tasks(worker_index);
+        self.report_outcome(worker_index, task, Ending::Ok, NETWORK_DELAY);
     }
 
-    fn report(&self, host: usize) -> Report {
-        let host = &self.hosts[host];
-        report(host.running.len() as u32, host.waiting.len() as u32)
+    fn load_report(&self, worker_index: usize) -> Report {
+        let worker = &self.workers[worker_index];
+        report(worker.running.len() as u32, worker.waiting.len() as u32)
     }
 
-    /// The scheduler hears after this time how an attempt ended.
-    fn ended(&mut self, host: usize, task: Task, ending: Ending, after: Micros) {
-        let served = ending == Ending::Ok;
-        if served {
-            self.sent.remove(&(task.at, task.request));
+    /// Reports the end of an attempt to its scheduler after the given time.
+    fn report_outcome(&mut self, worker_index: usize, task: Task, ending: Ending, after: Micros) {
+        let succeeded = ending == Ending::Ok;
+        if succeeded {
+            self.open_requests.remove(&(task.scheduler, task.request));
         }
         let outcome = Outcome {
             request: task.request,
             attempt: task.attempt,
-            worker: scenario::worker_id(self.seed, host as u32),
+            worker: scenario::worker_id(self.seed, worker_index as u32),
             ending,
-            elapsed: task.length,
-            concluded: served,
+            elapsed: task.duration,
+            concluded: succeeded,
             running: false,
-            report: served.then(|| self.report(host)),
+            report: succeeded.then(|| self.load_report(worker_index)),
         };
-        self.lay(after, What::Reach(task.at, Event::Outcome(outcome)));
+        self.schedule(after, SimulationEvent::Deliver(task.scheduler, Event::Outcome(outcome)));
     }
 
-    fn cancel(&mut self, at: u32, request: RequestId, attempt: u32) {
-        let Some(&(_, host)) = self.sent.get(&(at, request)) else { return };
-        let is = |task: &Task| (task.at, task.request, task.attempt) == (at, request, attempt);
-        let there = &mut self.hosts[host];
-        let task = there.running.iter().chain(&there.waiting).copied().find(is);
-        there.running.retain(|task| !is(task));
-        there.waiting.retain(|task| !is(task));
+    fn cancel(&mut self, scheduler: u32, request: RequestId, attempt: u32) {
+        let Some(&(_, worker_index)) = self.open_requests.get(&(scheduler, request)) else { return };
+        let is_attempt =
+            |task: &Task| (task.scheduler, task.request, task.attempt) == (scheduler, request, attempt);
+        let worker = &mut self.workers[worker_index];
+        let task = worker.running.iter().chain(&worker.waiting).copied().find(is_attempt);
+        worker.running.retain(|task| !is_attempt(task));
+        worker.waiting.retain(|task| !is_attempt(task));
         if let Some(task) = task {
-            self.ended(host, task, Ending::Cancelled, DELAY);
-            self.fill(host);
+            self.report_outcome(worker_index, task, Ending::Cancelled, NETWORK_DELAY);
+            self.start_waiting_tasks(worker_index);
         }
     }
 
-    fn probe(&mut self, at: u32, worker: WorkerId) {
-        let Some(&host) = self.index.get(&worker) else { return };
-        // A request and an answer.
-        self.count(at, MessageType::Probe, PROBE_BYTES / 2);
-        self.count(at, MessageType::Probe, PROBE_BYTES / 2);
-        let serves = self.hosts[host].state == State::Serves;
-        let ending = if serves { Ending::Ok } else { Ending::Unreachable };
-        let report = serves.then(|| self.report(host));
-        let patience = scenario::settings(self.size, at).limits.connect_timeout;
-        let elapsed = if self.hosts[host].state == State::Silent { patience } else { 2 * DELAY };
+    fn probe(&mut self, scheduler: u32, worker: WorkerId) {
+        let Some(&worker_index) = self.index_by_id.get(&worker) else { return };
+        // One request and one answer.
+        self.count_message(scheduler, MessageType::Probe, PROBE_BYTES / 2);
+        self.count_message(scheduler, MessageType::Probe, PROBE_BYTES / 2);
+        let serving = self.workers[worker_index].state == WorkerState::Serving;
+        let ending = if serving { Ending::Ok } else { Ending::Unreachable };
+        let report = serving.then(|| self.load_report(worker_index));
+        let connect_timeout = scenario::settings(self.fleet, scheduler).limits.connect_timeout;
+        let elapsed = if self.workers[worker_index].state == WorkerState::Silent {
+            connect_timeout
+        } else {
+            2 * NETWORK_DELAY
+        };
         let probed = Event::Probed { worker, ending, elapsed, report };
-        self.lay(elapsed, What::Reach(at, probed));
+        self.schedule(elapsed, SimulationEvent::Deliver(scheduler, probed));
     }
 
-    fn incident(&mut self, incident: Incident) {
+    fn apply_incident(&mut self, incident: Incident) {
         match incident {
             Incident::None => {}
             Incident::Restart => {
-                let settings = scenario::settings(self.size, 0);
+                let settings = scenario::settings(self.fleet, 0);
                 self.schedulers[0] = Dispatcher::new(settings, !self.seed, self.now);
-                let list = Event::Members(ListKind::Saved, scenario::members(self.size, self.seed));
-                self.reach(0, list);
+                let list = Event::Members(ListKind::Saved, scenario::members(self.fleet, self.seed));
+                self.deliver(0, list);
             }
             Incident::ZoneLost | Incident::ZoneSilent => {
-                let state = if incident == Incident::ZoneLost { State::Dead } else { State::Silent };
-                for host in (0..self.hosts.len()).step_by(self.size.zones as usize) {
-                    self.hosts[host].state = state;
-                    if state == State::Silent {
+                let state =
+                    if incident == Incident::ZoneLost { WorkerState::Failed } else { WorkerState::Silent };
+                for worker_index in (0..self.workers.len()).step_by(self.fleet.zones as usize) {
+                    self.workers[worker_index].state = state;
+                    if state == WorkerState::Silent {
                         continue;
                     }
-                    let running = std::mem::take(&mut self.hosts[host].running);
-                    let waiting = std::mem::take(&mut self.hosts[host].waiting);
-                    let all = running.into_iter().chain(waiting);
-                    all.for_each(|task| self.ended(host, task, Ending::Broken, DELAY));
+                    let running = std::mem::take(&mut self.workers[worker_index].running);
+                    let waiting = std::mem::take(&mut self.workers[worker_index].waiting);
+                    let lost_tasks = running.into_iter().chain(waiting);
+                    lost_tasks.for_each(|task| {
+                        self.report_outcome(worker_index, task, Ending::Broken, NETWORK_DELAY)
+                    });
                 }
             }
         }
--- a/crates/scaling/tests/simulation.rs
+++ b/crates/scaling/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The play of a fleet: what must come out of it whatever the sizes.
+//! Tests of properties that hold for simulations of any size.
 
 use calicolb_scaling::counts::MessageType;
 use calicolb_scaling::scenario::FleetParameters;
@@ -16,15 +16,19 @@
 };
 
 #[test]
-fn a_calm_fleet_serves_every_job_and_talks_of_each_within_its_cohorts() {
+fn calm_fleet_serves_every_job_and_sends_load_messages_within_cohorts() {
     let counts = simulate(&SMALL, 7, &[(10, Incident::None)]);
     assert!(counts.jobs(0) > 200, "{} jobs at 30 a second", counts.jobs(0));
     assert_eq!(counts.unserved(0), 0);
-    let talk = counts.total(0, MessageType::Load);
-    // A job is told of when it is sent and when it has ended; a cohort has four here.
-    let each = talk.messages as f64 / counts.jobs(0) as f64;
-    assert!((2.0..=2.0 * 2.0 * 7.0).contains(&each), "{each} messages a job, in and out");
-    assert!((8..=11).contains(&(talk.bytes / talk.messages)), "{talk:?}");
+    let load_messages = counts.total(0, MessageType::Load);
+    // A load message is sent to the cohort when a job is sent and when it has ended; a cohort has four schedulers
+    // here.
+    let messages_per_job = load_messages.messages as f64 / counts.jobs(0) as f64;
+    assert!(
+        (2.0..=2.0 * 2.0 * 7.0).contains(&messages_per_job),
+        "{messages_per_job} messages per job, sent and received"
+    );
+    assert!((8..=11).contains(&(load_messages.bytes / load_messages.messages)), "{load_messages:?}");
     assert_eq!(
         counts.total(0, MessageType::Hello).messages + counts.total(0, MessageType::FaultReport).messages,
         0
@@ -32,52 +36,60 @@
 }
 
 #[test]
-fn the_same_seed_plays_the_same_and_another_does_not() {
-    let told = |seed| simulate(&SMALL, seed, &[(5, Incident::None)]).total(0, MessageType::Load);
-    assert_eq!(told(3), told(3));
-    assert_ne!(told(3), told(4));
+fn equal_seeds_give_equal_counts_and_different_seeds_differ() {
+    let fault_report_count =
+        |seed| simulate(&SMALL, seed, &[(5, Incident::None)]).total(0, MessageType::Load);
+    assert_eq!(fault_report_count(3), fault_report_count(3));
+    assert_ne!(fault_report_count(3), fault_report_count(4));
 }
 
 #[test]
-fn one_start_is_greeted_by_all_and_a_start_of_all_by_all_of_them() {
+fn start_sends_a_hello_to_each_other_scheduler_and_receives_an_answer() {
     let counts = simulate(&SMALL, 7, &[(2, Incident::Restart)]);
     let others = u64::from(SMALL.schedulers - 1);
-    // Each of the others is greeted and answers; a message counts at both ends.
+    // Each other scheduler receives a hello and answers it; a message counts at its sender and at its receiver.
     assert_eq!(counts.total(0, MessageType::Hello).messages, 4 * others);
-    // Where all start, each greets all, is greeted by all, answers all and is answered by all.
+    // If all schedulers start, each sends a hello to all others, receives one from each, answers all and is answered
+    // by all.
     assert_eq!(counts.mass_restart().messages, 4 * others);
     assert_eq!(counts.mass_restart().bytes, 3 * 4 * others);
 }
 
 #[test]
-fn phases_are_counted_apart() {
+fn phases_are_counted_separately() {
     let phases = [(5, Incident::None), (2, Incident::Restart), (5, Incident::ZoneLost)];
     let counts = simulate(&SMALL, 7, &phases);
-    let of = |sort| [0, 1, 2].map(|phase| counts.total(phase, sort).messages);
-    assert_eq!(of(MessageType::Hello), [0, 4 * u64::from(SMALL.schedulers - 1), 0]);
-    let [calm, start, lost] = of(MessageType::FaultReport);
+    let messages_by_phase = |message_type| [0, 1, 2].map(|phase| counts.total(phase, message_type).messages);
+    assert_eq!(messages_by_phase(MessageType::Hello), [0, 4 * u64::from(SMALL.schedulers - 1), 0]);
+    let [calm, start, lost] = messages_by_phase(MessageType::FaultReport);
     assert!(calm + start == 0 && lost > 0, "{calm} {start} {lost}");
-    // What comes before the incidents is as without them.
+    // The phase before the incidents gives the same counts as a simulation without them.
     let alone = simulate(&SMALL, 7, &phases[..1]);
     assert_eq!(counts.total(0, MessageType::Load), alone.total(0, MessageType::Load));
 }
 
 #[test]
-fn a_lost_zone_is_told_of_and_its_jobs_move() {
+fn lost_zone_causes_fault_reports_and_fails_unsafe_jobs() {
     let counts = simulate(&SMALL, 7, &[(5, Incident::ZoneLost)]);
     let (all, worst) = (counts.total(0, MessageType::FaultReport), counts.worst(0, MessageType::FaultReport));
     assert!(all.messages > 0 && worst.messages > 0 && worst.messages < all.messages, "{all:?} {worst:?}");
     assert_eq!(all.bytes, 6 * all.messages);
-    assert!(counts.unserved(0) > 0, "what ran there and must not run twice is lost");
+    assert!(counts.unserved(0) > 0, "running jobs that must not run twice are lost");
 }
 
 #[test]
-fn a_zone_that_falls_silent_ends_nothing_and_is_found_by_connections_that_never_come_up() {
+fn silent_zone_causes_fewer_fault_reports_and_failures_than_a_lost_zone() {
     let [lost, silent] =
         [Incident::ZoneLost, Incident::ZoneSilent].map(|how| simulate(&SMALL, 7, &[(5, how)]));
-    let told =
+    let fault_report_count =
         |counts: &calicolb_scaling::counts::MessageCounts| counts.total(0, MessageType::FaultReport).messages;
-    assert!(told(&silent) < told(&lost), "{} {}", told(&silent), told(&lost));
-    // What ran there has not ended for anybody; only jobs whose every try met a worker that is gone are refused.
+    assert!(
+        fault_report_count(&silent) < fault_report_count(&lost),
+        "{} {}",
+        fault_report_count(&silent),
+        fault_report_count(&lost)
+    );
+    // The jobs in the silent zone have not ended; only jobs whose every attempt went to an unreachable worker are
+    // refused.
     assert!(silent.unserved(0) < lost.unserved(0), "{} {}", silent.unserved(0), lost.unserved(0));
 }
--- a/examples/settings_update.rs
+++ b/examples/settings_update.rs
@@ -1,7 +1,9 @@
-//! How long it takes until other settings are in force: 240 tenants, 10 classes, 690 workers, 3,400 open requests.
+//! Measures how long it takes to apply changed settings with 240 tenants, 10 classes, 690 workers and 3,400 open
+//! requests.
 //!
-//! `cargo run --release --example settings_update` prints one line for each kind of change: the median and the longest of 200
-//! take-ups in microseconds, for reading and checking the settings, placing their names, and the module.
+//! `cargo run --release --example settings_update` prints one line for each kind of change: the median and the
+//! maximum of 200 updates in microseconds, for reading and checking the settings, for merging them with the settings
+//! in force, and for the decision module.
 
 use calicolb::api::*;
 use calicolb::rules::Dispatcher;
@@ -13,19 +15,19 @@
 const TENANTS: usize = 240;
 const CLASSES: usize = 10;
 const WORKERS: u32 = 690;
-const OPEN: u32 = 3_400;
-const TIMES: usize = 200;
+const OPEN_REQUESTS: u32 = 3_400;
+const UPDATES: usize = 200;
 const SECOND: Micros = 1_000_000;
 
-fn site(tenants: usize) -> Value {
+fn settings_json(tenants: usize) -> Value {
     let classes: Vec<Value> = (0..CLASSES)
-        .map(|nr| {
-            json!({"name": format!("class-{nr}"), "aim_us": 30_000_000, "deadline_us": 60_000_000, "effect": "read_like",
+        .map(|number| {
+            json!({"name": format!("class-{number}"), "aim_us": 30_000_000, "deadline_us": 60_000_000, "effect": "read_like",
                 "worth": 1.0, "late_worth": 0.5})
         })
         .collect();
     let orgs: Vec<Value> = (0..tenants)
-        .map(|nr| json!({"name": format!("team-{nr}"), "quota_rps": 0.6, "share": 1.0 / tenants as f64}))
+        .map(|number| json!({"name": format!("team-{number}"), "quota_rps": 0.6, "share": 1.0 / tenants as f64}))
         .collect();
     json!({"azs": ["a", "b", "c", "d", "e", "f"], "kinds": ["plain", "fast"], "zone": "a", "n_instances": 300, "rank": 0,
         "ceilings": {"cancelling": true, "connect_timeout_us": 250_000, "max_retry_after_us": 2_000_000,
@@ -37,8 +39,8 @@
             "fall_multiple": 3.0, "fall_us": 1_000_000, "start_capacity": 0.3}, "tick_us": 1000})
 }
 
-/// A dispatcher with all workers and as many open requests as it takes.
-fn busy(settings: Settings, now: Micros) -> Dispatcher {
+/// A dispatcher that knows all workers and has received all open requests.
+fn dispatcher_with_open_requests(settings: Settings, now: Micros) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(settings, 7, now);
     let mut actions = Vec::new();
     let member = |id| Member {
@@ -54,7 +56,7 @@
         Event::Members(ListKind::Saved, (0..WORKERS).map(member).collect()),
         &mut actions,
     );
-    for id in 0..OPEN {
+    for id in 0..OPEN_REQUESTS {
         let arrival = Arrival {
             request: RequestId(id),
             class: ClassIx(id as usize % CLASSES),
@@ -68,15 +70,18 @@
     }
     let sent = actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
     let refused = actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count();
-    println!("{OPEN} requests came: {sent} are out, {refused} were refused, the others are held");
+    println!(
+        "{OPEN_REQUESTS} requests arrived: {sent} sent, {refused} refused, the others are in the hold queue"
+    );
     dispatcher
 }
 
 fn main() {
     let now = 1_000 * SECOND;
-    let read = |site: &Value| settings_from_json(site).unwrap_or_else(|fault| panic!("{fault}"));
-    let first = site(TENANTS);
-    let text = first.to_string();
+    let parse =
+        |json: &Value| settings_from_json(json).unwrap_or_else(|error| panic!("invalid settings: {error}"));
+    let initial = settings_json(TENANTS);
+    let text = initial.to_string();
     println!(
         "{TENANTS} tenants, {CLASSES} classes, {WORKERS} workers; the settings are {} bytes",
         text.len()
@@ -84,44 +89,49 @@
     let effects = ["read_like", "non_idempotent"];
     type Change = fn(&mut Value, usize);
     let changes: [(&str, Change); 5] = [
-        ("a tenant's quota", |site, nr| site["orgs"][nr % TENANTS]["quota_rps"] = json!(nr as f64 / 100.0)),
-        ("all tenants' quotas", |site, nr| {
-            for at in 0..TENANTS {
-                site["orgs"][at]["quota_rps"] = json!(nr as f64 / 100.0);
+        ("a tenant's quota", |json, number| {
+            json["orgs"][number % TENANTS]["quota_rps"] = json!(number as f64 / 100.0)
+        }),
+        ("all tenants' quotas", |json, number| {
+            for tenant in 0..TENANTS {
+                json["orgs"][tenant]["quota_rps"] = json!(number as f64 / 100.0);
             }
         }),
-        ("a class's aim", |site, nr| site["request_classes"][3]["aim_us"] = json!(30_000_000 + nr)),
-        ("a class's kind", |site, nr| site["extra"]["class_kind"][3] = json!(nr % 2)),
+        ("a class's aim", |json, number| json["request_classes"][3]["aim_us"] = json!(30_000_000 + number)),
+        ("a class's kind", |json, number| json["extra"]["class_kind"][3] = json!(number % 2)),
         ("a class's effect", |_, _| ()),
     ];
-    for (what, change) in changes {
-        let (settings, names): (Settings, Names) = read(&first);
-        let mut dispatcher = busy(settings.clone(), now);
-        let (mut held, mut spans, mut actions) = ((settings, names), Vec::new(), Vec::new());
-        for nr in 0..TIMES {
-            let mut site = first.clone();
-            change(&mut site, nr + 1);
-            if what == "a class's effect" {
-                site["request_classes"][3]["effect"] = json!(effects[(nr + 1) % 2]);
+    for (description, change) in changes {
+        let (settings, names): (Settings, Names) = parse(&initial);
+        let mut dispatcher = dispatcher_with_open_requests(settings.clone(), now);
+        let (mut current, mut durations, mut actions) = ((settings, names), Vec::new(), Vec::new());
+        for number in 0..UPDATES {
+            let mut json = initial.clone();
+            change(&mut json, number + 1);
+            if description == "a class's effect" {
+                json["request_classes"][3]["effect"] = json!(effects[(number + 1) % 2]);
             }
-            let text = site.to_string();
-            let begun = Instant::now();
-            let told = read(&serde_json::from_str(&text).unwrap_or_default());
+            let text = json.to_string();
+            let started = Instant::now();
+            let parsed = parse(&serde_json::from_str(&text).unwrap_or_default());
             let checked = Instant::now();
-            held = merge((&held.0, &held.1), (&told.0, &told.1)).unwrap_or_else(|fault| panic!("{fault}"));
-            let placed = Instant::now();
-            dispatcher.on_event(now, Event::Settings(Box::new(held.0.clone())), &mut actions);
-            let ended = Instant::now();
-            assert_eq!(*dispatcher.settings(), held.0, "they are in force");
-            spans.push(
-                [checked - begun, placed - checked, ended - placed].map(|span| span.as_secs_f64() * 1e6),
+            current = merge((&current.0, &current.1), (&parsed.0, &parsed.1))
+                .unwrap_or_else(|error| panic!("the settings cannot be merged: {error}"));
+            let merged = Instant::now();
+            dispatcher.on_event(now, Event::Settings(Box::new(current.0.clone())), &mut actions);
+            let applied = Instant::now();
+            assert_eq!(*dispatcher.settings(), current.0, "the merged settings are in force");
+            durations.push(
+                [checked - started, merged - checked, applied - merged]
+                    .map(|duration| duration.as_secs_f64() * 1e6),
             );
         }
-        let figures = ["read and checked", "placed", "module"].iter().enumerate().map(|(part, name)| {
-            let mut of: Vec<f64> = spans.iter().map(|span| span[part]).collect();
-            of.sort_by(f64::total_cmp);
-            format!("{name} {:.0} ({:.0} at most)", of[of.len() / 2], of[of.len() - 1])
-        });
-        println!("{what}: {} us", figures.collect::<Vec<_>>().join(", "));
+        let results =
+            ["read and checked", "merged", "decision module"].iter().enumerate().map(|(step, name)| {
+                let mut values: Vec<f64> = durations.iter().map(|duration| duration[step]).collect();
+                values.sort_by(f64::total_cmp);
+                format!("{name} {:.0} (maximum {:.0})", values[values.len() / 2], values[values.len() - 1])
+            });
+        println!("{description}: {} us", results.collect::<Vec<_>>().join(", "));
     }
 }
