--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,19 @@
-//! Settings and events for the tests of the decision module.
+//! Settings, events and a dispatcher with a test clock for the tests of the decision module.
 #![allow(dead_code)]
 
-pub mod ledger;
+pub mod rule_checker;
 
 use calicolb::api::*;
 use calicolb::rules::Dispatcher;
 
+/// One millisecond in microseconds.
 pub const MS: Micros = 1_000;
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// The clock begins at no particular value.
+/// Start of the test clock; an arbitrary value other than 0.
 pub const T0: Micros = 500 * SECOND;
 
+/// A class with this effect, an aim of 500 ms and a deadline of 10 s.
 pub fn class(effect: Effect) -> Class {
     Class {
         aim: 500 * MS,
@@ -25,7 +28,8 @@
     }
 }
 
-/// One dispatcher, one zone, one kind; class 0 is safe, class 1 unsafe.
+/// Settings of one dispatcher in zone 0, with two zones, two kinds, no tenants and first-in, first-out queue order; class 0 is
+/// safe, class 1 unsafe.
 pub fn settings() -> Settings {
     Settings {
         rank: 0,
@@ -69,7 +73,8 @@
     }
 }
 
-/// Settings that differ in all that the rules hang on.
+/// Settings that differ in all values on which the rules depend: the default, keyed effects, a late worth with single
+/// attempts, and peers.
 pub fn variants() -> Vec<Settings> {
     let mut keyed = settings();
     for (class, group) in keyed.classes.iter_mut().zip([Group::Zone, Group::All]) {
@@ -88,6 +93,7 @@
     vec![settings(), keyed, late, peers]
 }
 
+/// A list entry for a worker in zone 0 that is in service, with cell `id % 2`.
 pub fn member(id: u32) -> Member {
     Member {
         worker: WorkerId(id),
@@ -100,6 +106,7 @@
     }
 }
 
+/// A request without a tenant that arrives at `now`, expires after 10 s and has `work` as its hint.
 pub fn arrival(id: u32, class: usize, now: Micros, work: Micros) -> Arrival {
     Arrival {
         request: RequestId(id),
@@ -117,46 +124,55 @@
 
 /// A dispatcher under test, with its clock.
 pub struct Bench {
+    /// Dispatcher under test.
     pub dispatcher: Dispatcher,
+    /// Current time of the test clock.
     pub now: Micros,
 }
 
 impl Bench {
+    /// Starts a dispatcher without workers at [`T0`].
     pub fn new(settings: Settings) -> Self {
         Bench { dispatcher: Dispatcher::new(settings, 7, T0), now: T0 }
     }
 
-    /// With these workers in the list from the start.
+    /// Starts a dispatcher whose saved list contains these workers.
     pub fn with_workers(settings: Settings, ids: &[u32]) -> Self {
         let mut bench = Bench::new(settings);
         bench.members(ListKind::Saved, ids.iter().map(|&id| member(id)).collect());
         bench
     }
 
+    /// Sets the clock to this time after [`T0`].
     pub fn at(&mut self, after: Micros) -> &mut Self {
         self.now = T0 + after;
         self
     }
 
+    /// Sends an event to the dispatcher and returns its actions.
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.on_event(self.now, event, &mut actions);
         actions
     }
 
+    /// Sends a list of workers to the dispatcher.
     pub fn members(&mut self, kind: ListKind, members: Vec<Member>) -> Vec<Action> {
         self.tell(Event::Members(kind, members))
     }
 
+    /// Sends the arrival of a request with this class and estimated work to the dispatcher.
     pub fn arrive(&mut self, id: u32, class: usize, work: Micros) -> Vec<Action> {
         self.tell(Event::Arrival(arrival(id, class, self.now, work)))
     }
 
+    /// Reports the outcome of an attempt without a load report; the request is answered if it ended with [`Ending::Ok`].
     pub fn outcome(&mut self, id: u32, attempt: u32, worker: WorkerId, ending: Ending) -> Vec<Action> {
         let concluded = ending == Ending::Ok;
         self.report(id, attempt, worker, ending, concluded, None)
     }
 
+    /// Reports the outcome of an attempt after 100 ms, with the worker's number of free slots if given.
     pub fn report(
         &mut self,
         id: u32,
@@ -168,17 +184,17 @@
     ) -> Vec<Action> {
         let report = free_slots.map(|free| Report { free_slots: Some(free), ..Report::default() });
         let (request, elapsed) = (RequestId(id), 100 * MS);
-        // What broke or was too late may run on; who was called off has heard of it.
+        // A broken or timed-out attempt may still run; a cancelled one has ended at its worker.
         let running = matches!(ending, Ending::Broken | Ending::TimedOut);
         let outcome = Outcome { request, attempt, worker, ending, elapsed, running, concluded, report };
         self.tell(Event::Outcome(outcome))
     }
 
-    /// Lets the timers that the module has set fire, every 10 ms, for this long.
+    /// Advances the clock by `span` in steps of 10 ms and fires timers 1 and 2 after each step.
     pub fn wait(&mut self, span: Micros) -> Vec<Action> {
-        let until = self.now + span;
+        let end = self.now + span;
         let mut actions = Vec::new();
-        while self.now < until {
+        while self.now < end {
             self.now += 10 * MS;
             for timer in [1, 2] {
                 self.dispatcher.on_event(self.now, Event::Timer(TimerId(timer)), &mut actions);
@@ -188,7 +204,7 @@
     }
 }
 
-/// The sends among actions: request and worker.
+/// Request and worker of each attempt that the actions send.
 pub fn sends(actions: &[Action]) -> Vec<(u32, WorkerId)> {
     let pick = |action: &Action| match action {
         Action::Send { request, worker, .. } => Some((request.0, *worker)),
@@ -197,7 +213,7 @@
     actions.iter().filter_map(pick).collect()
 }
 
-/// The final answers among actions: request, and whether it was a refusal.
+/// Request of each final answer among the actions, and whether the answer is a refusal.
 pub fn answers(actions: &[Action]) -> Vec<(u32, bool)> {
     let pick = |action: &Action| match action {
         Action::Refuse { request, .. } => Some((request.0, true)),
--- a/tests/rules_kept.rs
+++ b/tests/rules_kept.rs
@@ -1,8 +1,8 @@
-//! Random legal streams of events, checked against the four rules by a ledger of its own.
+//! Random legal streams of events, checked against the four rules by an independent checker.
 
 mod common;
 
-use common::ledger::{play, step};
+use common::rule_checker::{run_stream, step};
 use common::variants;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -15,8 +15,8 @@
         let mut runner = TestRunner::new_with_rng(config, rng);
         let streams = proptest::collection::vec(step(), 50..400);
         let checked = runner.run(&streams, |steps| {
-            let first = play(settings.clone(), 3, &steps);
-            prop_assert_eq!(first, play(settings.clone(), 3, &steps));
+            let first = run_stream(settings.clone(), 3, &steps);
+            prop_assert_eq!(first, run_stream(settings.clone(), 3, &steps));
             Ok(())
         });
         checked.unwrap_or_else(|failure| panic!("settings {nr}: {failure}"));
