--- a/tests/start.rs
+++ b/tests/start.rs
@@ -1,6 +1,6 @@
-//! Many processes at once, and a process whose descriptors are all taken.
+//! Start of many processes at once, and a process whose descriptors are all in use.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses only a part of this module")]
 mod scenario;
 
 use scenario::{Setup, play};
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn thirty_processes_that_start_at_once_are_ready_within_10_s_whatever_discovery_does() {
-    // It is down (nobody listens), silent, or has too many callers and refuses.
+fn thirty_processes_that_start_at_once_are_ready_within_10_s_while_discovery_fails() {
+    // Discovery is down (no listener), does not answer, or is overloaded and answers 503.
     for discovery in ["close d", "", "expect d GET /discovery/hosts?watch=1&from=41\nsend d 503"] {
         let since = Instant::now();
         thread::scope(|scope| {
@@ -18,13 +18,18 @@
                 scope.spawn(move || Setup { pushed, ..Setup::default() }.play(&script));
             }
         });
-        assert!(since.elapsed() < Duration::from_secs(10), "{:?} with '{discovery}'", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_secs(10),
+            "the start took {:?} with the discovery script '{discovery}'",
+            since.elapsed()
+        );
     }
 }
 
 #[test]
-fn with_all_of_256_descriptors_held_by_idle_clients_everybody_else_still_gets_theirs() {
-    // The configuration grants 256, the system too. Discovery ends the watch, a worker, its call-back and a new client come.
+fn discovery_workers_and_new_clients_connect_while_idle_clients_hold_all_256_descriptors() {
+    // The configuration and the system both allow 256 descriptors. Discovery ends the watch; a connection to a worker, its
+    // callback and a new client each need a descriptor.
     let idle: String = (1..=250).map(|nr| format!("send c{nr} GET /up\nexpect c{nr} 200\n")).collect();
     Setup { descriptors: 256, ..Setup::default() }.play(&format!(
         r#"
@@ -46,8 +51,9 @@
 }
 
 #[test]
-fn a_flood_and_a_trickle_hold_up_nobody_else() {
-    // Requests without an end, one byte at a time, and many at once; a client beside them is served in its time.
+fn oversized_slow_and_malformed_requests_do_not_delay_other_clients() {
+    // The clients send an oversized head, an oversized body, bytes that are no HTTP, three requests at once, and a request
+    // byte by byte; another client is served meanwhile.
     let trickle: String = "POST /look HT"
         .chars()
         .map(|byte| {
