--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,169 +1,175 @@
 //! Five control machines and schedulers of two regions, as processes, with faults between them. Each test ends with the
-//! claims of [`Regions::check`]: no version that was acknowledged is lost, none was in force that was not agreed, and no
-//! request was lost meanwhile. A failure tells the line that plays it again.
+//! assertions of [`Regions::check`]: no acknowledged version is lost, only decided versions were in force, and no request
+//! was lost. A failure prints the command that repeats the run.
 
-#[allow(dead_code, reason = "each test program uses a part of it")]
+#[allow(dead_code, reason = "each test program uses only a part of this module")]
 mod regions;
 
 use regions::http::{Watch, call};
-use regions::{LIMIT, MACHINES, Regions, Setup, WITHIN, both};
+use regions::{IN_FORCE_TIMEOUT, MACHINES, Regions, Setup, WAIT_TIMEOUT, quota_change};
 use rustix::net::{AddressFamily, SocketType, connect, socket, sockopt};
 use serde_json::json;
 use std::sync::atomic::Ordering;
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Tests that play at once: with many processes they would measure the machine.
-static PLACES: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
+/// Free places for tests that run at the same time. At most three run, since with more processes the tests would measure the
+/// load of the machine.
+static FREE_TEST_SLOTS: (Mutex<usize>, Condvar) = (Mutex::new(3), Condvar::new());
 
-/// A place among them.
-struct Place;
+/// A place for a running test, given back on drop.
+struct TestSlot;
 
-impl Place {
-    fn take() -> Place {
-        let mut free = PLACES.0.lock().unwrap_or_else(PoisonError::into_inner);
+impl TestSlot {
+    fn take() -> TestSlot {
+        let mut free = FREE_TEST_SLOTS.0.lock().unwrap_or_else(PoisonError::into_inner);
         while *free == 0 {
-            free = PLACES.1.wait(free).unwrap_or_else(PoisonError::into_inner);
+            free = FREE_TEST_SLOTS.1.wait(free).unwrap_or_else(PoisonError::into_inner);
         }
         *free -= 1;
-        Place
+        TestSlot
     }
 }
 
-impl Drop for Place {
+impl Drop for TestSlot {
     fn drop(&mut self) {
-        *PLACES.0.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-        PLACES.1.notify_one();
+        *FREE_TEST_SLOTS.0.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+        FREE_TEST_SLOTS.1.notify_one();
     }
 }
 
-/// A figure that the environment may set.
-fn told(name: &str, or: usize) -> usize {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(or)
+/// A number from an environment variable, or `default`.
+fn number_from_env(name: &str, default: usize) -> usize {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Another machine than this one.
-fn other(than: usize) -> usize {
-    than % MACHINES + 1
+/// The machine with the next id; id 1 follows the last.
+fn next_machine(id: usize) -> usize {
+    id % MACHINES + 1
 }
 
 #[test]
-fn changes_are_in_force_everywhere_while_the_leader_is_killed() {
-    let _place = Place::take();
-    let mut regions = Regions::start("changes_are_in_force_everywhere_while_the_leader_is_killed", [2, 1]);
+fn changes_come_into_force_everywhere_after_the_leader_is_killed() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("changes_come_into_force_everywhere_after_the_leader_is_killed", [2, 1]);
     for value in 10..14 {
         regions.change(1, value);
-        regions.level("a change");
+        regions.wait_in_force("a change");
     }
     let leader = regions.leader();
-    let asked = other(leader);
+    let running = next_machine(leader);
     regions.kill(leader);
     for value in 20..24 {
-        regions.change(asked, value);
-        regions.level("a change after the leader was killed");
+        regions.change(running, value);
+        regions.wait_in_force("a change after the leader was killed");
     }
     regions.boot(leader);
     regions.change(leader, 30);
-    regions.level("a change at the machine that is back");
+    regions.wait_in_force("a change at the restarted machine");
     regions.check();
 }
 
 #[test]
-fn with_two_of_five_killed_changes_go_on_and_with_three_none_is_taken() {
-    let _place = Place::take();
+fn changes_succeed_with_two_of_five_machines_down_and_fail_with_three() {
+    let _slot = TestSlot::take();
     let mut regions =
-        Regions::start("with_two_of_five_killed_changes_go_on_and_with_three_none_is_taken", [2, 1]);
+        Regions::start("changes_succeed_with_two_of_five_machines_down_and_fail_with_three", [2, 1]);
     let leader = regions.leader();
-    let (second, third) = (other(leader), other(other(leader)));
-    let left = other(third);
+    let (second, third) = (next_machine(leader), next_machine(next_machine(leader)));
+    let fourth = next_machine(third);
     regions.kill(leader);
     regions.kill(second);
-    regions.change(left, 10);
-    regions.level("a change with three of five");
+    regions.change(fourth, 10);
+    regions.wait_in_force("a change with three of five machines");
     regions.kill(third);
-    regions.wait("the minority knows that it is one", LIMIT, || {
-        regions.state(left).is_some_and(|state| state["majority"] == json!(false))
+    regions.wait("the minority reports that it has no majority", WAIT_TIMEOUT, || {
+        regions.state(fourth).is_some_and(|state| state["majority"] == json!(false))
     });
-    let (status, head, told) = regions.ask(left, &both(11));
-    assert_eq!(status, 503, "{head} {told}");
+    let (status, head, answer) = regions.request_change(fourth, &quota_change(11));
+    assert_eq!(status, 503, "{head} {answer}");
     assert!(head.to_ascii_lowercase().contains("retry-after:"), "{head}");
-    assert!(told["why"].as_str().is_some_and(|why| why.contains("majority")), "{told}");
+    assert!(answer["why"].as_str().is_some_and(|why| why.contains("majority")), "{answer}");
     regions.boot(third);
-    regions.change(left, 12);
-    regions.level("a change with three of five again");
+    regions.change(fourth, 12);
+    regions.wait_in_force("a change with three of five machines again");
     regions.boot(leader);
     regions.boot(second);
     for id in [leader, second] {
-        regions.wait("a machine that is back has what was agreed", Duration::from_secs(4), || {
-            regions.state(id).is_some_and(|state| state["seq"].as_u64() >= Some(regions.last().0))
+        regions.wait("a restarted machine has the last decided version", Duration::from_secs(4), || {
+            regions.state(id).is_some_and(|state| state["seq"].as_u64() >= Some(regions.last_accepted().0))
         });
     }
     regions.check();
 }
 
 #[test]
-fn regions_that_lose_each_other_are_level_soon_after_their_return() {
-    let _place = Place::take();
+fn separated_regions_have_the_same_version_soon_after_they_are_joined() {
+    let _slot = TestSlot::take();
     let mut regions =
-        Regions::start("regions_that_lose_each_other_are_level_soon_after_their_return", [2, 2]);
+        Regions::start("separated_regions_have_the_same_version_soon_after_they_are_joined", [2, 2]);
     regions.change(5, 10);
-    regions.level("a change before");
-    regions.part(true);
-    let apart = Instant::now();
-    // The side with three of five goes on.
+    regions.wait_in_force("a change before the fault");
+    regions.set_partitioned(true);
+    let partitioned_since = Instant::now();
+    // The region with three of five machines keeps deciding.
     regions.change(1, 11);
-    regions.level_at(&[0, 1], "a change at the side with a majority");
-    // The other side decides nothing, and its schedulers know that they are behind.
+    regions.wait_in_force_at(&[0, 1], "a change in the region with a majority");
+    // The other region decides nothing, and its schedulers report that they are behind.
     for id in [4, 5] {
-        regions.wait("the minority says so", LIMIT, || {
+        regions.wait("a machine of the minority reports no majority", WAIT_TIMEOUT, || {
             regions.state(id).is_some_and(|state| state["majority"] == json!(false))
         });
-        assert_eq!(regions.ask(id, &both(99)).0, 503);
+        assert_eq!(regions.request_change(id, &quota_change(99)).0, 503);
     }
     for rank in [2, 3] {
-        regions.wait("a scheduler there knows that it is behind", LIMIT, || {
-            regions.figure(rank, "control.behind").as_deref() == Some("1")
+        regions.wait("a scheduler of the minority reports that it is behind", WAIT_TIMEOUT, || {
+            regions.metric(rank, "control.behind").as_deref() == Some("1")
         });
-        assert!(regions.seen_at(rank, regions.last().0).is_none(), "it heard of what it cannot have heard");
+        assert!(
+            regions.first_in_force(rank, regions.last_accepted().0).is_none(),
+            "scheduler {rank} has a version of the other region in force"
+        );
     }
-    assert!(regions.state(4).is_some_and(|state| state["seq"].as_u64() < Some(regions.last().0)));
+    assert!(regions.state(4).is_some_and(|state| state["seq"].as_u64() < Some(regions.last_accepted().0)));
     regions.change(1, 12);
-    // Longer where the environment says so: CONTROL_APART_S.
-    let span = Duration::from_secs(told("CONTROL_APART_S", 4) as u64);
-    regions.wait("they are apart for some time", LIMIT + span, || apart.elapsed() > span);
-    // They have found the machines of their side meanwhile, and hearing these makes none of them level.
-    regions.wait("the schedulers there watch the machines there", LIMIT, || {
+    // The environment variable CONTROL_APART_S sets the duration of the partition in seconds.
+    let span = Duration::from_secs(number_from_env("CONTROL_APART_S", 4) as u64);
+    regions.wait("the duration of the partition has passed", WAIT_TIMEOUT + span, || {
+        partitioned_since.elapsed() > span
+    });
+    // The schedulers watch the machines of their own region by now; without a majority there, they still count as behind.
+    regions.wait("the schedulers of the minority watch its machines", WAIT_TIMEOUT, || {
         let watched = [4, 5].map(|id| regions.learners(id)).concat();
         ["n2", "n3"].iter().all(|name| watched.contains(&(*name).to_owned()))
     });
     for rank in [2, 3] {
-        assert_eq!(regions.figure(rank, "control.behind").as_deref(), Some("1"), "scheduler {rank}");
+        assert_eq!(regions.metric(rank, "control.behind").as_deref(), Some("1"), "scheduler {rank}");
     }
-    regions.part(false);
-    regions.level("the return");
+    regions.set_partitioned(false);
+    regions.wait_in_force("the regions are joined");
     for id in [4, 5] {
-        regions.wait("the machines there have a majority again", WITHIN, || {
+        regions.wait("the machines of the minority have a majority again", IN_FORCE_TIMEOUT, || {
             regions.state(id).is_some_and(|state| state["majority"] == json!(true))
         });
     }
     for rank in 0..4 {
-        regions.wait("a scheduler knows that it is level", WITHIN, || {
-            regions.figure(rank, "control.behind").as_deref() == Some("0")
+        regions.wait("a scheduler reports that it is not behind", IN_FORCE_TIMEOUT, || {
+            regions.metric(rank, "control.behind").as_deref() == Some("0")
         });
     }
     regions.change(4, 13);
-    regions.level("a change at the side that was apart");
+    regions.wait_in_force("a change in the region that had no majority");
     regions.check();
 }
 
 #[test]
-fn a_faulty_version_in_mid_stream_changes_nothing() {
-    let _place = Place::take();
-    let mut regions = Regions::start("a_faulty_version_in_mid_stream_changes_nothing", [1, 1]);
+fn invalid_change_is_rejected_with_its_key_and_changes_nothing() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("invalid_change_is_rejected_with_its_key_and_changes_nothing", [1, 1]);
     regions.change(1, 10);
-    regions.level("a change before");
-    let before = regions.last();
-    regions.with_majority(2);
+    regions.wait_in_force("a change before the fault");
+    let before = regions.last_accepted();
+    regions.wait_for_majority(2);
     for (body, key) in [
         (
             json!({"set": {"orgs.acme.quota_rps": 77, "request_classes.look.effect": "odd"}}),
@@ -176,121 +182,133 @@
             "request_classes",
         ),
     ] {
-        let (status, _, told) = regions.ask(2, &body);
-        assert_eq!(status, 400, "{body}: {told}");
-        assert!(told["key"].as_str().is_some_and(|told| told.starts_with(key)), "{body}: {told}");
-        assert!(told["why"].as_str().is_some_and(|why| !why.is_empty()), "{body}: {told}");
+        let (status, _, answer) = regions.request_change(2, &body);
+        assert_eq!(status, 400, "{body}: {answer}");
+        assert!(answer["key"].as_str().is_some_and(|text| text.starts_with(key)), "{body}: {answer}");
+        assert!(answer["why"].as_str().is_some_and(|why| !why.is_empty()), "{body}: {answer}");
     }
-    let state = regions.state(2).expect("it answers");
+    let state = regions.state(2).expect("control machine 2 reports no state");
     assert_eq!(state["seq"].as_u64(), Some(before.0), "{state}");
     regions.change(3, 11);
-    regions.level("a change after");
-    assert_eq!(regions.last().0, before.0 + 1);
+    regions.wait_in_force("a change after the fault");
+    assert_eq!(regions.last_accepted().0, before.0 + 1);
     regions.check();
 }
 
 #[test]
-fn what_was_agreed_outlives_a_restart_of_all_machines() {
-    let _place = Place::take();
-    let mut regions = Regions::start("what_was_agreed_outlives_a_restart_of_all_machines", [1, 1]);
+fn decided_versions_survive_a_restart_of_all_machines() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("decided_versions_survive_a_restart_of_all_machines", [1, 1]);
     for value in 10..13 {
         regions.change(1, value);
     }
-    regions.level("changes before");
+    regions.wait_in_force("changes before the restart");
     (1..=MACHINES).for_each(|id| regions.kill(id));
-    // Schedulers go on by what is in force, and say that they are behind.
+    // The schedulers keep the version in force and report that they are behind.
     for rank in 0..2 {
-        regions.wait("a scheduler knows that it is behind", LIMIT, || {
-            regions.figure(rank, "control.behind").as_deref() == Some("1")
+        regions.wait("a scheduler reports that it is behind", WAIT_TIMEOUT, || {
+            regions.metric(rank, "control.behind").as_deref() == Some("1")
         });
-        assert_eq!(regions::in_force(regions.schedulers[rank].door), Some(regions.last()));
+        assert_eq!(regions::in_force(regions.schedulers[rank].management), Some(regions.last_accepted()));
     }
     let since = Instant::now();
-    regions.wait("they are down for some time", LIMIT, || since.elapsed() > Duration::from_secs(4));
+    regions.wait("the machines have been down for four seconds", WAIT_TIMEOUT, || {
+        since.elapsed() > Duration::from_secs(4)
+    });
     (1..=MACHINES).for_each(|id| regions.boot(id));
-    regions.wait("the schedulers watch again", Duration::from_secs(3), || {
+    regions.wait("the schedulers watch the machines again", Duration::from_secs(3), || {
         let watching = (1..=MACHINES).flat_map(|id| regions.learners(id)).collect::<Vec<_>>();
         ["n0", "n1"].iter().all(|name| watching.contains(&(*name).to_owned()))
     });
     regions.change(2, 20);
-    regions.level("a change after all were restarted");
+    regions.wait_in_force("a change after the restart of all machines");
     regions.check();
 }
 
 #[test]
-fn a_machine_that_stands_still_for_five_seconds_holds_nothing_up() {
-    let _place = Place::take();
-    // It is the missing lines of the watch that tell, long before a scheduler counts itself as behind.
+fn changes_succeed_while_the_leader_is_stopped_for_five_seconds() {
+    let _slot = TestSlot::take();
+    // A scheduler has to notice the stopped machine by the missing lines of its watch, since the silence timeout of 60 s is
+    // too long for this test.
     let setup = Setup { silence: Duration::from_secs(60), ..Setup::new([2, 1]) };
-    let mut regions = Regions::of("a_machine_that_stands_still_for_five_seconds_holds_nothing_up", setup);
+    let mut regions =
+        Regions::with_setup("changes_succeed_while_the_leader_is_stopped_for_five_seconds", setup);
     let leader = regions.leader();
-    // The machine that a scheduler watches stands still as well, where that is another one.
+    // The machine that scheduler 0 watches is stopped as well if it is not the leader.
     let mut watched = None;
-    regions.wait("a scheduler tells a machine what it has in force", LIMIT, || {
+    regions.wait("scheduler 0 reports its version in force to a machine", WAIT_TIMEOUT, || {
         watched = (1..=MACHINES).find(|id| regions.learners(*id).contains(&"n0".to_owned()));
         watched.is_some()
     });
-    let still: std::collections::BTreeSet<usize> = [Some(leader), watched].into_iter().flatten().collect();
-    let asked = (1..=MACHINES).find(|id| !still.contains(id)).unwrap_or(1);
+    let stopped: std::collections::BTreeSet<usize> = [Some(leader), watched].into_iter().flatten().collect();
+    let running = (1..=MACHINES).find(|id| !stopped.contains(id)).unwrap_or(1);
     let since = Instant::now();
-    still.iter().for_each(|id| regions.machines[id - 1].signal("STOP"));
-    regions.change(asked, 10);
-    regions.level("a change while the leader stands still");
-    regions.wait("they stand still for five seconds", LIMIT, || since.elapsed() > Duration::from_secs(5));
-    still.iter().for_each(|id| regions.machines[id - 1].signal("CONT"));
-    regions.change(asked, 11);
-    regions.level("a change after they go on");
+    stopped.iter().for_each(|id| regions.machines[id - 1].signal("STOP"));
+    regions.change(running, 10);
+    regions.wait_in_force("a change while the leader is stopped");
+    regions.wait("the machines have been stopped for five seconds", WAIT_TIMEOUT, || {
+        since.elapsed() > Duration::from_secs(5)
+    });
+    stopped.iter().for_each(|id| regions.machines[id - 1].signal("CONT"));
+    regions.change(running, 11);
+    regions.wait_in_force("a change after the machines continue");
     regions.check();
 }
 
 #[test]
-fn a_leader_that_is_heard_and_hears_nothing_is_replaced() {
-    let _place = Place::take();
-    let mut regions = Regions::start("a_leader_that_is_heard_and_hears_nothing_is_replaced", [1, 1]);
+fn leader_that_can_send_but_not_receive_is_replaced() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("leader_that_can_send_but_not_receive_is_replaced", [1, 1]);
     let leader = regions.leader();
-    for ((from, to), relay) in regions.ways() {
+    for ((from, to), relay) in regions.machine_relays() {
         if *to == leader {
-            relay.there().cut.store(true, Ordering::Relaxed);
+            relay.to_target().blocked.store(true, Ordering::Relaxed);
         } else if *from == leader {
-            relay.back().cut.store(true, Ordering::Relaxed);
+            relay.from_target().blocked.store(true, Ordering::Relaxed);
         }
     }
-    regions.change(other(leader), 10);
-    regions.level("a change while one way to the leader is cut");
-    regions.ways().for_each(|(_, relay)| relay.cut(false));
+    regions.change(next_machine(leader), 10);
+    regions.wait_in_force("a change while the leader receives nothing");
+    regions.machine_relays().for_each(|(_, relay)| relay.set_blocked(false));
     regions.change(leader, 11);
-    regions.level("a change at the leader that was");
+    regions.wait_in_force("a change at the former leader");
     regions.check();
 }
 
 #[test]
-fn loss_and_delay_on_every_way_hold_nothing_up_for_long() {
-    let _place = Place::take();
-    let mut regions = Regions::start("loss_and_delay_on_every_way_hold_nothing_up_for_long", [1, 1]);
-    let ways: Vec<_> =
-        regions.ways().map(|(_, relay)| relay).chain(regions.learning().map(|(_, relay)| relay)).collect();
-    for relay in ways {
-        for way in [relay.there(), relay.back()] {
-            way.delay_us.store(2_000, Ordering::Relaxed);
-            way.breaks.store(10_000, Ordering::Relaxed);
-            way.stalls.store(20_000, Ordering::Relaxed);
+fn changes_come_into_force_in_time_with_loss_and_delay_on_all_connections() {
+    let _slot = TestSlot::take();
+    let mut regions =
+        Regions::start("changes_come_into_force_in_time_with_loss_and_delay_on_all_connections", [1, 1]);
+    let relays: Vec<_> = regions
+        .machine_relays()
+        .map(|(_, relay)| relay)
+        .chain(regions.learner_relays().map(|(_, relay)| relay))
+        .collect();
+    for relay in relays {
+        for direction in [relay.to_target(), relay.from_target()] {
+            direction.delay_us.store(2_000, Ordering::Relaxed);
+            direction.breaks_per_million.store(10_000, Ordering::Relaxed);
+            direction.stalls_per_million.store(20_000, Ordering::Relaxed);
         }
     }
     for value in 10..20 {
         let id = regions.random.usize(1..=MACHINES);
         regions.change(id, value);
-        regions.level("a change with loss");
+        regions.wait_in_force("a change with loss");
     }
     regions.check();
 }
 
 #[test]
-fn a_machine_ends_in_order_and_turns_away_what_it_cannot_take() {
-    let _place = Place::take();
-    let mut regions = Regions::start("a_machine_ends_in_order_and_turns_away_what_it_cannot_take", [1, 0]);
-    let at = regions.machines[0].at.expect("it runs");
+fn machine_rejects_invalid_requests_and_exits_cleanly_on_sigterm() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("machine_rejects_invalid_requests_and_exits_cleanly_on_sigterm", [1, 0]);
+    let at = regions.machines[0].address.expect("control machine 1 does not run");
     let status = |method: &str, target: &str, body: &[u8]| {
-        call(at, method, target, "", body).map(|(status, ..)| status).expect("it answers")
+        call(at, method, target, "", body)
+            .map(|(status, ..)| status)
+            .expect("control machine 1 does not answer")
     };
     assert_eq!(status("GET", "/control/nothing", b""), 404);
     assert_eq!(status("GET", "/control/changes", b""), 405);
@@ -301,35 +319,35 @@
     assert_eq!(status("POST", "/control/talk?from=2", b"nothing that can be read"), 204);
     assert_eq!(status("POST", "/control/in-force", br#"{"name":"a b","seq":1}"#), 400);
     assert_eq!(status("GET", "/control/versions?watch=1&name=", b""), 400);
-    // Who does not send the whole of a request is told so, and let go.
+    // A client that does not complete its request gets status 408 and is disconnected.
     let since = Instant::now();
-    let mut slow = std::net::TcpStream::connect(at).expect("it takes connections");
-    slow.set_read_timeout(Some(Duration::from_secs(6))).expect("a limit can be set");
-    let mut told = String::new();
-    std::io::Write::write_all(&mut slow, b"GET /control/st").expect("it is written");
-    std::io::Read::read_to_string(&mut slow, &mut told).expect("it ends in order");
-    assert!(told.starts_with("HTTP/1.1 408"), "{told}");
+    let mut slow = std::net::TcpStream::connect(at).expect("control machine 1 accepts no connection");
+    slow.set_read_timeout(Some(Duration::from_secs(6))).expect("the read timeout could not be set");
+    let mut answer = String::new();
+    std::io::Write::write_all(&mut slow, b"GET /control/st").expect("the request could not be written");
+    std::io::Read::read_to_string(&mut slow, &mut answer).expect("the connection was not closed cleanly");
+    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     assert!(since.elapsed() > Duration::from_secs(2) && since.elapsed() < Duration::from_secs(5));
     regions.machines[0].signal("TERM");
-    assert!(regions.machines[0].ended(), "it does not end in order");
+    assert!(regions.machines[0].wait_for_exit(), "control machine 1 exits with an error on SIGTERM");
     regions.kill(1);
     regions.change(2, 10);
-    regions.level("a change without it");
+    regions.wait_in_force("a change without machine 1");
     regions.boot(1);
     regions.check();
 }
 
 #[test]
-fn a_version_is_in_force_whole_or_not_at_all() {
-    let _place = Place::take();
-    let regions = Regions::start("a_version_is_in_force_whole_or_not_at_all", [1, 1]);
+fn all_changes_of_a_version_come_into_force_at_once() {
+    let _slot = TestSlot::take();
+    let regions = Regions::start("all_changes_of_a_version_come_into_force_at_once", [1, 1]);
     let known = |rank: usize, class: &str, nr: usize| {
         let headers = format!("Request-Id: {rank}-{class}-{nr}\r\nRequest-Timeout: 9\r\n");
-        let told = call(regions.schedulers[rank].at, "POST", &format!("/{class}"), &headers, b"");
-        match told.map(|told| told.0) {
+        let answer = call(regions.schedulers[rank].address, "POST", &format!("/{class}"), &headers, b"");
+        match answer.map(|answer| answer.0) {
             Ok(200) => true,
             Ok(404) => false,
-            other => regions.fail(&format!("a job of {class} is answered {other:?}")),
+            other => regions.fail(&format!("a job of class {class} is answered with {other:?}")),
         }
     };
     for version in 0..4 {
@@ -341,9 +359,10 @@
             set.insert(class(name, "deadline_us"), json!(9_000_000));
             set.insert(class(name, "effect"), json!("read_like"));
         }
-        // Each scheduler is asked for both all the while: who knows the first knows the other a moment later.
-        let halves = std::thread::scope(|scope| {
-            let looks = (0..2).map(|rank| {
+        // Jobs of both classes go to each scheduler all the time: a scheduler that knows the first class has to know the
+        // second as well.
+        let results = std::thread::scope(|scope| {
+            let threads = (0..2).map(|rank| {
                 let (known, one, other, regions) = (&known, &one, &other, &regions);
                 scope.spawn(move || {
                     let since = Instant::now();
@@ -352,97 +371,101 @@
                         if known(rank, first, 2 * nr) {
                             return (rank, known(rank, second, 2 * nr + 1));
                         }
-                        if since.elapsed() > LIMIT {
-                            regions.fail("a class that was added is not known");
+                        if since.elapsed() > WAIT_TIMEOUT {
+                            regions.fail("a new class is still unknown at scheduler {rank}");
                         }
                     }
                     (rank, false)
                 })
             });
-            let looks: Vec<_> = looks.collect();
-            regions.with_majority(1 + version % MACHINES);
-            let (status, _, told) = regions.ask(1 + version % MACHINES, &json!({ "set": set }));
-            assert_eq!(status, 200, "{told}");
-            looks.into_iter().map(|look| look.join().expect("a look ends")).collect::<Vec<_>>()
+            let threads: Vec<_> = threads.collect();
+            regions.wait_for_majority(1 + version % MACHINES);
+            let (status, _, answer) = regions.request_change(1 + version % MACHINES, &json!({ "set": set }));
+            assert_eq!(status, 200, "{answer}");
+            threads
+                .into_iter()
+                .map(|thread| thread.join().expect("a client thread panicked"))
+                .collect::<Vec<_>>()
         });
-        if let Some((rank, _)) = halves.iter().find(|(_, whole)| !whole) {
-            regions.fail(&format!("half a version was in force at scheduler {rank}"));
+        if let Some((rank, _)) = results.iter().find(|(_, complete)| !complete) {
+            regions.fail(&format!("scheduler {rank} had only one of the two new classes in force"));
         }
     }
     regions.check();
 }
 
 #[test]
-fn more_learners_than_a_machine_takes_go_to_another() {
-    let _place = Place::take();
+fn learners_beyond_a_machines_limit_use_another_machine() {
+    let _slot = TestSlot::take();
     let setup = Setup { learners: 3, ..Setup::new([4, 3]) };
-    let mut regions = Regions::of("more_learners_than_a_machine_takes_go_to_another", setup);
-    // Each machine has a witness of the test's beside the schedulers: 10 places are left for 7 schedulers.
+    let mut regions = Regions::with_setup("learners_beyond_a_machines_limit_use_another_machine", setup);
+    // The test itself watches each machine as well, so that 10 of the 15 places are left for 7 schedulers.
     regions.change(1, 10);
-    regions.level("a change");
-    let all = |regions: &Regions| (1..=MACHINES).map(|id| regions.learners(id).len()).collect::<Vec<_>>();
-    regions.wait("each scheduler tells a machine what it has in force", LIMIT, || {
-        all(&regions).iter().sum::<usize>() == 7
+    regions.wait_in_force("a change");
+    let learner_counts =
+        |regions: &Regions| (1..=MACHINES).map(|id| regions.learners(id).len()).collect::<Vec<_>>();
+    regions.wait("each scheduler reports its version in force to a machine", WAIT_TIMEOUT, || {
+        learner_counts(&regions).iter().sum::<usize>() == 7
     });
-    assert!(all(&regions).iter().all(|count| *count <= 2), "{:?}", all(&regions));
-    let at = regions.machines[0].at.expect("it runs");
-    let full = (0..4).map(|nr| {
+    assert!(learner_counts(&regions).iter().all(|count| *count <= 2), "{:?}", learner_counts(&regions));
+    let at = regions.machines[0].address.expect("control machine 1 does not run");
+    let watches = (0..4).map(|nr| {
         let target = format!("/control/versions?watch=1&from=0&digest=&name=stranger-{nr}");
-        Watch::open(at, &target).expect("it answers")
+        Watch::open(at, &target).expect("control machine 1 does not answer")
     });
-    let full: Vec<Watch> = full.collect();
+    let watches: Vec<Watch> = watches.collect();
     assert!(
-        full.iter().any(|watch| watch.status == 503),
+        watches.iter().any(|watch| watch.status == 503),
         "{:?}",
-        full.iter().map(|watch| watch.status).collect::<Vec<_>>()
+        watches.iter().map(|watch| watch.status).collect::<Vec<_>>()
     );
-    drop(full);
-    // Those of a machine that is gone find places at the others.
+    drop(watches);
+    // Learners of a machine that is down watch other machines.
     regions.kill(2);
     regions.change(1, 11);
-    regions.level("a change without one machine");
+    regions.wait_in_force("a change without one machine");
     regions.boot(2);
     regions.check();
 }
 
 #[test]
-fn a_machine_that_comes_back_with_an_empty_store_takes_nothing_back() {
-    let _place = Place::take();
+fn machine_that_restarts_with_an_empty_store_loses_no_decided_version() {
+    let _slot = TestSlot::take();
     let mut regions =
-        Regions::start("a_machine_that_comes_back_with_an_empty_store_takes_nothing_back", [1, 1]);
+        Regions::start("machine_that_restarts_with_an_empty_store_loses_no_decided_version", [1, 1]);
     regions.change(1, 10);
-    regions.level("a change before");
-    let last = regions.last().0;
+    regions.wait_in_force("a change before the fault");
+    let last = regions.last_accepted().0;
     for id in 1..=MACHINES {
-        regions.wait("all have what was agreed", LIMIT, || {
+        regions.wait("all machines have the decided version", WAIT_TIMEOUT, || {
             regions.state(id).is_some_and(|state| state["seq"].as_u64() == Some(last))
         });
     }
     regions.kill(3);
-    std::fs::remove_dir_all(regions.store(3)).expect("its store is removed");
+    std::fs::remove_dir_all(regions.store(3)).expect("the store of control machine 3 could not be removed");
     regions.change(1, 11);
     regions.boot(3);
     for value in 12..15 {
         regions.change(1, value);
-        regions.level("a change beside the machine with an empty store");
+        regions.wait_in_force("a change beside the machine with an empty store");
     }
     regions.kill(3);
     regions.check();
 }
 
 #[test]
-fn two_learners_of_one_name_are_both_told() {
-    let _place = Place::take();
-    let mut regions = Regions::start("two_learners_of_one_name_are_both_told", [1, 0]);
-    let at = regions.machines[0].at.expect("it runs");
+fn two_learners_with_the_same_name_both_receive_changes() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("two_learners_with_the_same_name_both_receive_changes", [1, 0]);
+    let at = regions.machines[0].address.expect("control machine 1 does not run");
     let target = "/control/versions?watch=1&from=0&digest=&name=calicolb";
-    let mut watches =
-        [Watch::open(at, target), Watch::open(at, target)].map(|watch| watch.expect("it opens"));
+    let mut watches = [Watch::open(at, target), Watch::open(at, target)]
+        .map(|watch| watch.expect("a watch could not be opened"));
     regions.change(1, 4_711);
     for watch in &mut watches {
-        let mut told = String::new();
-        while !told.contains("4711") {
-            told += &watch
+        let mut received = String::new();
+        while !received.contains("4711") {
+            received += &watch
                 .lines()
                 .unwrap_or_else(|error| regions.fail(&format!("a watch ended: {error}")))
                 .join("");
@@ -452,46 +475,50 @@
 }
 
 #[test]
-fn a_learner_that_takes_nothing_is_let_go() {
-    let _place = Place::take();
-    let mut regions = Regions::start("a_learner_that_takes_nothing_is_let_go", [1, 0]);
-    regions.with_majority(1);
-    let at = regions.machines[0].at.expect("it runs");
-    // Little is held for it at its own side, as for one far away.
-    let lazy = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket is made");
-    sockopt::set_socket_recv_buffer_size(&lazy, 4_096).expect("its buffer is small");
-    connect(&lazy, &at).expect("it takes connections");
-    let mut lazy = std::net::TcpStream::from(lazy);
+fn learner_that_does_not_read_is_disconnected() {
+    let _slot = TestSlot::take();
+    let mut regions = Regions::start("learner_that_does_not_read_is_disconnected", [1, 0]);
+    regions.wait_for_majority(1);
+    let at = regions.machines[0].address.expect("control machine 1 does not run");
+    // A small receive buffer makes the connection fill early, as a distant learner's does.
+    let idle =
+        socket(AddressFamily::INET, SocketType::STREAM, None).expect("the socket could not be created");
+    sockopt::set_socket_recv_buffer_size(&idle, 4_096).expect("the receive buffer could not be set");
+    connect(&idle, &at).expect("control machine 1 accepts no connection");
+    let mut idle = std::net::TcpStream::from(idle);
     let call = "GET /control/versions?watch=1&from=0&digest=&name=lazy HTTP/1.1\r\nHost: t\r\n\r\n";
-    std::io::Write::write_all(&mut lazy, call.as_bytes()).expect("it is written");
-    // A few large changes fill what the system holds for it.
+    std::io::Write::write_all(&mut idle, call.as_bytes()).expect("the request could not be written");
+    // A few large changes fill the system's buffers for the connection.
     for letter in ["a", "b", "c", "d"] {
         let set = json!({"set": {"notes": letter.repeat(120_000)}});
-        regions.wait("a large change is agreed", LIMIT, || regions.ask(1, &set).0 == 200);
+        regions.wait("a large change is accepted", WAIT_TIMEOUT, || regions.request_change(1, &set).0 == 200);
     }
-    regions.wait("it is let go", LIMIT, || {
+    regions.wait("the learner is disconnected", WAIT_TIMEOUT, || {
         regions.machines[0].log().contains("a learner did not read its watch")
     });
-    regions.wait("the notes are gone", LIMIT, || regions.ask(1, &json!({"unset": ["notes"]})).0 == 200);
+    regions.wait("the large value is removed", WAIT_TIMEOUT, || {
+        regions.request_change(1, &json!({"unset": ["notes"]})).0 == 200
+    });
     regions.change(1, 10);
-    regions.level("a change after");
+    regions.wait_in_force("a change after the fault");
     regions.check();
 }
 
-/// What 60 changes cost at 30 schedulers, or fewer of both where the environment does not say so: CONTROL_SCHEDULERS,
-/// CONTROL_CHANGES, CONTROL_IDLE_S. CONTROL_OUT names a file for the figures.
+/// Measures the cost of changes. The environment variables CONTROL_SCHEDULERS (5), CONTROL_CHANGES (6) and CONTROL_IDLE_S (1)
+/// set the size of the run; the full run has 30 schedulers and 60 changes. CONTROL_OUT names a file for the figures.
 #[test]
-fn figures_of_changes_with_the_leader_killed_in_the_middle() {
-    let _place = Place::take();
-    let told =
-        |name: &str, or: usize| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(or);
+fn cost_of_changes_with_the_leader_killed_halfway_is_within_limits() {
+    let _slot = TestSlot::take();
+    let number = |name: &str, default: usize| {
+        std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
+    };
     let (count, changes, idle) =
-        (told("CONTROL_SCHEDULERS", 5), told("CONTROL_CHANGES", 6), told("CONTROL_IDLE_S", 1));
-    let name = "figures_of_changes_with_the_leader_killed_in_the_middle";
+        (number("CONTROL_SCHEDULERS", 5), number("CONTROL_CHANGES", 6), number("CONTROL_IDLE_S", 1));
+    let name = "cost_of_changes_with_the_leader_killed_halfway_is_within_limits";
     let pause = Duration::from_millis(500);
     let schedulers = [count - count / 3, count / 3];
-    let setup = Setup { pause, looks: false, ..Setup { schedulers, ..Setup::new([0, 0]) } };
-    let mut regions = Regions::of(name, setup);
+    let setup = Setup { pause, poll_versions: false, ..Setup { schedulers, ..Setup::new([0, 0]) } };
+    let mut regions = Regions::with_setup(name, setup);
     let figures = regions.measure(changes, Duration::from_secs(idle as u64));
     println!("{figures:#}");
     assert_eq!(figures["behind"], json!(0));
@@ -501,7 +528,7 @@
         "{figures:#}"
     );
     if let Ok(file) = std::env::var("CONTROL_OUT") {
-        std::fs::write(file, format!("{figures:#}\n")).expect("the figures are written");
+        std::fs::write(file, format!("{figures:#}\n")).expect("the figures could not be written");
     }
     regions.check();
 }
--- a/tests/regions/http.rs
+++ b/tests/regions/http.rs
@@ -1,20 +1,21 @@
-//! One call over HTTP, or one line to an operators' door.
+//! HTTP clients for the tests of control machines: single calls and watches; also single commands to a scheduler's
+//! management port.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long one call may take.
-const CALL: Duration = Duration::from_secs(8);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 fn connect(at: SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&at, CALL)?;
-    stream.set_read_timeout(Some(CALL))?;
+    let stream = TcpStream::connect_timeout(&at, CALL_TIMEOUT)?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// One request on a connection of its own; gives status, head and body.
+/// Sends one request on a new connection; returns status, head and body.
 pub fn call(
     at: SocketAddr,
     method: &str,
@@ -37,28 +38,28 @@
     Ok((status.ok_or(std::io::ErrorKind::InvalidData)?, head, all.split_off(end)))
 }
 
-/// What a door answers to a line.
-pub fn ask(door: SocketAddr, line: &str) -> std::io::Result<String> {
-    let mut stream = connect(door)?;
+/// Sends one command line to a management port and returns the answer.
+pub fn management_command(management: SocketAddr, line: &str) -> std::io::Result<String> {
+    let mut stream = connect(management)?;
     stream.write_all(format!("{line}\n").as_bytes())?;
-    let mut told = String::new();
-    stream.read_to_string(&mut told)?;
-    Ok(told)
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer)?;
+    Ok(answer)
 }
 
-/// A watch that is open.
+/// An open watch: a response whose body is a sequence of lines.
 pub struct Watch {
-    /// How the call for it was answered.
+    /// HTTP status of the watch.
     pub status: u16,
     reader: BufReader<TcpStream>,
     text: Vec<u8>,
 }
 
 impl Watch {
-    /// Opens one.
+    /// Opens a watch and reads its response head.
     pub fn open(at: SocketAddr, target: &str) -> std::io::Result<Watch> {
-        let mut stream = TcpStream::connect_timeout(&at, CALL)?;
-        // A line comes every two seconds.
+        let mut stream = TcpStream::connect_timeout(&at, CALL_TIMEOUT)?;
+        // The server sends a line every two seconds.
         stream.set_read_timeout(Some(Duration::from_secs(3)))?;
         stream.write_all(format!("GET {target} HTTP/1.1\r\nHost: t\r\n\r\n").as_bytes())?;
         let mut reader = BufReader::new(stream);
@@ -72,19 +73,19 @@
         Ok(Watch { status, reader, text: Vec::new() })
     }
 
-    /// The whole lines of the next chunk.
+    /// Reads the next chunk and returns the lines that are complete.
     pub fn lines(&mut self) -> std::io::Result<Vec<String>> {
         let mut size = String::new();
         self.reader.read_line(&mut size)?;
         let count = usize::from_str_radix(size.trim(), 16).map_err(|_| std::io::ErrorKind::InvalidData)?;
-        let mut part = vec![0; count + 2];
-        self.reader.read_exact(&mut part)?;
-        self.text.extend_from_slice(&part[..count]);
+        let mut chunk = vec![0; count + 2];
+        self.reader.read_exact(&mut chunk)?;
+        self.text.extend_from_slice(&chunk[..count]);
         let end = self.text.iter().rposition(|&byte| byte == b'\n').map_or(0, |at| at + 1);
-        let whole: Vec<u8> = self.text.drain(..end).collect();
+        let complete: Vec<u8> = self.text.drain(..end).collect();
         match count {
             0 => Err(std::io::ErrorKind::UnexpectedEof.into()),
-            _ => Ok(String::from_utf8_lossy(&whole).lines().map(str::to_owned).collect()),
+            _ => Ok(String::from_utf8_lossy(&complete).lines().map(str::to_owned).collect()),
         }
     }
 }
--- a/tests/regions/mod.rs
+++ b/tests/regions/mod.rs
@@ -1,18 +1,18 @@
-//! Two regions on loopback: control machines and schedulers as processes of the program, a stand-in worker, clients, and
-//! relays on every way between them.
+//! Two regions on loopback: control machines and schedulers as processes of the program, a stub worker, clients, and a relay
+//! between each pair of machines and between each scheduler and each machine.
 
 #[path = "../discovery/mod.rs"]
 mod discovery;
-mod figures;
 pub mod http;
 pub mod machines;
+mod measurement;
 pub mod relay;
 pub mod schedulers;
 
-use http::{Watch, ask, call};
+use http::{Watch, call, management_command};
 use machines::Machine;
 use relay::Relay;
-use schedulers::{Clients, Scheduler, Worker};
+use schedulers::{Client, Scheduler, Worker};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -21,109 +21,115 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Control machines; those of this number and beyond are in the second region.
+/// Number of control machines; their ids are 1 to 5.
 pub const MACHINES: usize = 5;
-const SECOND_REGION: usize = 4;
-/// No condition is waited for longer.
-pub const LIMIT: Duration = Duration::from_secs(30);
-/// What was accepted is in force everywhere within this time.
-pub const WITHIN: Duration = Duration::from_secs(5);
+/// Lowest id of a control machine in the second region.
+const SECOND_REGION_START: usize = 4;
+/// Default timeout for a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time within which an accepted change has to be in force everywhere.
+pub const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A version: its number and the first half of its digest.
-pub type Seen = (u64, String);
+/// A version of the settings: its number and the first half of its digest.
+pub type Version = (u64, String);
 
-/// What the machines told as agreed, by number, and which of them told it.
-type Told = Arc<Mutex<BTreeMap<Seen, BTreeSet<usize>>>>;
+/// Ids of the machines that have sent each decided version to the watch of the test.
+type DecidedVersions = Arc<Mutex<BTreeMap<Version, BTreeSet<usize>>>>;
 
-/// What was seen in force where, and since when.
-type Sightings = Arc<Mutex<BTreeMap<usize, BTreeMap<Seen, Instant>>>>;
+/// Time at which each version was first seen in force, by the scheduler's rank.
+type VersionsInForce = Arc<Mutex<BTreeMap<usize, BTreeMap<Version, Instant>>>>;
 
-/// See the head of this file.
+/// The running processes and the record of versions that they have accepted, decided and put into force.
 pub struct Regions {
-    /// The seed of all that is drawn, and the test that draws.
+    /// Seed of all random numbers.
     pub seed: u64,
     test: &'static str,
     setup: Setup,
     folder: PathBuf,
+    /// Control machines; the machine with id 1 is at index 0.
     pub machines: Vec<Machine>,
+    /// Schedulers by rank.
     pub schedulers: Vec<Scheduler>,
-    /// From machine to machine.
-    between: BTreeMap<(usize, usize), Relay>,
-    /// From scheduler to machine.
-    learn: BTreeMap<(usize, usize), Relay>,
+    /// Relay from each machine (first id) to each machine (second id).
+    machine_relays: BTreeMap<(usize, usize), Relay>,
+    /// Relay from each scheduler (rank) to each machine (id).
+    learner_relays: BTreeMap<(usize, usize), Relay>,
     _worker: Worker,
-    clients: Vec<Clients>,
-    sightings: Sightings,
-    told: Told,
-    over: Arc<AtomicBool>,
-    looking: Vec<JoinHandle<()>>,
-    /// Versions that were acknowledged.
-    accepted: Vec<Seen>,
+    clients: Vec<Client>,
+    versions_in_force: VersionsInForce,
+    decided_versions: DecidedVersions,
+    stopping: Arc<AtomicBool>,
+    observers: Vec<JoinHandle<()>>,
+    /// Versions acknowledged to the test.
+    accepted: Vec<Version>,
+    /// Random numbers for the test.
     pub random: fastrand::Rng,
 }
 
-/// What is started.
+/// The processes to start and their settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Schedulers in each region.
+    /// Number of schedulers in each region.
     pub schedulers: [usize; 2],
-    /// Between two requests of a client.
+    /// Pause between two requests of a client.
     pub pause: Duration,
-    /// Each door is asked again and again what is in force there; else only the logs tell.
-    pub looks: bool,
-    /// Learners that may watch a machine at once.
+    /// Polls each scheduler's management port every 10 ms for the version in force. Otherwise that is read from the logs.
+    pub poll_versions: bool,
+    /// Maximum number of learners that may watch one machine.
     pub learners: usize,
-    /// Who has heard nothing of a majority for so long is behind.
+    /// A scheduler that has not heard of a majority for this time counts itself as behind.
     pub silence: Duration,
 }
 
 impl Setup {
-    /// What most tests start, with so many schedulers in each region.
+    /// The default setup with these numbers of schedulers in the two regions.
     pub fn new(schedulers: [usize; 2]) -> Setup {
         Setup {
             schedulers,
             pause: Duration::from_millis(25),
-            looks: true,
+            poll_versions: true,
             learners: 400,
             silence: Duration::from_secs(3),
         }
     }
 }
 
-/// The region of a machine.
-pub fn region(machine: usize) -> usize {
-    usize::from(machine >= SECOND_REGION)
+/// The region (0 or 1) of a machine.
+pub fn machine_region(machine: usize) -> usize {
+    usize::from(machine >= SECOND_REGION_START)
 }
 
 impl Regions {
-    /// Five machines and so many schedulers in each region. A failure is played again with the seed that it tells.
+    /// Starts five machines and these numbers of schedulers in the two regions. A failure prints the seed and the command that
+    /// repeat the run.
     pub fn start(test: &'static str, schedulers: [usize; 2]) -> Regions {
-        Regions::of(test, Setup::new(schedulers))
+        Regions::with_setup(test, Setup::new(schedulers))
     }
 
-    /// The same, with more to say.
-    pub fn of(test: &'static str, setup: Setup) -> Regions {
+    /// Starts five machines and the schedulers of `setup`.
+    pub fn with_setup(test: &'static str, setup: Setup) -> Regions {
         let count: usize = setup.schedulers.iter().sum();
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let seed = std::env::var("CONTROL_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(7);
         let nr = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("calicolb-regions-{}-{nr}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder is made");
+        std::fs::create_dir_all(&folder).expect("the test folder could not be created");
         let mut random = fastrand::Rng::with_seed(seed);
-        let between: BTreeMap<(usize, usize), Relay> = (1..=MACHINES)
+        let machine_relays: BTreeMap<(usize, usize), Relay> = (1..=MACHINES)
             .flat_map(|from| (1..=MACHINES).map(move |to| (from, to)))
-            .map(|way| (way, Relay::new(random.u64(..))))
+            .map(|ends| (ends, Relay::new(random.u64(..))))
             .collect();
-        let learn: BTreeMap<(usize, usize), Relay> = (0..count)
+        let learner_relays: BTreeMap<(usize, usize), Relay> = (0..count)
             .flat_map(|from| (1..=MACHINES).map(move |to| (from, to)))
-            .map(|way| (way, Relay::new(random.u64(..))))
+            .map(|ends| (ends, Relay::new(random.u64(..))))
             .collect();
         let worker = Worker::start();
-        let first = folder.join("settings.json");
-        std::fs::write(&first, schedulers::settings(0, 1).to_string()).expect("the settings are written");
+        let first_settings = folder.join("settings.json");
+        std::fs::write(&first_settings, schedulers::settings(0, 1).to_string())
+            .expect("the first settings could not be written");
         let machines = (1..=MACHINES).map(|id| {
-            let ways = (1..=MACHINES).map(|to| between[&(id, to)].at).collect::<Vec<_>>();
-            Machine::new(&folder, id, &ways, setup.learners)
+            let addresses = (1..=MACHINES).map(|to| machine_relays[&(id, to)].at).collect::<Vec<_>>();
+            Machine::new(&folder, id, &addresses, setup.learners)
         });
         let mut regions = Regions {
             seed,
@@ -131,13 +137,13 @@
             setup,
             machines: machines.collect(),
             schedulers: Vec::new(),
-            between,
-            learn,
+            machine_relays,
+            learner_relays,
             clients: Vec::new(),
-            sightings: Arc::default(),
-            told: Arc::default(),
-            over: Arc::default(),
-            looking: Vec::new(),
+            versions_in_force: Arc::default(),
+            decided_versions: Arc::default(),
+            stopping: Arc::default(),
+            observers: Vec::new(),
             accepted: Vec::new(),
             random,
             folder,
@@ -145,133 +151,146 @@
         };
         for id in 1..=MACHINES {
             regions.boot(id);
-            regions.witness(id);
+            regions.observe_machine(id);
         }
         for rank in 0..count {
-            let control: Vec<_> = (1..=MACHINES).map(|id| regions.learn[&(rank, id)].at).collect();
-            let scheduler =
-                Scheduler::start(&regions.folder, rank, count, &control, setup.silence, regions._worker.at);
-            regions._worker.learn(rank, scheduler.at);
-            regions.clients.push(Clients::start(rank, scheduler.at, setup.pause));
-            if setup.looks {
-                regions.look(rank, scheduler.door);
+            let control: Vec<_> = (1..=MACHINES).map(|id| regions.learner_relays[&(rank, id)].at).collect();
+            let scheduler = Scheduler::start(
+                &regions.folder,
+                rank,
+                count,
+                &control,
+                setup.silence,
+                regions._worker.address,
+            );
+            regions._worker.set_scheduler(rank, scheduler.address);
+            regions.clients.push(Client::start(rank, scheduler.address, setup.pause));
+            if setup.poll_versions {
+                regions.observe_scheduler(rank, scheduler.management);
             }
             regions.schedulers.push(scheduler);
         }
-        let first = regions.agreed_at(1);
+        let first = regions.first_version_at(1);
         regions.accepted.push(first);
-        regions.level("the first settings");
+        regions.wait_in_force("the first settings");
         regions
     }
 
-    /// Starts a machine, or starts it again.
+    /// Starts or restarts a machine and points the relays to it.
     pub fn boot(&mut self, id: usize) {
         let at = self.machines[id - 1].boot();
-        self.lead(id, Some(at));
+        self.set_relay_target(id, Some(at));
     }
 
-    /// Kills a machine.
+    /// Kills a machine and removes it as target of the relays.
     pub fn kill(&mut self, id: usize) {
         self.machines[id - 1].kill();
-        self.lead(id, None);
+        self.set_relay_target(id, None);
     }
 
-    fn lead(&self, id: usize, at: Option<std::net::SocketAddr>) {
-        let ways = self.between.iter().filter(|((_, to), _)| *to == id).map(|(_, relay)| relay);
-        ways.chain(self.learn.iter().filter(|((_, to), _)| *to == id).map(|(_, relay)| relay))
-            .for_each(|relay| relay.lead(at));
+    /// Sets the target of all relays to a machine.
+    fn set_relay_target(&self, id: usize, at: Option<std::net::SocketAddr>) {
+        let relays = self.machine_relays.iter().filter(|((_, to), _)| *to == id).map(|(_, relay)| relay);
+        relays
+            .chain(self.learner_relays.iter().filter(|((_, to), _)| *to == id).map(|(_, relay)| relay))
+            .for_each(|relay| relay.set_target(at));
     }
 
-    /// The region of a scheduler.
-    pub fn home(&self, rank: usize) -> usize {
+    /// The region (0 or 1) of a scheduler.
+    pub fn scheduler_region(&self, rank: usize) -> usize {
         usize::from(rank >= self.setup.schedulers[0])
     }
 
-    /// Cuts the regions apart, or joins them.
-    pub fn part(&self, cut: bool) {
-        for ((from, to), relay) in &self.between {
-            if region(*from) != region(*to) {
-                relay.cut(cut);
+    /// Separates the regions, or joins them again.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        for ((from, to), relay) in &self.machine_relays {
+            if machine_region(*from) != machine_region(*to) {
+                relay.set_blocked(partitioned);
             }
         }
-        for ((rank, to), relay) in &self.learn {
-            if self.home(*rank) != region(*to) {
-                relay.cut(cut);
+        for ((rank, to), relay) in &self.learner_relays {
+            if self.scheduler_region(*rank) != machine_region(*to) {
+                relay.set_blocked(partitioned);
             }
         }
     }
 
-    /// The ways between machines, with who is at their ends.
-    pub fn ways(&self) -> impl Iterator<Item = (&(usize, usize), &Relay)> {
-        self.between.iter()
+    /// The relays between machines, with the ids of both machines.
+    pub fn machine_relays(&self) -> impl Iterator<Item = (&(usize, usize), &Relay)> {
+        self.machine_relays.iter()
     }
 
-    /// The ways from schedulers to machines, with who is at their ends.
-    pub fn learning(&self) -> impl Iterator<Item = (&(usize, usize), &Relay)> {
-        self.learn.iter()
+    /// The relays from schedulers to machines, with rank and machine id.
+    pub fn learner_relays(&self) -> impl Iterator<Item = (&(usize, usize), &Relay)> {
+        self.learner_relays.iter()
     }
 
-    /// Fails, and says how to play it again.
-    pub fn fail(&self, why: &str) -> ! {
+    /// Panics with the reason and the last log lines of all processes.
+    pub fn fail(&self, reason: &str) -> ! {
         let logs: Vec<String> = self.machines.iter().map(Machine::log).collect();
-        let told: Vec<String> = self.schedulers.iter().map(Scheduler::log).collect();
-        panic!("{why}\n{}\n{}", logs.join("\n"), told.join("\n"))
+        let scheduler_logs: Vec<String> = self.schedulers.iter().map(Scheduler::log).collect();
+        panic!("{reason}\n{}\n{}", logs.join("\n"), scheduler_logs.join("\n"))
     }
 
-    /// Waits until this is so; gives how long that took.
-    pub fn wait(&self, what: &str, limit: Duration, mut so: impl FnMut() -> bool) -> Duration {
+    /// Waits until the condition holds and returns the time taken. Fails with the description after the timeout.
+    pub fn wait(
+        &self,
+        description: &str,
+        timeout: Duration,
+        mut condition: impl FnMut() -> bool,
+    ) -> Duration {
         let since = Instant::now();
-        while !so() {
-            if since.elapsed() > limit {
-                self.fail(&format!("not within {limit:?}: {what}"));
+        while !condition() {
+            if since.elapsed() > timeout {
+                self.fail(&format!("not within {timeout:?}: {description}"));
             }
             thread::sleep(Duration::from_millis(10));
         }
         since.elapsed()
     }
 
-    /// What a machine says of itself.
+    /// The state that a machine reports; `None` if the machine does not answer.
     pub fn state(&self, id: usize) -> Option<Value> {
-        let at = self.machines[id - 1].at?;
+        let at = self.machines[id - 1].address?;
         let (status, _, body) = call(at, "GET", "/control/state", "", b"").ok()?;
         (status == 200).then(|| serde_json::from_slice(&body).ok()).flatten()
     }
 
-    /// The machine that leads, as those that run and have a majority see it.
+    /// Waits until all machines with a majority name the same running leader, and returns the leader's id.
     pub fn leader(&self) -> usize {
         let mut found = None;
-        self.wait("somebody leads", LIMIT, || {
+        self.wait("the machines with a majority agree on a running leader", WAIT_TIMEOUT, || {
             let states: Vec<Value> = (1..=MACHINES).filter_map(|id| self.state(id)).collect();
             let with = states.iter().filter(|state| state["majority"] == json!(true));
             let leaders: BTreeSet<u64> = with.filter_map(|state| state["leader"].as_u64()).collect();
             found = leaders.first().filter(|_| leaders.len() == 1).map(|id| *id as usize);
-            found.is_some_and(|id| self.machines[id - 1].at.is_some())
+            found.is_some_and(|id| self.machines[id - 1].address.is_some())
         });
         found.unwrap_or(1)
     }
 
-    /// The folder of a machine's store.
+    /// Folder of a machine's store.
     pub fn store(&self, id: usize) -> PathBuf {
         self.folder.join(format!("store-{id}"))
     }
 
-    /// The learners that have told a machine of late what they have in force.
+    /// Names of the learners that have recently reported their version in force to a machine.
     pub fn learners(&self, id: usize) -> Vec<String> {
         let state = self.state(id).unwrap_or(Value::Null);
         state["learners"].as_object().into_iter().flat_map(|all| all.keys().cloned()).collect()
     }
 
-    /// Waits until a machine speaks with a majority.
-    pub fn with_majority(&self, id: usize) {
-        self.wait("a machine has a majority", LIMIT, || {
+    /// Waits until a machine reports a majority.
+    pub fn wait_for_majority(&self, id: usize) {
+        self.wait("a machine has a majority", WAIT_TIMEOUT, || {
             self.state(id).is_some_and(|state| state["majority"] == json!(true))
         });
     }
 
-    /// The version that a machine says is agreed, once there is one.
-    fn agreed_at(&self, id: usize) -> Seen {
+    /// Waits until a machine has a decided version, and returns the version.
+    fn first_version_at(&self, id: usize) -> Version {
         let mut seen = (0, String::new());
-        self.wait("there is a first version", LIMIT, || {
+        self.wait("a machine has a first version", WAIT_TIMEOUT, || {
             let Some(state) = self.state(id) else { return false };
             seen = (state["seq"].as_u64().unwrap_or(0), short(state["digest"].as_str().unwrap_or("")));
             seen.0 > 0
@@ -279,83 +298,84 @@
         seen
     }
 
-    /// Asks a machine for a change; gives the status and what it said.
-    pub fn ask(&self, id: usize, body: &Value) -> (u16, String, Value) {
-        let Some(at) = self.machines[id - 1].at else { return (0, String::new(), Value::Null) };
+    /// Sends a change to a machine; returns status, head and JSON body. Status 0 means that there was no answer.
+    pub fn request_change(&self, id: usize, body: &Value) -> (u16, String, Value) {
+        let Some(at) = self.machines[id - 1].address else { return (0, String::new(), Value::Null) };
         match call(at, "POST", "/control/changes", "", body.to_string().as_bytes()) {
             Ok((status, head, body)) => (status, head, serde_json::from_slice(&body).unwrap_or(Value::Null)),
             Err(error) => (0, error.to_string(), Value::Null),
         }
     }
 
-    /// Two keys get a value at once, at a machine; gives when it was accepted. Whether a change that was not
-    /// acknowledged took place nobody knows: it is asked for again.
+    /// Sets two keys to `value` in one change at a machine; returns the time of acceptance. The change is retried without an
+    /// answer and on status 503, since a change that was not acknowledged may or may not have taken effect.
     pub fn change(&mut self, id: usize, value: u32) -> Instant {
         let since = Instant::now();
         loop {
-            let (status, head, told) = self.ask(id, &both(value));
+            let (status, head, answer) = self.request_change(id, &quota_change(value));
             if status == 200 {
-                let seen = (told["seq"].as_u64().unwrap_or(0), short(told["digest"].as_str().unwrap_or("")));
+                let seen =
+                    (answer["seq"].as_u64().unwrap_or(0), short(answer["digest"].as_str().unwrap_or("")));
                 self.accepted.push(seen);
                 return Instant::now();
             }
-            if ![0, 503].contains(&status) || since.elapsed() > LIMIT {
-                self.fail(&format!("a change is answered {status}: {head} {told}"));
+            if ![0, 503].contains(&status) || since.elapsed() > WAIT_TIMEOUT {
+                self.fail(&format!("a change at machine {id} is answered with {status}: {head} {answer}"));
             }
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// A change at a machine that has to be acknowledged at once or not at all; gives the status.
-    pub fn attempt(&mut self, id: usize, value: u32) -> u16 {
-        let (status, _, told) = self.ask(id, &both(value));
+    /// Sends a change to a machine without retry; returns the status.
+    pub fn try_change(&mut self, id: usize, value: u32) -> u16 {
+        let (status, _, answer) = self.request_change(id, &quota_change(value));
         if status == 200 {
-            let seen = (told["seq"].as_u64().unwrap_or(0), short(told["digest"].as_str().unwrap_or("")));
+            let seen = (answer["seq"].as_u64().unwrap_or(0), short(answer["digest"].as_str().unwrap_or("")));
             self.accepted.push(seen);
         }
         status
     }
 
-    /// The last version that was accepted.
-    pub fn last(&self) -> Seen {
+    /// The highest version acknowledged to the test.
+    pub fn last_accepted(&self) -> Version {
         self.accepted.iter().max().cloned().unwrap_or_default()
     }
 
-    /// Watches a machine without a relay, and notes each version that it tells.
-    fn witness(&mut self, id: usize) {
-        let (over, told) = (Arc::clone(&self.over), Arc::clone(&self.told));
-        let place = Arc::clone(&self.machines[id - 1].place);
-        self.looking.push(thread::spawn(move || {
+    /// Watches a machine without a relay and records each version that it sends.
+    fn observe_machine(&mut self, id: usize) {
+        let (stopping, decided) = (Arc::clone(&self.stopping), Arc::clone(&self.decided_versions));
+        let shared_address = Arc::clone(&self.machines[id - 1].shared_address);
+        self.observers.push(thread::spawn(move || {
             let (mut seq, mut digest) = (0, String::new());
-            while !over.load(Ordering::Relaxed) {
-                let at = *place.lock().expect("nobody panicked");
+            while !stopping.load(Ordering::Relaxed) {
+                let at = *shared_address.lock().expect("a thread panicked while it held the lock");
                 let target =
                     format!("/control/versions?watch=1&from={seq}&digest={digest}&name=witness-{id}");
                 let Some(Ok(mut watch)) = at.map(|at| Watch::open(at, &target)) else {
                     thread::sleep(Duration::from_millis(10));
                     continue;
                 };
-                while !over.load(Ordering::Relaxed) {
+                while !stopping.load(Ordering::Relaxed) {
                     let Ok(lines) = watch.lines() else { break };
                     for line in lines.iter().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
-                        let Some(whole) = line["digest"].as_str() else { continue };
+                        let Some(full_digest) = line["digest"].as_str() else { continue };
                         seq = line["seq"].as_u64().unwrap_or(0);
-                        digest = whole.to_owned();
-                        let mut told = told.lock().expect("nobody panicked");
-                        told.entry((seq, short(whole))).or_default().insert(id);
+                        digest = full_digest.to_owned();
+                        let mut decided = decided.lock().expect("a thread panicked while it held the lock");
+                        decided.entry((seq, short(full_digest))).or_default().insert(id);
                     }
                 }
             }
         }));
     }
 
-    /// Looks again and again at which version a scheduler has in force.
-    fn look(&mut self, rank: usize, door: std::net::SocketAddr) {
-        let (over, sightings) = (Arc::clone(&self.over), Arc::clone(&self.sightings));
-        self.looking.push(thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                if let Some(seen) = in_force(door) {
-                    let mut sightings = sightings.lock().expect("nobody panicked");
+    /// Records every 10 ms the version that a scheduler has in force.
+    fn observe_scheduler(&mut self, rank: usize, management: std::net::SocketAddr) {
+        let (stopping, sightings) = (Arc::clone(&self.stopping), Arc::clone(&self.versions_in_force));
+        self.observers.push(thread::spawn(move || {
+            while !stopping.load(Ordering::Relaxed) {
+                if let Some(seen) = in_force(management) {
+                    let mut sightings = sightings.lock().expect("a thread panicked while it held the lock");
                     sightings.entry(rank).or_default().entry(seen).or_insert_with(Instant::now);
                 }
                 thread::sleep(Duration::from_millis(10));
@@ -363,73 +383,82 @@
         }));
     }
 
-    /// When a scheduler first had a version of this number or a later one in force, by its door or its log.
-    pub fn seen_at(&self, rank: usize, seq: u64) -> Option<Instant> {
-        if !self.setup.looks {
+    /// Time at which a scheduler first had version `seq` or a later one in force, by its management port or its log.
+    pub fn first_in_force(&self, rank: usize, seq: u64) -> Option<Instant> {
+        if !self.setup.poll_versions {
             return self.schedulers[rank].in_force_at(seq);
         }
-        let sightings = self.sightings.lock().expect("nobody panicked");
+        let sightings = self.versions_in_force.lock().expect("a thread panicked while it held the lock");
         sightings.get(&rank)?.iter().filter(|(seen, _)| seen.0 >= seq).map(|(_, at)| *at).min()
     }
 
-    /// Waits until the last version that was accepted, or one that followed, is in force at these schedulers.
-    pub fn level_at(&self, ranks: &[usize], what: &str) -> Duration {
+    /// Waits until the last accepted version or a later one is in force at these schedulers; returns the time taken.
+    pub fn wait_in_force_at(&self, ranks: &[usize], description: &str) -> Duration {
         let since = Instant::now();
-        let last = self.last();
+        let last = self.last_accepted();
         let mut seen = BTreeMap::new();
-        while !ranks.iter().all(|rank| self.seen_at(*rank, last.0).is_some()) {
-            if since.elapsed() > WITHIN {
-                let sightings = self.sightings.lock().expect("nobody panicked");
+        while !ranks.iter().all(|rank| self.first_in_force(*rank, last.0).is_some()) {
+            if since.elapsed() > IN_FORCE_TIMEOUT {
+                let sightings =
+                    self.versions_in_force.lock().expect("a thread panicked while it held the lock");
                 seen = sightings.iter().map(|(rank, all)| (*rank, all.keys().last().cloned())).collect();
             }
             if !seen.is_empty() {
-                self.fail(&format!("{last:?} is not in force within {WITHIN:?} ({what}): {seen:?}"));
+                self.fail(&format!(
+                    "{last:?} is not in force within {IN_FORCE_TIMEOUT:?} ({description}): {seen:?}"
+                ));
             }
             thread::sleep(Duration::from_millis(5));
         }
         since.elapsed()
     }
 
-    /// Waits until the last version is in force everywhere.
-    pub fn level(&self, what: &str) -> Duration {
+    /// Waits until the last accepted version or a later one is in force at all schedulers; returns the time taken.
+    pub fn wait_in_force(&self, description: &str) -> Duration {
         let all: Vec<usize> = (0..self.schedulers.len()).collect();
-        self.level_at(&all, what)
+        self.wait_in_force_at(&all, description)
     }
 
-    /// A figure of a scheduler.
-    pub fn figure(&self, rank: usize, name: &str) -> Option<String> {
-        let told = ask(self.schedulers[rank].door, "INFO").ok()?;
-        figure(&told, name)
+    /// The value of a scheduler's metric.
+    pub fn metric(&self, rank: usize, name: &str) -> Option<String> {
+        let info = management_command(self.schedulers[rank].management, "INFO").ok()?;
+        metric(&info, name)
     }
 
-    /// The claims that hold after anything: no version that was acknowledged is lost, all machines tell the same
-    /// history, nothing was in force that does not stand in it, and no request was lost.
+    /// Stops the observers and clients and asserts that no acknowledged version is lost, all machines sent the same history,
+    /// only versions of this history were in force, and no request was lost.
     pub fn check(mut self) {
-        let ids: Vec<usize> = (1..=MACHINES).filter(|id| self.machines[id - 1].at.is_some()).collect();
-        let last = self.last();
-        self.wait("the machines are level", LIMIT, || {
-            let level =
+        let ids: Vec<usize> = (1..=MACHINES).filter(|id| self.machines[id - 1].address.is_some()).collect();
+        let last = self.last_accepted();
+        self.wait("all running machines have the last accepted version", WAIT_TIMEOUT, || {
+            let has_last =
                 |id: &usize| self.state(*id).is_some_and(|state| state["seq"].as_u64() >= Some(last.0));
-            ids.iter().all(level)
+            ids.iter().all(has_last)
         });
-        self.over.store(true, Ordering::Relaxed);
-        self.looking.drain(..).for_each(|look| look.join().expect("a look ends"));
-        let told = self.told.lock().expect("nobody panicked").clone();
-        for ((one, by), (other, too)) in told.iter().zip(told.iter().skip(1)) {
+        self.stopping.store(true, Ordering::Relaxed);
+        self.observers.drain(..).for_each(|observer| observer.join().expect("an observer thread panicked"));
+        let decided = self.decided_versions.lock().expect("a thread panicked while it held the lock").clone();
+        for ((one, one_machines), (other, other_machines)) in decided.iter().zip(decided.iter().skip(1)) {
             if one.0 == other.0 {
-                self.fail(&format!("{by:?} tell {one:?}, and {too:?} tell {other:?}"));
+                self.fail(&format!(
+                    "machines {one_machines:?} sent {one:?}, machines {other_machines:?} sent {other:?}"
+                ));
             }
         }
-        if let Some(lost) = self.accepted.iter().find(|seen| !told.contains_key(seen)) {
-            self.fail(&format!("{lost:?} was acknowledged, and is lost: {told:?}"));
+        if let Some(lost) = self.accepted.iter().find(|seen| !decided.contains_key(seen)) {
+            self.fail(&format!("version {lost:?} was acknowledged and is lost: {decided:?}"));
         }
-        let sightings = self.sightings.lock().expect("nobody panicked").clone();
+        let sightings =
+            self.versions_in_force.lock().expect("a thread panicked while it held the lock").clone();
         for (rank, seen) in &sightings {
-            if let Some((wrong, _)) = seen.iter().find(|(seen, _)| seen.0 > 0 && !told.contains_key(seen)) {
-                self.fail(&format!("{wrong:?} was in force at {rank}, and was never agreed: {told:?}"));
+            if let Some((wrong, _)) = seen.iter().find(|(seen, _)| seen.0 > 0 && !decided.contains_key(seen))
+            {
+                self.fail(&format!(
+                    "version {wrong:?} was in force at scheduler {rank} and never decided: {decided:?}"
+                ));
             }
         }
-        let ends: Vec<(u64, Vec<String>)> = self.clients.drain(..).map(Clients::end).collect();
+        let ends: Vec<(u64, Vec<String>)> = self.clients.drain(..).map(Client::finish).collect();
         for (rank, (served, lost)) in ends.iter().enumerate() {
             if *served == 0 || !lost.is_empty() {
                 self.fail(&format!("scheduler {rank} served {served} requests and lost {lost:?}"));
@@ -443,10 +472,10 @@
         if thread::panicking() {
             let (seed, test) = (self.seed, self.test);
             eprintln!(
-                "play it again: CONTROL_SEED={seed} cargo test --test control {test} -- --exact --nocapture"
+                "repeat with: CONTROL_SEED={seed} cargo test --test control {test} -- --exact --nocapture"
             );
         }
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         self.machines.clear();
         self.schedulers.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -458,19 +487,20 @@
     digest.chars().take(16).collect()
 }
 
-/// A change of two keys, which belong together.
-pub fn both(value: u32) -> Value {
+/// A change that sets the quotas of both tenants to the same value.
+pub fn quota_change(value: u32) -> Value {
     json!({"set": {"orgs.acme.quota_rps": value, "orgs.bolt.quota_rps": value}})
 }
 
-fn figure(told: &str, name: &str) -> Option<String> {
-    let line = told.lines().find_map(|line| line.strip_prefix(&format!("scheduler.{name}=")))?;
+/// The value of a metric in the answer to INFO.
+fn metric(info: &str, name: &str) -> Option<String> {
+    let line = info.lines().find_map(|line| line.strip_prefix(&format!("scheduler.{name}=")))?;
     Some(line.to_owned())
 }
 
-/// The version that is in force behind a door.
-pub fn in_force(door: std::net::SocketAddr) -> Option<Seen> {
-    let told = ask(door, "INFO").ok()?;
-    let seq = figure(&told, "control.seq")?.parse().ok()?;
-    Some((seq, short(&figure(&told, "control.digest")?)))
+/// The version in force at the scheduler with this management address.
+pub fn in_force(management: std::net::SocketAddr) -> Option<Version> {
+    let info = management_command(management, "INFO").ok()?;
+    let seq = metric(&info, "control.seq")?.parse().ok()?;
+    Some((seq, short(&metric(&info, "control.digest")?)))
 }
--- a/tests/regions/relay.rs
+++ b/tests/regions/relay.rs
@@ -1,4 +1,5 @@
-//! A relay on loopback, which does to connections what a network may: hold back either way, delay, and break them.
+//! A relay on loopback that injects network faults into connections: blocked directions, delay, stalls and broken
+//! connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,124 +8,128 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a relay looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a relay checks whether it may pass data on or has to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One way through a relay.
+/// One direction through a relay, with its faults.
 #[derive(Default)]
-pub struct Way {
-    /// Nothing passes; what has come waits, as what is lost and sent again does.
-    pub cut: AtomicBool,
-    /// Each piece waits so long, in microseconds.
+pub struct Direction {
+    /// Data is held back until the direction is joined again, as TCP retransmits lost data.
+    pub blocked: AtomicBool,
+    /// Delay of each piece of data in microseconds.
     pub delay_us: AtomicU64,
-    /// Of a million pieces so many break their connection, ...
-    pub breaks: AtomicU64,
-    /// ... and so many hold it up for 300 ms, as one that is lost does until it is sent again.
-    pub stalls: AtomicU64,
-    /// Bytes that passed.
+    /// Number of pieces in a million that break the connection.
+    pub breaks_per_million: AtomicU64,
+    /// Number of pieces in a million that stall the connection for 300 ms, as a lost packet does until it is retransmitted.
+    pub stalls_per_million: AtomicU64,
+    /// Number of bytes passed on.
     pub bytes: AtomicU64,
 }
 
+/// State of a relay, shared by its threads.
 struct Shared {
     target: Mutex<Option<SocketAddr>>,
-    there: Way,
-    back: Way,
-    over: AtomicBool,
+    to_target: Direction,
+    from_target: Direction,
+    stopping: AtomicBool,
     random: Mutex<fastrand::Rng>,
 }
 
-/// See the head of this file.
+/// A relay for all connections from one process to another.
 pub struct Relay {
-    /// Where it takes connections.
+    /// Address on which the relay listens.
     pub at: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Relay {
-    /// A relay whose target is not known yet. What it breaks is drawn from this seed.
+    /// Starts a relay without a target. Breaks and stalls are drawn from this seed.
     pub fn new(seed: u64) -> Relay {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let at = listener.local_addr().expect("it is bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no loopback port could be bound");
+        let at = listener.local_addr().expect("the socket has no local address");
         let shared = Arc::new(Shared {
             target: Mutex::default(),
-            there: Way::default(),
-            back: Way::default(),
-            over: AtomicBool::new(false),
+            to_target: Direction::default(),
+            from_target: Direction::default(),
+            stopping: AtomicBool::new(false),
             random: Mutex::new(fastrand::Rng::with_seed(seed)),
         });
-        let own = Arc::clone(&shared);
+        let listener_shared = Arc::clone(&shared);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if own.over.load(Ordering::Relaxed) {
+                if listener_shared.stopping.load(Ordering::Relaxed) {
                     return;
                 }
-                let shared = Arc::clone(&own);
-                thread::spawn(move || pass(stream, &shared));
+                let shared = Arc::clone(&listener_shared);
+                thread::spawn(move || relay_connection(stream, &shared));
             }
         });
         Relay { at, shared }
     }
 
-    /// Where it leads from now on; nobody where there is nobody.
-    pub fn lead(&self, to: Option<SocketAddr>) {
-        *self.shared.target.lock().expect("nobody panicked") = to;
+    /// Sets the target of new connections; with `None` they are closed.
+    pub fn set_target(&self, to: Option<SocketAddr>) {
+        *self.shared.target.lock().expect("a thread panicked while it held the lock") = to;
     }
 
-    /// The way from who connects.
-    pub fn there(&self) -> &Way {
-        &self.shared.there
+    /// The direction from the connecting side to the target.
+    pub fn to_target(&self) -> &Direction {
+        &self.shared.to_target
     }
 
-    /// The way back.
-    pub fn back(&self) -> &Way {
-        &self.shared.back
+    /// The direction from the target to the connecting side.
+    pub fn from_target(&self) -> &Direction {
+        &self.shared.from_target
     }
 
-    /// Cuts both ways, or joins them.
-    pub fn cut(&self, cut: bool) {
-        self.there().cut.store(cut, Ordering::Relaxed);
-        self.back().cut.store(cut, Ordering::Relaxed);
+    /// Blocks both directions, or joins them again.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.to_target().blocked.store(blocked, Ordering::Relaxed);
+        self.from_target().blocked.store(blocked, Ordering::Relaxed);
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
-        // The one that waits for connections hears of it by one.
+        self.shared.stopping.store(true, Ordering::Relaxed);
+        // A connection wakes the accepting thread, which then ends.
         let _ = TcpStream::connect(self.at);
     }
 }
 
-/// Passes on what comes on one connection.
-fn pass(near: TcpStream, shared: &Arc<Shared>) {
-    // While nothing passes, nobody there hears of the connection.
-    while shared.there.cut.load(Ordering::Relaxed) || shared.back.cut.load(Ordering::Relaxed) {
-        if shared.over.load(Ordering::Relaxed) {
+/// Relays one connection until either side ends.
+fn relay_connection(near: TcpStream, shared: &Arc<Shared>) {
+    // The target gets no connection while a direction is blocked.
+    while shared.to_target.blocked.load(Ordering::Relaxed)
+        || shared.from_target.blocked.load(Ordering::Relaxed)
+    {
+        if shared.stopping.load(Ordering::Relaxed) {
             return;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    let target = *shared.target.lock().expect("nobody panicked");
+    let target = *shared.target.lock().expect("a thread panicked while it held the lock");
     let Some(Ok(far)) = target.map(TcpStream::connect) else { return };
     let clones = (near.try_clone(), far.try_clone());
-    let (Ok(near_too), Ok(far_too)) = clones else { return };
+    let (Ok(near_clone), Ok(far_clone)) = clones else { return };
     let other = Arc::clone(shared);
-    let back = thread::spawn(move || pump(far_too, near_too, &other, false));
-    pump(near, far, shared, true);
-    let _ = back.join();
+    let return_thread = thread::spawn(move || copy_direction(far_clone, near_clone, &other, false));
+    copy_direction(near, far, shared, true);
+    let _ = return_thread.join();
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, shared: &Shared, there: bool) {
-    let way = if there { &shared.there } else { &shared.back };
-    let _ = from.set_read_timeout(Some(LOOK));
+/// Copies data from one stream to the other, with the faults of the direction.
+fn copy_direction(mut from: TcpStream, mut to: TcpStream, shared: &Shared, toward_target: bool) {
+    let direction = if toward_target { &shared.to_target } else { &shared.from_target };
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = to.set_nodelay(true);
     let mut piece = [0; 16 * 1024];
     loop {
         let read = from.read(&mut piece);
-        while way.cut.load(Ordering::Relaxed) && !shared.over.load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
+        while direction.blocked.load(Ordering::Relaxed) && !shared.stopping.load(Ordering::Relaxed) {
+            thread::sleep(POLL_INTERVAL);
         }
-        if shared.over.load(Ordering::Relaxed) {
+        if shared.stopping.load(Ordering::Relaxed) {
             break;
         }
         let count = match read {
@@ -140,19 +145,20 @@
             }
             Err(_) => break,
         };
-        let drawn = shared.random.lock().expect("nobody panicked").u64(0..1_000_000);
-        let breaks = way.breaks.load(Ordering::Relaxed);
-        if drawn < breaks {
+        let random_number =
+            shared.random.lock().expect("a thread panicked while it held the lock").u64(0..1_000_000);
+        let breaks_per_million = direction.breaks_per_million.load(Ordering::Relaxed);
+        if random_number < breaks_per_million {
             break;
         }
-        if drawn < breaks + way.stalls.load(Ordering::Relaxed) {
+        if random_number < breaks_per_million + direction.stalls_per_million.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(300));
         }
-        thread::sleep(Duration::from_micros(way.delay_us.load(Ordering::Relaxed)));
+        thread::sleep(Duration::from_micros(direction.delay_us.load(Ordering::Relaxed)));
         if to.write_all(&piece[..count]).is_err() {
             break;
         }
-        way.bytes.fetch_add(count as u64, Ordering::Relaxed);
+        direction.bytes.fetch_add(count as u64, Ordering::Relaxed);
     }
     let _ = to.shutdown(Shutdown::Both);
     let _ = from.shutdown(Shutdown::Both);
--- a/tests/regions/schedulers.rs
+++ b/tests/regions/schedulers.rs
@@ -1,4 +1,4 @@
-//! A scheduler as a process of the program, with a stand-in worker and a client of its own.
+//! Schedulers as processes of the program, a stub worker for all of them and a client for each.
 
 use super::discovery::confirm_for_ever;
 use super::http::call;
@@ -14,7 +14,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The settings, in the platform's form, of the scheduler of this rank.
+/// Settings, in the platform's format, of the scheduler with this rank among `count` schedulers.
 pub fn settings(rank: usize, count: usize) -> Value {
     json!({"azs": ["north", "south"], "kinds": ["big"], "n_instances": count, "rank": rank, "zone": "north",
         "ceilings": {"cancelling": true, "connect_timeout_us": 1_000_000, "may_duplicate": true, "most_tries": 4,
@@ -28,23 +28,24 @@
         "tick_us": 1000})
 }
 
-/// A scheduler is ready within this time: its discovery answers at once.
-const READY: Duration = Duration::from_secs(10);
+/// Timeout for the start of a scheduler, whose discovery answers at once.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// See the head of this file.
+/// A running scheduler.
 pub struct Scheduler {
     rank: usize,
     child: Child,
     log: Log,
     file: PathBuf,
-    /// Where its clients connect.
-    pub at: SocketAddr,
-    /// Where operators call.
-    pub door: SocketAddr,
+    /// Address for clients.
+    pub address: SocketAddr,
+    /// Address for management commands.
+    pub management: SocketAddr,
 }
 
 impl Scheduler {
-    /// Starts the scheduler of this rank of so many; it learns from the machines at these addresses.
+    /// Starts the scheduler with this rank among `count`. It watches the control machines at these addresses, and counts
+    /// itself as behind after hearing of no majority for `silence`.
     pub fn start(
         folder: &Path,
         rank: usize,
@@ -54,9 +55,9 @@
         worker: SocketAddr,
     ) -> Scheduler {
         let control: Vec<String> = control.iter().map(SocketAddr::to_string).collect();
-        // Its discovery has nothing new.
-        let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let discovery_at = discovery.local_addr().expect("it is bound");
+        // Discovery only confirms the list that the scheduler has.
+        let discovery = TcpListener::bind("127.0.0.1:0").expect("no loopback port could be bound");
+        let discovery_at = discovery.local_addr().expect("the socket has no local address");
         confirm_for_ever(discovery);
         let config = json!({
             "name": format!("n{rank}"), "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0",
@@ -67,32 +68,32 @@
             "settings": settings(rank, count),
         });
         let file = folder.join(format!("n{rank}.json"));
-        std::fs::write(&file, config.to_string()).expect("the configuration is written");
+        std::fs::write(&file, config.to_string()).expect("the configuration could not be written");
         let log = Log::default();
         let mut command = Command::new(env!("CARGO_BIN_EXE_calicolb"));
         command.env("RELAY_CONFIG", &file);
-        let (child, found) = run(&mut command, &log, &["listens for operators on ", "serves on "]);
-        let ready = || call(found[1], "GET", "/up", "", b"").is_ok_and(|answer| answer.0 == 200);
+        let (child, addresses) = run(&mut command, &log, &["listens for operators on ", "serves on "]);
+        let ready = || call(addresses[1], "GET", "/up", "", b"").is_ok_and(|answer| answer.0 == 200);
         let since = Instant::now();
         while !ready() {
-            assert!(since.elapsed() < READY, "scheduler {rank} is not ready:\n{}", text(&log));
+            assert!(since.elapsed() < READY_TIMEOUT, "scheduler {rank} is not ready:\n{}", text(&log));
             thread::sleep(Duration::from_millis(10));
         }
-        Scheduler { rank, child, log, file, at: found[1], door: found[0] }
+        Scheduler { rank, child, log, file, address: addresses[1], management: addresses[0] }
     }
 
-    /// When its log told that a version of this number or a later one is in force.
+    /// Time at which the log first reported version `seq` or a later one in force.
     pub fn in_force_at(&self, seq: u64) -> Option<Instant> {
-        let log = self.log.lock().expect("nobody panicked");
+        let log = self.log.lock().expect("a thread panicked while it held the lock");
         log.in_force.range(seq..).map(|(_, at)| *at).min()
     }
 
-    /// Its process.
-    pub fn process(&self) -> u32 {
+    /// Process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The end of its log.
+    /// The last lines of the log with a heading.
     pub fn log(&self) -> String {
         format!("scheduler {}:\n  {}", self.rank, text(&self.log))
     }
@@ -106,24 +107,26 @@
     }
 }
 
-/// A worker that takes each job and has done it at once.
+/// A stub worker that accepts each job and reports it as done at once.
 pub struct Worker {
-    /// Where it is.
-    pub at: SocketAddr,
+    /// Address of the worker.
+    pub address: SocketAddr,
+    /// Addresses for callbacks, by the scheduler's rank.
     schedulers: Arc<Mutex<HashMap<usize, SocketAddr>>>,
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
 }
 
 impl Worker {
-    /// Begins to take jobs.
+    /// Starts the worker's threads.
     pub fn start() -> Worker {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let at = listener.local_addr().expect("it is bound");
-        let (schedulers, over) = (Arc::default(), Arc::new(AtomicBool::new(false)));
-        let worker = Worker { at, schedulers: Arc::clone(&schedulers), over: Arc::clone(&over) };
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no loopback port could be bound");
+        let at = listener.local_addr().expect("the socket has no local address");
+        let (schedulers, stopping) = (Arc::default(), Arc::new(AtomicBool::new(false)));
+        let worker =
+            Worker { address: at, schedulers: Arc::clone(&schedulers), stopping: Arc::clone(&stopping) };
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if over.load(Ordering::Relaxed) {
+                if stopping.load(Ordering::Relaxed) {
                     return;
                 }
                 let schedulers = Arc::clone(&schedulers);
@@ -133,19 +136,20 @@
         worker
     }
 
-    /// Where the scheduler of this rank takes call-backs.
-    pub fn learn(&self, rank: usize, at: SocketAddr) {
-        self.schedulers.lock().expect("nobody panicked").insert(rank, at);
+    /// Sets the address at which the scheduler of this rank accepts callbacks.
+    pub fn set_scheduler(&self, rank: usize, at: SocketAddr) {
+        self.schedulers.lock().expect("a thread panicked while it held the lock").insert(rank, at);
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        let _ = TcpStream::connect(self.at);
+        self.stopping.store(true, Ordering::Relaxed);
+        let _ = TcpStream::connect(self.address);
     }
 }
 
+/// Serves one connection: accepts each job and sends its result to the scheduler named in the request id.
 fn serve(stream: TcpStream, schedulers: &Mutex<HashMap<usize, SocketAddr>>) {
     let Ok(mut answers) = stream.try_clone() else { return };
     let mut lines = BufReader::new(stream);
@@ -167,62 +171,62 @@
                 id = Some(value.to_owned());
             }
         }
-        // A call for the list of workers is ended.
+        // The connection is closed on any request that is no job.
         let Some(id) = id.filter(|_| first.is_some_and(|line| line.starts_with("POST"))) else { return };
         if answers.write_all(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n").is_err() {
             return;
         }
         let rank = id.split('-').next().and_then(|rank| rank.parse().ok()).unwrap_or(usize::MAX);
-        let at = schedulers.lock().expect("nobody panicked").get(&rank).copied();
+        let at = schedulers.lock().expect("a thread panicked while it held the lock").get(&rank).copied();
         let body = format!(r#"{{"id":"{id}","from":"w1","state":"done","result":"r","load":{{"x0":64}}}}"#);
-        let news = format!(
+        let callback = format!(
             "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
         if let Some(Ok(mut stream)) = at.map(TcpStream::connect) {
-            let _ = stream.write_all(news.as_bytes());
+            let _ = stream.write_all(callback.as_bytes());
             let _ = stream.read_to_end(&mut Vec::new());
         }
     }
 }
 
-/// A client of one scheduler: one job after another.
-pub struct Clients {
-    over: Arc<AtomicBool>,
+/// A client of one scheduler that sends one job after another.
+pub struct Client {
+    stopping: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
-    work: JoinHandle<Vec<String>>,
+    thread: JoinHandle<Vec<String>>,
 }
 
-impl Clients {
-    /// Begins to ask.
-    pub fn start(rank: usize, at: SocketAddr, pause: Duration) -> Clients {
-        let (over, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let (ends, counts) = (Arc::clone(&over), Arc::clone(&served));
-        let work = thread::spawn(move || {
-            let mut lost = Vec::new();
+impl Client {
+    /// Starts sending jobs with this pause between them.
+    pub fn start(rank: usize, at: SocketAddr, pause: Duration) -> Client {
+        let (stopping, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop_flag, served_count) = (Arc::clone(&stopping), Arc::clone(&served));
+        let thread = thread::spawn(move || {
+            let mut failures = Vec::new();
             for nr in 0_u64.. {
-                if ends.load(Ordering::Relaxed) {
+                if stop_flag.load(Ordering::Relaxed) {
                     break;
                 }
                 let headers = format!("Request-Id: {rank}-{nr}\r\nRequest-Timeout: 9\r\nTenant: acme\r\n");
                 match call(at, "POST", "/look", &headers, b"") {
                     Ok((200, ..)) => {
-                        counts.fetch_add(1, Ordering::Relaxed);
+                        served_count.fetch_add(1, Ordering::Relaxed);
                     }
-                    Ok((_, head, _)) => lost.push(format!("{nr}: {}", head.lines().next().unwrap_or(""))),
-                    Err(error) => lost.push(format!("{nr}: {error}")),
+                    Ok((_, head, _)) => failures.push(format!("{nr}: {}", head.lines().next().unwrap_or(""))),
+                    Err(error) => failures.push(format!("{nr}: {error}")),
                 }
                 thread::sleep(pause);
             }
-            lost
+            failures
         });
-        Clients { over, served, work }
+        Client { stopping, served, thread }
     }
 
-    /// Stops asking; gives how many were served, and what became of the others.
-    pub fn end(self) -> (u64, Vec<String>) {
-        self.over.store(true, Ordering::Relaxed);
-        let lost = self.work.join().expect("a client ends");
-        (self.served.load(Ordering::Relaxed), lost)
+    /// Stops the client; returns the number of served jobs and the errors of all others.
+    pub fn finish(self) -> (u64, Vec<String>) {
+        self.stopping.store(true, Ordering::Relaxed);
+        let failures = self.thread.join().expect("the client's thread panicked");
+        (self.served.load(Ordering::Relaxed), failures)
     }
 }
