--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,8 +1,9 @@
-//! The adapter on hand-written frames: what it answers, and what it makes of malformed input.
+//! The adapter program `calicolb-drill` on hand-written batches of messages: its replies, and its errors on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Settings of the test dispatcher as the JSON of the UP message.
 const INFO: &str = concat!(
     r#"{"azs":["north","south"],"ceilings":{"cancelling":true,"connect_timeout_us":250000,"#,
     r#""max_retry_after_us":2000000,"may_duplicate":true,"most_tries":4,"peers":true,"probes":true,"#,
@@ -17,18 +18,21 @@
     r#""fall_multiple":3.0,"fall_us":1000000,"start_capacity":0.3},"tick_us":1000,"zone":"north"}"#
 );
 
+/// Runs the adapter on this input until it ends.
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_calicolb-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // It may stop reading early, at a malformed line.
-    let _ = child.stdin.take().expect("its input is piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+        .expect("the adapter could not be started");
+    // The write can fail because the adapter stops reading at a malformed line.
+    let _ =
+        child.stdin.take().expect("the adapter's standard input is not piped").write_all(input.as_bytes());
+    child.wait_with_output().expect("the adapter could not be waited for")
 }
 
+/// A batch that starts dispatcher `d/0` with one worker.
 fn start() -> String {
     format!(
         "TURN\tnow_us=1000000\nUP\tdispatcher=d/0\tinit_seed=5\tinfo={INFO}\n\
@@ -37,13 +41,14 @@
     )
 }
 
+/// Splits the output into the replies, each of which ends with NEXT.
 fn replies(output: &Output) -> Vec<String> {
-    let text = String::from_utf8(output.stdout.clone()).expect("replies are UTF-8");
+    let text = String::from_utf8(output.stdout.clone()).expect("the replies are not UTF-8");
     text.split_inclusive("NEXT\n").map(str::to_owned).collect()
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
+fn empty_batch_gets_an_empty_reply_and_end_of_input_is_no_error() {
     let output = run("TURN\tnow_us=5\nEND\n");
     assert_eq!(String::from_utf8_lossy(&output.stdout), "NEXT\n");
     assert!(output.status.success());
@@ -51,7 +56,7 @@
 }
 
 #[test]
-fn a_request_is_passed_on_and_its_outcome_taken_in() {
+fn request_is_sent_to_a_worker_and_its_outcome_is_accepted() {
     let rest = "TURN\tnow_us=1100000\n\
          ARRIVAL\tdispatcher=d/0\ttxn=9\tsize_hint_us=12000\texpires_us=6100000\tname_key=k\tqos=book\tneeds=1\tteam=acme\tlater=x\n\
          END\nTURN\tnow_us=1110000\nHINT_UPDATE\tdispatcher=d/0\ttxn=9\tsend_no=0\tworker=77\ttopic=1\nEND\n\
@@ -69,7 +74,7 @@
 }
 
 #[test]
-fn an_outcome_that_may_have_run_is_answered_with_an_error() {
+fn aborted_attempt_that_may_have_run_is_answered_with_an_error() {
     let rest = "TURN\tnow_us=1100000\nARRIVAL\tdispatcher=d/0\ttxn=9\texpires_us=6100000\tqos=book\nEND\n\
          TURN\tnow_us=1130000\nOUTCOME\tdispatcher=d/0\ttxn=9\tsend_no=0\tworker=77\tstate_code=ABORTED\tspent_us=30000\nEND\n";
     let output = run(&(start() + rest));
@@ -77,17 +82,17 @@
 }
 
 #[test]
-fn an_instance_that_comes_up_again_knows_nothing_of_before() {
+fn restarted_dispatcher_ignores_requests_of_its_previous_run() {
     let rest = "TURN\tnow_us=1100000\nARRIVAL\tdispatcher=d/0\ttxn=9\texpires_us=6100000\tqos=look\nEND\n";
     let again = "TURN\tnow_us=2100000\nOUTCOME\tdispatcher=d/0\ttxn=9\tsend_no=0\tworker=77\tstate_code=ABORTED\tspent_us=3\nEND\n";
     let output = run(&(start() + rest + &start() + again));
     assert!(output.status.success());
-    let last = replies(&output).pop().expect("a reply");
+    let last = replies(&output).pop().expect("the adapter sent no reply");
     assert!(!last.contains("txn=9"));
 }
 
 #[test]
-fn malformed_input_ends_in_one_plain_message_with_its_line() {
+fn malformed_input_ends_the_adapter_with_one_message_and_the_line_number() {
     let cases = [
         ("NONSENSE\tdispatcher=d/0\n", "unknown message 'NONSENSE'"),
         ("ARRIVAL\tdispatcher=d/0\ttxn=9\texpires_us=soon\tqos=look\n", "'soon'"),
@@ -106,27 +111,27 @@
     ];
     for (bad, message) in cases {
         let output = run(&format!("{}TURN\tnow_us=1100000\n{bad}", start()));
-        let text = String::from_utf8(output.stderr.clone()).expect("plain text");
+        let text = String::from_utf8(output.stderr.clone()).expect("the error output is not UTF-8");
         assert!(!output.status.success(), "{bad}");
         assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.contains(message) && text.contains("line "), "{bad} gives {text}");
+        assert!(text.contains(message) && text.contains("line "), "input {bad}: error output {text}");
     }
 }
 
 #[test]
-fn a_batch_must_begin_with_turn() {
+fn batch_without_turn_is_rejected() {
     let output = run("END\n");
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("line 1"));
 }
 
 #[test]
-fn reports_are_read_by_the_names_of_either_wire() {
-    let (_, names) = calicolb::wire::parse_settings(INFO).expect("the settings are sound");
-    let simulated = [("utilization", 0.5), ("x0", 3.0), ("errors_per_s", 0.25)];
-    let real = [("util", 0.5), ("x0", 3.0), ("eps", 0.25), ("unheard_of", 9.0)];
-    let report = names.report(real.into_iter());
-    assert_eq!(report, names.report(simulated.into_iter()));
+fn reports_are_read_with_the_field_names_of_both_protocols() {
+    let (_, names) = calicolb::wire::parse_settings(INFO).expect("the settings could not be parsed");
+    let adapter_fields = [("utilization", 0.5), ("x0", 3.0), ("errors_per_s", 0.25)];
+    let callback_fields = [("util", 0.5), ("x0", 3.0), ("eps", 0.25), ("unheard_of", 9.0)];
+    let report = names.report(callback_fields.into_iter());
+    assert_eq!(report, names.report(adapter_fields.into_iter()));
     assert_eq!(
         (report.utilization, report.free_slots, report.errors_per_s),
         (Some(0.5), Some(3.0), Some(0.25))
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,26 +1,27 @@
-//! Settings that come into force on SIGHUP, while requests are open and connections rest.
+//! Settings updates on SIGHUP while requests are open and connections are idle.
 
-#[allow(dead_code, reason = "each test program uses a part of the language")]
+#[allow(dead_code, reason = "each test program uses only a part of this module")]
 mod scenario;
 
 use scenario::Setup;
 
-/// Workers do not tell when a job starts, so that none is moved for that, and there is time for every job.
-const PATIENT: [(&str, &str); 3] = [
+/// Settings under which no job moves to another worker: workers do not report starts, and both classes have an aim of 15 s.
+const LONG_AIM_SETTINGS: [(&str, &str); 3] = [
     ("/settings/extra/tells_start", "false"),
     ("/settings/request_classes/0/aim_us", "15000000"),
     ("/settings/request_classes/1/aim_us", "15000000"),
 ];
 
-fn play(hops: usize, script: &str) {
-    Setup { hops, settings: &PATIENT, ..Setup::default() }.play(script);
+/// Runs a script with this number of workers and the settings [`LONG_AIM_SETTINGS`].
+fn run_script(workers: usize, script: &str) {
+    Setup { hops: workers, settings: &LONG_AIM_SETTINGS, ..Setup::default() }.play(script);
 }
 
-/// What brings other settings into force.
-const RENEW: &str = "send file d\nsend program HUP\nexpect program new settings are in force";
+/// Script lines that write the changed settings, send SIGHUP and wait until they are in force.
+const UPDATE_SETTINGS: &str = "send file d\nsend program HUP\nexpect program new settings are in force";
 
 #[test]
-fn open_requests_and_resting_connections_live_through_other_settings() {
+fn open_requests_and_idle_connections_survive_a_settings_update() {
     let script = format!(
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:20 Work-Hint:100000
@@ -35,7 +36,7 @@
         set /settings/ceilings/max_open 9000
         set /settings/request_classes/0/aim_us 14000000
         set /settings/request_classes/1/deadline_us 9000000
-        {RENEW}
+        {UPDATE_SETTINGS}
         send n1 POST /_jobs/news | {{"id":"a1","from":"h1","state":"done","result":"r1"}}
         expect n1 200
         expect c1 200 | r1
@@ -59,62 +60,63 @@
         wait program
         "#
     );
-    play(1, &script);
+    run_script(1, &script);
 }
 
 #[test]
-fn fewer_tries_and_a_tighter_effect_hold_at_once_for_a_request_that_is_open() {
-    for (change, end) in [
+fn lower_attempt_limit_and_stricter_effect_apply_at_once_to_an_open_request() {
+    for (change, expectation) in [
         ("", "expect h1 POST /look Request-Id:a1"),
         ("set /settings/ceilings/most_tries 2", "expect h1 POST /look Request-Id:a1"),
         ("set /settings/ceilings/most_tries 1", "expect c1 503"),
         (r#"set /settings/request_classes/0/effect "non_idempotent""#, "expect c1 500"),
-        // A keyed repeat is dropped by who remembers the first, and nobody had to remember that.
+        // A worker drops a keyed repeat only if it remembers the first attempt, and no worker had to remember the attempt
+        // under the safe effect.
         (
             r#"set /settings/request_classes/0 {"name":"look","aim_us":9000000,"deadline_us":20000000,"effect":"idempotency_key","memory_span_us":60000000}"#,
             "expect c1 500",
         ),
     ] {
-        let renew = if change.is_empty() { "" } else { RENEW };
+        let update = if change.is_empty() { "" } else { UPDATE_SETTINGS };
         let script = format!(
             r#"
             send c1 POST /look Request-Id:a1 Request-Timeout:20 Work-Hint:100000
             expect h2 POST /look Request-Id:a1
             {change}
-            {renew}
+            {update}
             close h2
-            {end}
+            {expectation}
             "#
         );
-        play(2, &script);
+        run_script(2, &script);
     }
 }
 
 #[test]
-fn an_open_request_does_not_go_on_by_a_wider_effect() {
+fn open_request_keeps_its_effect_when_the_class_becomes_less_strict() {
     let script = format!(
         r#"
         send c1 POST /book Request-Id:a1 Request-Timeout:20 Work-Hint:100000
         expect h2 POST /book Request-Id:a1
         set /settings/request_classes/1/effect "read_like"
-        {RENEW}
+        {UPDATE_SETTINGS}
         close h2
         expect c1 500
         send c1 POST /book Request-Id:a2 Request-Timeout:20 Work-Hint:100000
         expect h1 POST /book Request-Id:a2
         "#
     );
-    play(2, &script);
+    run_script(2, &script);
 }
 
 #[test]
-fn a_faulty_file_is_told_by_its_key_and_nothing_of_it_is_in_force() {
+fn invalid_settings_file_is_rejected_completely_and_its_key_is_logged() {
     for (pointer, value, key) in [
         ("/settings/request_classes/0/effect", r#""odd""#, "settings.request_classes.look.effect"),
         ("/settings/request_classes/1/aim_us", r#""soon""#, "settings.request_classes.book.aim_us"),
         ("/settings/ceilings/max_open", "-1", "settings.ceilings.max_open"),
         ("/settings/orgs/0/quota_rps", "-1.0", "settings.orgs.acme.quota_rps"),
-        // These are sound, and need a restart.
+        // These values are valid but need a restart.
         ("/settings/n_instances", "9", "settings.n_instances"),
         ("/settings/azs", r#"["north","east"]"#, "settings.azs"),
         ("/settings/extra/tells_start", "true", "settings.extra.tells_start"),
@@ -137,12 +139,12 @@
             info scheduler.settings.taken_up=0
             "#
         );
-        play(2, &script);
+        run_script(2, &script);
     }
 }
 
 #[test]
-fn classes_come_and_go_and_come_back_while_their_requests_are_open() {
+fn classes_are_removed_added_and_restored_while_their_requests_are_open() {
     let look = r#"{"name":"look","aim_us":900000,"deadline_us":20000000,"effect":"read_like","worth":1.0}"#;
     let book =
         r#"{"name":"book","aim_us":900000,"deadline_us":20000000,"effect":"non_idempotent","worth":2.0}"#;
@@ -155,7 +157,7 @@
         expect h1 POST /look Request-Id:a1
         send h1 202
         set /settings/request_classes [{fit},{book}]
-        {RENEW}
+        {UPDATE_SETTINGS}
         send c2 POST /look Request-Id:a2 Request-Timeout:20 Work-Hint:100000
         expect c2 404
         send c2 POST /fit Request-Id:a3 Request-Timeout:20 Work-Hint:100000
@@ -184,18 +186,18 @@
         info scheduler.requests.book.served=0
         "#
     );
-    play(1, &script);
+    run_script(1, &script);
 }
 
 #[test]
-fn the_most_that_may_be_open_holds_at_once_and_ends_nothing() {
+fn lower_limit_of_open_requests_applies_at_once_and_ends_no_open_request() {
     let script = format!(
         r#"
         send c1 POST /look Request-Id:a1 Request-Timeout:20 Work-Hint:100000
         expect h1 POST /look Request-Id:a1
         send h1 202
         set /settings/ceilings/max_open 1
-        {RENEW}
+        {UPDATE_SETTINGS}
         send c2 POST /look Request-Id:a2 Request-Timeout:20 Work-Hint:100000
         expect c2 503
         send n1 POST /_jobs/news | {{"id":"a1","from":"h1","state":"done","result":"r1"}}
@@ -205,11 +207,11 @@
         expect h1 POST /look Request-Id:a3
         "#
     );
-    play(1, &script);
+    run_script(1, &script);
 }
 
 #[test]
-fn connections_that_workers_now_end_sooner_are_not_used_after_that() {
+fn idle_connection_is_not_reused_after_the_new_shorter_idle_timeout() {
     let script = |idle: &str, next: &str| {
         format!(
             r#"
@@ -221,36 +223,36 @@
             expect c1 200 | r1
             mark
             set /settings/ceilings/conn_idle_us {idle}
-            {RENEW}
+            {UPDATE_SETTINGS}
             until 400
             send c1 POST /look Request-Id:a2 Request-Timeout:20 Work-Hint:100000
             expect {next} POST /look Request-Id:a2
             "#
         )
     };
-    play(1, &script("60000000", "h1"));
-    play(1, &script("200000", "h1.2"));
+    run_script(1, &script("60000000", "h1"));
+    run_script(1, &script("200000", "h1.2"));
 }
 
 #[test]
-fn a_thousand_renewals_under_load_drop_nothing_and_leave_memory_bounded() {
-    let classes = |aim: u64, more: &str| {
+fn thousand_settings_updates_under_load_lose_no_request_and_bound_memory() {
+    let classes = |aim: u64, extra_class: &str| {
         format!(
             r#"[{{"name":"look","aim_us":{aim},"deadline_us":20000000,"effect":"read_like","worth":1.0}},
-            {{"name":"book","aim_us":900000,"deadline_us":20000000,"effect":"non_idempotent","worth":2.0}}{more}]"#
+            {{"name":"book","aim_us":900000,"deadline_us":20000000,"effect":"non_idempotent","worth":2.0}}{extra_class}]"#
         )
         .replace('\n', "")
     };
-    let more = r#",{"name":"fit","aim_us":900000,"deadline_us":20000000,"effect":"read_like"}"#;
+    let extra_class = r#",{"name":"fit","aim_us":900000,"deadline_us":20000000,"effect":"read_like"}"#;
     let mut script = String::new();
     for nr in 0..1_000 {
         if nr == 100 {
             script += "weigh program\n";
         }
-        let list = classes(14_000_000 + nr, if nr % 2 == 0 { more } else { "" });
+        let list = classes(14_000_000 + nr, if nr % 2 == 0 { extra_class } else { "" });
         let orgs = format!(r#"[{{"name":"acme","quota_rps":{nr}}},{{"name":"t{}","quota_rps":1}}]"#, nr % 50);
-        let done = nr + 1;
-        // Each request is open while five renewals come, and its connections rest in between.
+        let update_count = nr + 1;
+        // Each request is open during five settings updates; its connections are idle between requests.
         if nr % 5 == 0 {
             script += &format!(
                 r#"
@@ -266,7 +268,7 @@
             set /settings/orgs {orgs}
             send file d
             send program HUP
-            info scheduler.settings.taken_up={done}
+            info scheduler.settings.taken_up={update_count}
             "#
         );
         if nr % 5 == 4 {
@@ -281,18 +283,18 @@
         }
     }
     script += "send program TERM\nwait program\n";
-    play(1, &script);
+    run_script(1, &script);
 }
 
 #[test]
-fn an_heir_whose_file_has_classes_in_another_order_takes_on_what_was_learned() {
+fn successor_with_another_class_order_takes_over_learned_data() {
     let fit = r#"{"name":"fit","aim_us":900000,"deadline_us":20000000,"effect":"read_like","worth":1.0}"#;
     let book =
         r#"{"name":"book","aim_us":900000,"deadline_us":20000000,"effect":"non_idempotent","worth":2.0}"#;
     let script = format!(
         r#"
         set /settings/request_classes [{fit},{book}]
-        {RENEW}
+        {UPDATE_SETTINGS}
         send c1 POST /fit Request-Id:a1 Request-Timeout:20 Work-Hint:100000
         expect h1 POST /fit Request-Id:a1
         send h1 202
@@ -309,5 +311,5 @@
         never does not fit
         "#
     );
-    Setup { hops: 1, pass: true, settings: &PATIENT, ..Setup::default() }.play(&script);
+    Setup { hops: 1, pass: true, settings: &LONG_AIM_SETTINGS, ..Setup::default() }.play(&script);
 }
