--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Settings of one dispatcher in zone 0, with two zones, two kinds, no tenants and first-in, first-out queue order; class 0 is
-/// safe, class 1 unsafe.
+/// Settings of one dispatcher in zone 0, with two zones, two kinds, no tenants and first-in, first-out queue order. Class 0
+/// is safe, class 1 unsafe.
 pub fn settings() -> Settings {
     Settings {
         rank: 0,
--- a/tests/common/rule_checker.rs
+++ b/tests/common/rule_checker.rs
@@ -10,7 +10,8 @@
 
 const WORKERS: u32 = 6;
 
-/// Values of [`Step::selector`] from this one on change settings (the first five) or start a pending attempt (the last three).
+/// Lowest value of [`Step::selector`] for settings updates (five values) and for starts of pending attempts (the three values
+/// after these).
 const FIRST_UPDATE_SELECTOR: u8 = 21;
 
 /// One step of a stream: the kind of event and the item that it concerns.
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -262,9 +262,9 @@
     let leader = regions.leader();
     for ((from, to), relay) in regions.machine_relays() {
         if *to == leader {
-            relay.to_target().blocked.store(true, Ordering::Relaxed);
+            relay.forward().blocked.store(true, Ordering::Relaxed);
         } else if *from == leader {
-            relay.from_target().blocked.store(true, Ordering::Relaxed);
+            relay.backward().blocked.store(true, Ordering::Relaxed);
         }
     }
     regions.change(next_machine(leader), 10);
@@ -286,7 +286,7 @@
         .chain(regions.learner_relays().map(|(_, relay)| relay))
         .collect();
     for relay in relays {
-        for direction in [relay.to_target(), relay.from_target()] {
+        for direction in [relay.forward(), relay.backward()] {
             direction.delay_us.store(2_000, Ordering::Relaxed);
             direction.breaks_per_million.store(10_000, Ordering::Relaxed);
             direction.stalls_per_million.store(20_000, Ordering::Relaxed);
--- a/tests/regions/http.rs
+++ b/tests/regions/http.rs
@@ -34,7 +34,7 @@
     let end = all.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
     let end = end.ok_or(std::io::ErrorKind::UnexpectedEof)?;
     let head = String::from_utf8_lossy(&all[..end]).into_owned();
-    let status = head.split(' ').nth(1).and_then(|word| word.parse().ok());
+    let status = head.split(' ').nth(1).and_then(|code| code.parse().ok());
     Ok((status.ok_or(std::io::ErrorKind::InvalidData)?, head, all.split_off(end)))
 }
 
@@ -65,7 +65,7 @@
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
         reader.read_line(&mut line)?;
-        let status = line.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
+        let status = line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0);
         line.clear();
         while reader.read_line(&mut line)? > 0 && line != "\r\n" {
             line.clear();
--- a/tests/regions/measurement.rs
+++ b/tests/regions/measurement.rs
@@ -62,8 +62,8 @@
     fn learner_bytes(&self) -> BTreeMap<usize, u64> {
         let mut bytes = BTreeMap::new();
         for ((rank, _), relay) in self.learner_relays() {
-            let both = relay.to_target().bytes.load(Ordering::Relaxed)
-                + relay.from_target().bytes.load(Ordering::Relaxed);
+            let both = relay.forward().bytes.load(Ordering::Relaxed)
+                + relay.backward().bytes.load(Ordering::Relaxed);
             *bytes.entry(*rank).or_insert(0) += both;
         }
         bytes
--- a/tests/regions/mod.rs
+++ b/tests/regions/mod.rs
@@ -128,7 +128,7 @@
         std::fs::write(&first_settings, schedulers::settings(0, 1).to_string())
             .expect("the first settings could not be written");
         let machines = (1..=MACHINES).map(|id| {
-            let addresses = (1..=MACHINES).map(|to| machine_relays[&(id, to)].at).collect::<Vec<_>>();
+            let addresses = (1..=MACHINES).map(|to| machine_relays[&(id, to)].address).collect::<Vec<_>>();
             Machine::new(&folder, id, &addresses, setup.learners)
         });
         let mut regions = Regions {
@@ -154,7 +154,8 @@
             regions.observe_machine(id);
         }
         for rank in 0..count {
-            let control: Vec<_> = (1..=MACHINES).map(|id| regions.learner_relays[&(rank, id)].at).collect();
+            let control: Vec<_> =
+                (1..=MACHINES).map(|id| regions.learner_relays[&(rank, id)].address).collect();
             let scheduler = Scheduler::start(
                 &regions.folder,
                 rank,
@@ -289,13 +290,13 @@
 
     /// Waits until a machine has a decided version, and returns the version.
     fn first_version_at(&self, id: usize) -> Version {
-        let mut seen = (0, String::new());
+        let mut version = (0, String::new());
         self.wait("a machine has a first version", WAIT_TIMEOUT, || {
             let Some(state) = self.state(id) else { return false };
-            seen = (state["seq"].as_u64().unwrap_or(0), short(state["digest"].as_str().unwrap_or("")));
-            seen.0 > 0
+            version = (state["seq"].as_u64().unwrap_or(0), short(state["digest"].as_str().unwrap_or("")));
+            version.0 > 0
         });
-        seen
+        version
     }
 
     /// Sends a change to a machine; returns status, head and JSON body. Status 0 means that there was no answer.
@@ -314,9 +315,9 @@
         loop {
             let (status, head, answer) = self.request_change(id, &quota_change(value));
             if status == 200 {
-                let seen =
+                let version =
                     (answer["seq"].as_u64().unwrap_or(0), short(answer["digest"].as_str().unwrap_or("")));
-                self.accepted.push(seen);
+                self.accepted.push(version);
                 return Instant::now();
             }
             if ![0, 503].contains(&status) || since.elapsed() > WAIT_TIMEOUT {
@@ -330,8 +331,9 @@
     pub fn try_change(&mut self, id: usize, value: u32) -> u16 {
         let (status, _, answer) = self.request_change(id, &quota_change(value));
         if status == 200 {
-            let seen = (answer["seq"].as_u64().unwrap_or(0), short(answer["digest"].as_str().unwrap_or("")));
-            self.accepted.push(seen);
+            let version =
+                (answer["seq"].as_u64().unwrap_or(0), short(answer["digest"].as_str().unwrap_or("")));
+            self.accepted.push(version);
         }
         status
     }
--- a/tests/regions/relay.rs
+++ b/tests/regions/relay.rs
@@ -29,8 +29,8 @@
 /// State of a relay, shared by its threads.
 struct Shared {
     target: Mutex<Option<SocketAddr>>,
-    to_target: Direction,
-    from_target: Direction,
+    forward: Direction,
+    backward: Direction,
     stopping: AtomicBool,
     random: Mutex<fastrand::Rng>,
 }
@@ -38,7 +38,7 @@
 /// A relay for all connections from one process to another.
 pub struct Relay {
     /// Address on which the relay listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
@@ -49,8 +49,8 @@
         let at = listener.local_addr().expect("the socket has no local address");
         let shared = Arc::new(Shared {
             target: Mutex::default(),
-            to_target: Direction::default(),
-            from_target: Direction::default(),
+            forward: Direction::default(),
+            backward: Direction::default(),
             stopping: AtomicBool::new(false),
             random: Mutex::new(fastrand::Rng::with_seed(seed)),
         });
@@ -64,7 +64,7 @@
                 thread::spawn(move || relay_connection(stream, &shared));
             }
         });
-        Relay { at, shared }
+        Relay { address: at, shared }
     }
 
     /// Sets the target of new connections; with `None` they are closed.
@@ -73,19 +73,19 @@
     }
 
     /// The direction from the connecting side to the target.
-    pub fn to_target(&self) -> &Direction {
-        &self.shared.to_target
+    pub fn forward(&self) -> &Direction {
+        &self.shared.forward
     }
 
     /// The direction from the target to the connecting side.
-    pub fn from_target(&self) -> &Direction {
-        &self.shared.from_target
+    pub fn backward(&self) -> &Direction {
+        &self.shared.backward
     }
 
     /// Blocks both directions, or joins them again.
     pub fn set_blocked(&self, blocked: bool) {
-        self.to_target().blocked.store(blocked, Ordering::Relaxed);
-        self.from_target().blocked.store(blocked, Ordering::Relaxed);
+        self.forward().blocked.store(blocked, Ordering::Relaxed);
+        self.backward().blocked.store(blocked, Ordering::Relaxed);
     }
 }
 
@@ -93,16 +93,14 @@
     fn drop(&mut self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         // A connection wakes the accepting thread, which then ends.
-        let _ = TcpStream::connect(self.at);
+        let _ = TcpStream::connect(self.address);
     }
 }
 
 /// Relays one connection until either side ends.
 fn relay_connection(near: TcpStream, shared: &Arc<Shared>) {
     // The target gets no connection while a direction is blocked.
-    while shared.to_target.blocked.load(Ordering::Relaxed)
-        || shared.from_target.blocked.load(Ordering::Relaxed)
-    {
+    while shared.forward.blocked.load(Ordering::Relaxed) || shared.backward.blocked.load(Ordering::Relaxed) {
         if shared.stopping.load(Ordering::Relaxed) {
             return;
         }
@@ -120,7 +118,7 @@
 
 /// Copies data from one stream to the other, with the faults of the direction.
 fn copy_direction(mut from: TcpStream, mut to: TcpStream, shared: &Shared, toward_target: bool) {
-    let direction = if toward_target { &shared.to_target } else { &shared.from_target };
+    let direction = if toward_target { &shared.forward } else { &shared.backward };
     let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = to.set_nodelay(true);
     let mut piece = [0; 16 * 1024];
--- a/tests/settings_update.rs
+++ b/tests/settings_update.rs
@@ -1,5 +1,5 @@
 //! Settings updates while a dispatcher runs: an update applies completely or not at all, learned data is kept, and no rule is
-//! break_attempt for open requests.
+//! broken for open requests.
 
 mod common;
 
@@ -82,13 +82,16 @@
         let mut bench = Bench::with_workers(two_tenants(10.0), &[1, 2]);
         bench.arrive(1, 0, 300 * MS);
         let (before, known) = (bench.dispatcher.settings().clone(), bench.dispatcher.knowledge());
-        let done = update_settings(&mut bench, |new| {
+        let actions = update_settings(&mut bench, |new| {
             new.limits.max_attempts = 1;
             new.tenants[0].quota_per_s = 1.0;
             change(new);
         });
         let quoted = format!("'{field}'");
-        assert!(matches!(&done[..], [Action::Log(line)] if line.contains(&quoted)), "{field}: {done:?}");
+        assert!(
+            matches!(&actions[..], [Action::Log(line)] if line.contains(&quoted)),
+            "{field}: {actions:?}"
+        );
         assert_eq!(*bench.dispatcher.settings(), before, "{field}");
         assert_eq!(bench.dispatcher.knowledge(), known, "{field}");
     }
@@ -160,9 +163,9 @@
 fn break_attempt(bench: &mut Bench, before_break: impl Fn(&mut Bench)) -> Vec<Action> {
     let sent = sends(&bench.arrive(1, 0, 200 * MS));
     before_break(bench);
-    let mut done = bench.outcome(1, 0, sent[0].1, Ending::Broken);
-    done.extend(bench.wait(SECOND));
-    done
+    let mut actions = bench.outcome(1, 0, sent[0].1, Ending::Broken);
+    actions.extend(bench.wait(SECOND));
+    actions
 }
 
 #[test]
@@ -176,25 +179,25 @@
     assert_eq!(
         sends(&break_attempt(&mut bench_with(Effect::Safe), |_| {})).len(),
         1,
-        "a break_attempt attempt is repeated without a settings update"
+        "a broken attempt is repeated without a settings update"
     );
     assert_eq!(
         sends(&break_attempt(&mut bench_with(keyed), |_| {})).len(),
         1,
-        "a break_attempt attempt is repeated without a settings update"
+        "a broken attempt is repeated without a settings update"
     );
     for (before, after) in [(Effect::Safe, Effect::Unsafe), (Effect::Safe, keyed), (keyed, Effect::Unsafe)] {
-        let done = break_attempt(&mut bench_with(before), |bench| {
+        let actions = break_attempt(&mut bench_with(before), |bench| {
             drop(update_settings(bench, |new| new.classes[0].effect = after))
         });
-        assert_eq!(sends(&done), [], "{before:?} became {after:?}");
-        assert_eq!(answers(&done), [(1, false)], "the answer is no refusal: {before:?} became {after:?}");
+        assert_eq!(sends(&actions), [], "{before:?} became {after:?}");
+        assert_eq!(answers(&actions), [(1, false)], "the answer is no refusal: {before:?} became {after:?}");
         // A second update restores the first effect before the attempt breaks.
-        let done = break_attempt(&mut bench_with(before), |bench| {
+        let actions = break_attempt(&mut bench_with(before), |bench| {
             update_settings(bench, |new| new.classes[0].effect = after);
             update_settings(bench, |new| new.classes[0].effect = before);
         });
-        assert_eq!(sends(&done), [], "{before:?} became {after:?} and {before:?} again");
+        assert_eq!(sends(&actions), [], "{before:?} became {after:?} and {before:?} again");
     }
 }
 
@@ -203,13 +206,13 @@
     let mut bench = Bench::with_workers(settings(), &[1, 2]);
     let sent = sends(&bench.arrive(1, 1, 200 * MS));
     update_settings(&mut bench, |new| new.classes[1].effect = Effect::Safe);
-    let mut done = bench.outcome(1, 0, sent[0].1, Ending::Broken);
-    done.extend(bench.wait(SECOND));
-    assert_eq!((sends(&done), answers(&done)), (vec![], vec![(1, false)]));
+    let mut actions = bench.outcome(1, 0, sent[0].1, Ending::Broken);
+    actions.extend(bench.wait(SECOND));
+    assert_eq!((sends(&actions), answers(&actions)), (vec![], vec![(1, false)]));
     let sent = sends(&bench.arrive(2, 1, 200 * MS));
-    let mut done = bench.outcome(2, 0, sent[0].1, Ending::Broken);
-    done.extend(bench.wait(SECOND));
-    assert_eq!(sends(&done).len(), 1);
+    let mut actions = bench.outcome(2, 0, sent[0].1, Ending::Broken);
+    actions.extend(bench.wait(SECOND));
+    assert_eq!(sends(&actions).len(), 1);
 }
 
 #[test]
@@ -226,10 +229,10 @@
         settings.classes[0].effect = keyed(before);
         // Both workers are in the same zone and the same cell.
         let mut bench = Bench::with_workers(settings, &[1, 3]);
-        let done = break_attempt(&mut bench, |bench| {
+        let actions = break_attempt(&mut bench, |bench| {
             drop(update_settings(bench, |new| new.classes[0].effect = keyed(after)))
         });
-        assert_eq!(sends(&done).len(), repeats, "{before:?} became {after:?}");
+        assert_eq!(sends(&actions).len(), repeats, "{before:?} became {after:?}");
     }
 }
 
@@ -237,9 +240,9 @@
 fn lower_attempt_limit_applies_at_once_to_held_jobs_and_unstarted_attempts() {
     let mut bench = Bench::with_workers(settings(), &[1, 2]);
     let sent = sends(&bench.arrive(1, 0, 200 * MS));
-    let mut done = bench.outcome(1, 0, sent[0].1, Ending::Unreachable);
-    done.extend(bench.wait(20 * MS));
-    assert_eq!(sends(&done).len(), 1);
+    let mut actions = bench.outcome(1, 0, sent[0].1, Ending::Unreachable);
+    actions.extend(bench.wait(20 * MS));
+    assert_eq!(sends(&actions).len(), 1);
     assert!(bench.dispatcher.may_start_attempt(bench.now, RequestId(1), 1));
     update_settings(&mut bench, |new| new.limits.max_attempts = 1);
     assert!(
@@ -267,9 +270,9 @@
         "the work sent to the worker before the update was not counted"
     );
     bench.now += SECOND + MS;
-    let mut done = bench.arrive(2, 0, 50 * MS);
-    done.extend(bench.wait(200 * MS));
-    assert!(!sends(&done).is_empty(), "after one window the worker gets jobs as any cold worker");
+    let mut actions = bench.arrive(2, 0, 50 * MS);
+    actions.extend(bench.wait(200 * MS));
+    assert!(!sends(&actions).is_empty(), "after one window the worker gets jobs as any cold worker");
     // A worker that stays warm under the new settings gets jobs at once.
     let mut bench = Bench::new(settings());
     bench.members(ListKind::Saved, started(100 * SECOND));
@@ -280,8 +283,8 @@
 #[test]
 fn class_that_changes_its_kind_is_sent_to_the_new_kind_at_once() {
     let mut bench = Bench::new(settings());
-    let of = |id: u32, kind: usize| Member { kind: KindIx(kind), ..member(id) };
-    bench.members(ListKind::Saved, vec![of(1, 0), of(2, 1)]);
+    let member_of_kind = |id: u32, kind: usize| Member { kind: KindIx(kind), ..member(id) };
+    bench.members(ListKind::Saved, vec![member_of_kind(1, 0), member_of_kind(2, 1)]);
     update_settings(&mut bench, |new| new.classes[0].kind = Some(KindIx(1)));
     assert_eq!(sends(&bench.arrive(1, 0, 50 * MS)), [(1, WorkerId(2))]);
     update_settings(&mut bench, |new| new.classes[0].kind = Some(KindIx(0)));
@@ -429,8 +432,8 @@
     let mut settings = two_tenants(10.0);
     settings.classes.push(class(Effect::Safe));
     let mut successor = Bench::with_workers(settings, &[1, 2]);
-    let done = successor.tell(Event::KnowledgeReceived(known.clone()));
-    assert!(matches!(&done[..], [Action::Log(line)] if line.contains("does not fit")), "{done:?}");
+    let actions = successor.tell(Event::KnowledgeReceived(known.clone()));
+    assert!(matches!(&actions[..], [Action::Log(line)] if line.contains("does not fit")), "{actions:?}");
     let remapped = Dispatcher::remap_knowledge(
         known.clone(),
         &[Some(1), None, Some(0)],
