--- a/tests/rule_properties.rs
+++ b/tests/rule_properties.rs
@@ -1,9 +1,9 @@
-//! Property test: random valid event streams, checked against the four dispatcher rules by an independent ledger
-//! (`common::ledger`). Each stream is run twice and must give the same actions.
+//! Property test: random valid event streams, checked against the four dispatcher rules by an independent checker
+//! (`common::rule_checker`). Each stream is run twice and must give the same actions.
 
 mod common;
 
-use common::ledger::{play, step};
+use common::rule_checker::{run_stream, step};
 use common::variants;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -16,8 +16,8 @@
         let mut runner = TestRunner::new_with_rng(config, rng);
         let streams = proptest::collection::vec(step(), 50..400);
         let checked = runner.run(&streams, |steps| {
-            let first = play(settings.clone(), 3, &steps);
-            prop_assert_eq!(first, play(settings.clone(), 3, &steps));
+            let first = run_stream(settings.clone(), 3, &steps);
+            prop_assert_eq!(first, run_stream(settings.clone(), 3, &steps));
             Ok(())
         });
         checked.unwrap_or_else(|failure| panic!("settings variant {variant}: {failure}"));
