--- a/crates/rig/src/appliance.rs
+++ b/crates/rig/src/appliance.rs
@@ -1,4 +1,4 @@
-//! The scheduler as a child process, and what it uses of the machine.
+//! The scheduler as a child process, with its CPU and memory use.
 
 use std::fmt;
 use std::fs;
@@ -11,19 +11,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum wait for a log line at the start, and for the end of the process.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running appliance.
+/// A running scheduler process with the operator file deploy/appliance.kdl, slightly changed.
 pub struct Appliance {
     child: Child,
     file: PathBuf,
-    /// Where HTTP clients connect.
+    /// Address for HTTP clients.
     pub http: SocketAddr,
-    /// Where Gearman clients and workers connect.
+    /// Address for Gearman clients and workers.
     pub gearman: SocketAddr,
 }
 
-/// What a process has used so far.
+/// CPU time and resident memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     cpu_ticks: u64,
@@ -32,17 +33,17 @@
 }
 
 impl Usage {
-    /// What was used since then, for so many jobs.
+    /// Returns the CPU time used since `before`, with the current memory, for `jobs` jobs.
     pub fn since(self, before: &Usage, jobs: usize) -> Usage {
         Usage { cpu_ticks: self.cpu_ticks - before.cpu_ticks, jobs, ..self }
     }
 
-    /// CPU in milliseconds: the kernel counts it in hundredths of a second.
+    /// Returns the CPU time in milliseconds. The kernel counts ticks of 10 ms.
     pub fn cpu_ms(self) -> f64 {
         self.cpu_ticks as f64 * 10.0
     }
 
-    /// Memory in MiB.
+    /// Returns the resident memory in MiB.
     pub fn resident_mib(self) -> f64 {
         self.resident_kib as f64 / 1024.0
     }
@@ -55,76 +56,83 @@
     }
 }
 
-/// The shipped operator file, with short cold times and these HTTP workers.
+/// Returns the shipped operator file with cold times of 2 s instead of 10 s, the descriptor limit `descriptors`, and the
+/// HTTP workers `workers`, each with its name, address and lanes.
 fn operator_file(workers: &[(String, SocketAddr, usize)], descriptors: usize) -> String {
     let shipped = include_str!("../../../deploy/appliance.kdl");
     let mut text = shipped.replace("cold \"10s\"", "cold \"2s\"");
     text = text.replace("descriptors 1024", &format!("descriptors {descriptors}"));
-    for (name, dial, lanes) in workers {
+    for (name, address, lanes) in workers {
         let kind = "gearman";
-        text += &format!("http-worker \"{name}\" address=\"{dial}\" kind=\"{kind}\" lanes={lanes}\n");
+        text += &format!("http-worker \"{name}\" address=\"{address}\" kind=\"{kind}\" lanes={lanes}\n");
     }
     text
 }
 
 impl Appliance {
-    /// Starts it on ports of its own choice.
+    /// Starts the scheduler on free ports and waits until it logs its addresses.
     pub fn start(workers: &[(String, SocketAddr, usize)], descriptors: usize) -> Result<Appliance, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let nr = NEXT.fetch_add(1, Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("calicolb-rig-{}-{nr}.kdl", std::process::id()));
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let file = std::env::temp_dir().join(format!("calicolb-rig-{}-{number}.kdl", std::process::id()));
         fs::write(&file, operator_file(workers, descriptors)).map_err(|error| error.to_string())?;
         let mut command = Command::new(calicolb_rig::program::program()?);
         command.args(["serve", "--operator"]).arg(&file);
         command.args(["--listen", "127.0.0.1:0", "--gearman", "127.0.0.1:0", "--mgmt", "127.0.0.1:0"]);
         let spawned = command.stderr(Stdio::piped()).spawn();
-        let mut child = spawned.map_err(|error| format!("the scheduler cannot be started: {error}"))?;
-        let (tell, log) = channel();
+        let mut child = spawned.map_err(|error| format!("starting the scheduler process failed: {error}"))?;
+        let (log_sender, log) = channel();
         if let Some(errors) = child.stderr.take() {
             thread::spawn(move || {
-                // Read to the end: a full pipe would stop the scheduler.
+                // The log is read to its end: a full pipe would block the scheduler.
                 for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                    let _ = tell.send(line);
+                    let _ = log_sender.send(line);
                 }
             });
         }
-        let gearman = find(&log, "speaks Gearman on ");
-        let (gearman, http) = match gearman.and_then(|gearman| Ok((gearman, find(&log, "serves on ")?))) {
-            Ok(found) => found,
-            Err(why) => {
-                let _ = child.kill();
-                return Err(why);
-            }
-        };
+        let gearman = wait_for_address(&log, "speaks Gearman on ");
+        let (gearman, http) =
+            match gearman.and_then(|gearman| Ok((gearman, wait_for_address(&log, "serves on ")?))) {
+                Ok(found) => found,
+                Err(error) => {
+                    let _ = child.kill();
+                    return Err(error);
+                }
+            };
         Ok(Appliance { child, file, http, gearman })
     }
 
-    /// What it has used so far.
+    /// Returns the CPU time and the resident memory of the process so far; 0 for a value that `/proc` does not give.
     pub fn usage(&self) -> Usage {
-        let read =
-            |what: &str| fs::read_to_string(format!("/proc/{}/{what}", self.child.id())).unwrap_or_default();
+        let read = |entry: &str| {
+            fs::read_to_string(format!("/proc/{}/{entry}", self.child.id())).unwrap_or_default()
+        };
         let stat = read("stat");
-        // Behind the name, which may hold spaces: user and system time are the 12th and 13th from there.
+        // The process name may contain spaces. After it, user and system time are the 12th and the 13th field.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_ascii_whitespace().collect();
-        let ticks = |nr: usize| fields.get(nr).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+        let ticks = |number: usize| fields.get(number).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
         let status = read("status");
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let resident = resident.and_then(|text| text.split_ascii_whitespace().next()?.parse().ok());
         Usage { cpu_ticks: ticks(11) + ticks(12), resident_kib: resident.unwrap_or(0), jobs: 0 }
     }
 
-    /// Ends it, and says whether it ended well.
-    pub fn end(mut self) -> Result<(), String> {
+    /// Sends SIGTERM and waits for the end of the process.
+    ///
+    /// # Errors
+    ///
+    /// The process exits with a failure, or does not exit in time.
+    pub fn stop(mut self) -> Result<(), String> {
         let _ = Command::new("kill").args(["-TERM", &self.child.id().to_string()]).status();
         let since = Instant::now();
-        while since.elapsed() < PATIENCE {
+        while since.elapsed() < PROCESS_TIMEOUT {
             match self.child.try_wait() {
                 Ok(Some(status)) if status.success() => return Ok(()),
-                Ok(Some(status)) => return Err(format!("the scheduler ended with {status}")),
+                Ok(Some(status)) => return Err(format!("the scheduler process exited with {status}")),
                 _ => thread::sleep(Duration::from_millis(10)),
             }
         }
-        Err("the scheduler does not end".to_owned())
+        Err("the scheduler process did not exit within 20 s of SIGTERM".to_owned())
     }
 }
 
@@ -136,13 +144,15 @@
     }
 }
 
-fn find(log: &Receiver<String>, text: &str) -> Result<SocketAddr, String> {
-    let until = Instant::now() + PATIENCE;
+/// Waits for a log line that contains `text`, and parses the address after it.
+fn wait_for_address(log: &Receiver<String>, text: &str) -> Result<SocketAddr, String> {
+    let deadline = Instant::now() + PROCESS_TIMEOUT;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let line = log.recv_timeout(left).map_err(|_| format!("the scheduler never said '{text}'"))?;
+        let left = deadline.saturating_duration_since(Instant::now());
+        let line =
+            log.recv_timeout(left).map_err(|_| format!("the scheduler did not log '{text}' in time"))?;
         if let Some((_, rest)) = line.split_once(text) {
-            return rest.trim().parse().map_err(|_| format!("'{rest}' is no address"));
+            return rest.trim().parse().map_err(|_| format!("'{rest}' is not a socket address"));
         }
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins round the running program, for the rig's commands and for tests: see [`calibrate`].
+//! Test doubles for the peers of a running scheduler process (workers, clients, discovery), used by the rig's commands
+//! and by tests.
 
 pub mod calibrate;
 pub mod program;
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -1,73 +1,76 @@
-//! A hollow fleet at a stated size: what it does and what control costs, as a table or as one JSON object.
+//! `calicolb-rig scale`: simulates a fleet of a given size, and prints its results and the cost of control as a table or
+//! as a JSON object.
 
 use calicolb_simulation::{Incident, Plan, Summary};
 use clap::{Args, ValueEnum};
 
-/// What goes wrong.
+/// Incident during the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Event {
-    /// Nothing.
+    /// No incident.
     None,
-    /// One worker's machine goes, and is replaced.
+    /// One worker's machine fails and is replaced.
     Worker,
-    /// 38 schedulers and workers are restarted or replaced, one after the other.
+    /// 38 schedulers and workers are restarted or replaced one after the other.
     Restarts,
-    /// Twenty workers go, and return cold.
+    /// 20 workers fail and return cold.
     Rack,
-    /// The workers and schedulers of a zone go, and return cold.
+    /// All workers and schedulers of a zone fail and return cold.
     Zone,
-    /// The regions are cut off from each other.
+    /// The network between the regions fails.
     Regions,
-    /// All schedulers and workers die at once, and come back.
+    /// All schedulers and workers fail at the same time and restart.
     AllRestart,
-    /// The configuration is changed, and a control machine is killed.
+    /// The configuration changes, and a control machine is killed.
     Config,
 }
 
+/// Options of the command `scale`.
 #[derive(Clone, Args)]
 pub struct Scale {
-    /// Schedulers.
+    /// Number of schedulers.
     #[arg(long, default_value_t = 300)]
     schedulers: u32,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 690)]
     workers: u32,
-    /// Accelerators, eight to a worker.
+    /// Number of accelerators, eight to a worker.
     #[arg(long, default_value_t = 760)]
     accelerators: u32,
-    /// Tenants, each with a quota.
+    /// Number of tenants, each with a quota.
     #[arg(long, default_value_t = 240)]
     tenants: u32,
-    /// Zones.
+    /// Number of zones.
     #[arg(long, default_value_t = 6)]
     zones: u32,
-    /// Regions that the zones are in.
+    /// Number of regions, at most one for each zone.
     #[arg(long, default_value_t = 2)]
     regions: u32,
-    /// Requests a second.
+    /// Mean number of requests a second.
     #[arg(long, default_value_t = 140.0)]
     starts: f64,
-    /// Tasks that run at the same time; as many a worker as at the letter's size if it is not given.
+    /// Mean number of tasks that run at the same time. Default: the number for each worker is that of the default fleet.
     #[arg(long)]
     running: Option<f64>,
-    /// Simulated seconds that count.
+    /// Simulated seconds that are measured, after the warm-up.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// What goes wrong.
+    /// Incident during the simulation.
     #[arg(long, value_enum, default_value_t = Event::None)]
     event: Event,
-    /// Changes of configuration, with `--event config`.
+    /// Number of configuration changes, with `--event config`.
     #[arg(long, default_value_t = 60)]
     changes: u32,
-    /// The seed of every draw.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// One JSON object as the last line.
+    /// Print one JSON object as the last line.
     #[arg(long)]
     json: bool,
 }
 
 impl Scale {
+    /// Checks the options and returns the simulation's plan.
     fn plan(&self) -> Result<Plan, String> {
         if self.schedulers == 0
             || self.workers == 0
@@ -75,15 +78,14 @@
             || self.regions == 0
             || self.seconds == 0
         {
-            return Err(
-                "there has to be a scheduler, a worker, a zone, a region and a second at least".to_owned()
-            );
+            return Err("--schedulers, --workers, --zones, --regions and --seconds must each be at least 1"
+                .to_owned());
         }
         if !(self.starts.is_finite() && self.starts > 0.0) {
-            return Err(format!("{} starts a second cannot be played", self.starts));
+            return Err(format!("--starts is {}: it must be finite and above 0", self.starts));
         }
         if self.running.is_some_and(|running| !(running.is_finite() && running > 0.0)) {
-            return Err("as many tasks cannot run".to_owned());
+            return Err("--running must be finite and above 0".to_owned());
         }
         Ok(Plan {
             schedulers: self.schedulers,
@@ -111,74 +113,78 @@
         })
     }
 
-    /// Plays it, and prints what came of it.
+    /// Runs the simulation and prints the summary.
+    ///
+    /// # Errors
+    ///
+    /// An option is out of range, or the summary cannot be written as JSON.
     pub fn run(&self) -> Result<(), String> {
-        let account = calicolb_simulation::simulate(&self.plan()?);
+        let summary = calicolb_simulation::simulate(&self.plan()?);
         if self.json {
-            let text = serde_json::to_string(&account).map_err(|error| error.to_string())?;
+            let text = serde_json::to_string(&summary).map_err(|error| error.to_string())?;
             println!("{text}");
         } else {
-            print!("{}", table(&account));
+            print!("{}", format_table(&summary));
         }
         Ok(())
     }
 }
 
-/// The account as a table.
-fn table(account: &Summary) -> String {
+/// Formats the summary as a table.
+fn format_table(summary: &Summary) -> String {
     let mut rows: Vec<(&str, String)> = vec![
         (
             "schedulers, workers, tenants",
-            format!("{}, {}, {}", account.schedulers, account.workers, account.tenants),
+            format!("{}, {}, {}", summary.schedulers, summary.workers, summary.tenants),
         ),
-        ("requests", account.jobs.to_string()),
-        ("tasks started; most at a time", format!("{}; {}", account.started, account.running_peak)),
-        ("served; of these late", format!("{}; {}", account.served, account.late)),
-        ("refused; failed", format!("{}; {}", account.refused, account.extra.failed)),
+        ("requests", summary.jobs.to_string()),
+        ("tasks started; most at a time", format!("{}; {}", summary.started, summary.running_peak)),
+        ("served; of these late", format!("{}; {}", summary.served, summary.late)),
+        ("refused; failed", format!("{}; {}", summary.refused, summary.extra.failed)),
         (
             "lost; of these with their scheduler",
-            format!("{}; {}", account.lost, account.extra.lost_with_scheduler),
+            format!("{}; {}", summary.lost, summary.extra.lost_with_scheduler),
         ),
-        ("second attempts against the rules", account.doubled.to_string()),
-        ("urgent start, 999 of 1,000 within", format!("{:.1} ms", account.urgent_start_p999_ms)),
+        ("second attempts against the rules", summary.doubled.to_string()),
+        ("urgent start, 999 of 1,000 within", format!("{:.1} ms", summary.urgent_start_p999_ms)),
         (
             "control CPU, mean; worst second",
             format!(
                 "{:.3}; {:.3} ms/s",
-                account.control_cpu_ms_per_s_mean, account.control_cpu_ms_per_s_worst
+                summary.control_cpu_ms_per_s_mean, summary.control_cpu_ms_per_s_worst
             ),
         ),
         (
             "control bytes, mean; worst second",
-            format!("{:.0}; {} B/s", account.control_bytes_per_s_mean, account.control_bytes_per_s_worst),
+            format!("{:.0}; {} B/s", summary.control_bytes_per_s_mean, summary.control_bytes_per_s_worst),
         ),
-        ("control datagrams, worst second", account.control_datagrams_per_s_worst.to_string()),
-        ("knowledge of a scheduler", format!("{} B", account.state_bytes_per_scheduler)),
-        ("discovery, worst second", format!("{} B/s", account.discovery_bytes_per_s_worst)),
-        ("counted within the share at 0.8 of the quota", format!("{:.3}", account.quota_in_share_ratio)),
+        ("control datagrams, worst second", summary.control_datagrams_per_s_worst.to_string()),
+        ("knowledge of a scheduler", format!("{} B", summary.state_bytes_per_scheduler)),
+        ("discovery, worst second", format!("{} B/s", summary.discovery_bytes_per_s_worst)),
+        ("counted within the share at 0.8 of the quota", format!("{:.3}", summary.quota_in_share_ratio)),
         (
             "counted within the share at twice the quota",
-            format!("{:.3} of the quota", account.quota_over_ratio),
+            format!("{:.3} of the quota", summary.quota_over_ratio),
         ),
-        ("starts are back after", account.recovered_ms.map_or("-".to_owned(), |ms| format!("{ms} ms"))),
-        ("played in", format!("{:.1} s, {:.0} MB", account.wall_s, account.peak_rss_mb)),
+        ("starts are back after", summary.recovered_ms.map_or("-".to_owned(), |ms| format!("{ms} ms"))),
+        ("played in", format!("{:.1} s, {:.0} MB", summary.wall_s, summary.peak_rss_mb)),
     ];
-    if let Some(agreed) = &account.config {
+    if let Some(config) = &summary.config {
         rows.push((
             "changes in force, 99 of 100 within; longest",
-            format!("{:.1}; {:.1} ms", agreed.in_force_p99_ms, agreed.in_force_max_ms),
+            format!("{:.1}; {:.1} ms", config.in_force_p99_ms, config.in_force_max_ms),
         ));
-        rows.push(("changes accepted", agreed.changes_accepted.to_string()));
-        rows.push(("schedulers behind at the end", agreed.behind.to_string()));
-        rows.push(("unagreed; lost versions", format!("{}; {}", agreed.unagreed, agreed.lost_versions)));
+        rows.push(("changes accepted", config.changes_accepted.to_string()));
+        rows.push(("schedulers behind at the end", config.behind.to_string()));
+        rows.push(("unagreed; lost versions", format!("{}; {}", config.unagreed, config.lost_versions)));
     }
-    let functions: Vec<(String, String)> = account
+    let traffic_rows: Vec<(String, String)> = summary
         .traffic
         .iter()
         .map(|(name, sum)| {
             (format!("traffic: {name}"), format!("{} messages, {} B", sum.messages, sum.bytes))
         })
         .collect();
-    rows.extend(functions.iter().map(|(name, sum)| (name.as_str(), sum.clone())));
+    rows.extend(traffic_rows.iter().map(|(name, sum)| (name.as_str(), sum.clone())));
     rows.iter().map(|(name, value)| format!("{name:<46} {value}\n")).collect()
 }
