--- a/crates/rig/src/slopes.rs
+++ b/crates/rig/src/slopes.rs
@@ -1,5 +1,5 @@
-//! `calicolb-rig slopes`: measures every control function along every axis, fits, predicts, and writes tables, CSV files
-//! and charts.
+//! `calicolb-rig slopes`: measures each control function along each axis of the fleet size, fits scaling laws, predicts
+//! the cost of larger fleets, and writes a table, CSV files and charts.
 
 mod chart;
 
@@ -15,83 +15,95 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Fleets for which quotas are looked at.
-const FLEETS: [u32; 6] = [1, 10, 30, 100, 300, 1_000];
+/// Numbers of schedulers for which the tenant quota is tested.
+const QUOTA_FLEET_SIZES: [u32; 6] = [1, 10, 30, 100, 300, 1_000];
 
+/// Options of the command `slopes`.
 #[derive(Args)]
 pub struct Slopes {
-    /// The folder for tables, CSV files and charts; made if it is not there.
+    /// Folder for the table, CSV files and charts; created if it does not exist.
     #[arg(long)]
     out: PathBuf,
-    /// A small fleet, and counts only: seconds instead of minutes.
+    /// Use a small fleet and measure no CPU times: takes seconds instead of minutes.
     #[arg(long)]
     quick: bool,
-    /// Seeds: from this one on ...
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// ... so many.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// Seconds of a calm fleet that are played at each size.
+    /// Simulated seconds of the calm phase at each size.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Axes to measure; all where none is named.
-    #[arg(long = "axis", value_parser = axis)]
+    /// Axis to measure; may be repeated. Default: all axes.
+    #[arg(long = "axis", value_parser = parse_axis)]
     axes: Vec<Axis>,
-    /// Workers of the base, which is predicted.
+    /// Number of workers of the base fleet, for which the costs are predicted.
     #[arg(long)]
     workers: Option<u32>,
-    /// Schedulers of the base.
+    /// Number of schedulers of the base fleet.
     #[arg(long)]
     schedulers: Option<u32>,
-    /// Tenants of the base.
+    /// Number of tenants of the base fleet.
     #[arg(long)]
     tenants: Option<u32>,
-    /// Starts a second of the base.
+    /// Job starts a second of the base fleet.
     #[arg(long)]
     starts: Option<f64>,
-    /// Workers replaced a day.
+    /// Workers replaced a day in the base fleet.
     #[arg(long)]
     replaced: Option<u32>,
-    /// Zones.
+    /// Number of zones of the base fleet.
     #[arg(long)]
     zones: Option<u32>,
-    /// Processor milliseconds a second that a scheduler may spend.
+    /// CPU budget of a scheduler, in milliseconds a second.
     #[arg(long, default_value_t = Budget::default().cpu_ms_per_s)]
     budget_cpu_ms: f64,
-    /// Bytes a second that a scheduler may send and receive.
+    /// Network budget of a scheduler for sending and receiving, in bytes a second.
     #[arg(long, default_value_t = Budget::default().bytes_per_s)]
     budget_bytes: f64,
-    /// Bytes of memory that a scheduler may take.
+    /// Memory budget of a scheduler, in bytes.
     #[arg(long, default_value_t = Budget::default().state_bytes)]
     budget_state: f64,
 }
 
-fn axis(name: &str) -> Result<Axis, String> {
+/// Parses the name of an axis.
+fn parse_axis(name: &str) -> Result<Axis, String> {
     let known = Axis::ALL.map(Axis::name).join(", ");
-    Axis::ALL.into_iter().find(|axis| axis.name() == name).ok_or(format!("it is one of {known}"))
+    Axis::ALL
+        .into_iter()
+        .find(|axis| axis.name() == name)
+        .ok_or(format!("unknown axis; must be one of {known}"))
 }
 
 impl Slopes {
+    /// Returns the base fleet: the default or small fleet with the values of the options.
     fn base(&self) -> Result<FleetParameters, String> {
-        let from = if self.quick { Axis::small_fleet() } else { FleetParameters::default() };
+        let defaults = if self.quick { Axis::small_fleet() } else { FleetParameters::default() };
         let base = FleetParameters {
-            workers: self.workers.unwrap_or(from.workers),
-            schedulers: self.schedulers.unwrap_or(from.schedulers),
-            tenants: self.tenants.unwrap_or(from.tenants),
-            starts_per_s: self.starts.unwrap_or(from.starts_per_s),
-            replaced_per_day: self.replaced.unwrap_or(from.replaced_per_day),
-            zones: self.zones.unwrap_or(from.zones),
-            ..from
+            workers: self.workers.unwrap_or(defaults.workers),
+            schedulers: self.schedulers.unwrap_or(defaults.schedulers),
+            tenants: self.tenants.unwrap_or(defaults.tenants),
+            starts_per_s: self.starts.unwrap_or(defaults.starts_per_s),
+            replaced_per_day: self.replaced.unwrap_or(defaults.replaced_per_day),
+            zones: self.zones.unwrap_or(defaults.zones),
+            ..defaults
         };
-        let sound = base.workers > 0 && base.schedulers > 0 && base.zones > 0 && base.starts_per_s > 0.0;
-        if sound { Ok(base) } else { Err("a fleet has workers, schedulers, zones and starts".to_owned()) }
+        let valid = base.workers > 0 && base.schedulers > 0 && base.zones > 0 && base.starts_per_s > 0.0;
+        if valid {
+            Ok(base)
+        } else {
+            Err("--workers, --schedulers, --zones and --starts must each be above 0".to_owned())
+        }
     }
 
-    fn effort(&self) -> MeasureOptions {
+    /// Returns the options of the measurement.
+    fn measure_options(&self) -> MeasureOptions {
         MeasureOptions { cpu_times: !self.quick, calm_seconds: self.seconds.max(1) }
     }
 
+    /// Returns the resource budget of a scheduler.
     fn budget(&self) -> Budget {
         Budget {
             cpu_ms_per_s: self.budget_cpu_ms,
@@ -101,16 +113,20 @@
     }
 }
 
-/// Measures, fits and writes.
+/// Runs the command: measures, fits, prints the report, and writes the files.
+///
+/// # Errors
+///
+/// An option is out of range, or a file cannot be written.
 pub fn run(args: &Slopes) -> Result<(), String> {
     let (base, budget) = (args.base()?, args.budget());
     fs::create_dir_all(&args.out).map_err(|error| format!("{}: {error}", args.out.display()))?;
-    // First, while the process is small: what is resident grows with what is measured.
-    let gone = hypotheses::departed_workers(&base, args.seed, &resident);
-    let (samples, at_base) = sample(args, &base);
+    // This test runs first: it measures resident memory, which the later measurements increase.
+    let departed = hypotheses::departed_workers(&base, args.seed, &resident_bytes);
+    let (samples, at_base) = measure_all(args, &base);
     let rows = fit_rows(&samples, &budget);
-    let mut found = vec![gone];
-    found.extend(suspect(args, &base, &budget));
+    let mut findings = vec![departed];
+    findings.extend(test_hypotheses(args, &base, &budget));
 
     let mut text = format!(
         "Slopes of the control functions: {} seeds from {}, {} s of a calm fleet at each size; the clock of the \
@@ -120,7 +136,7 @@
          far: predicted at over twice the largest size fitted.\n\n",
         args.seeds,
         args.seed,
-        args.effort().calm_seconds,
+        args.measure_options().calm_seconds,
         cpu_clock::granularity().as_nanos()
     );
     text += &report::function_legend();
@@ -129,53 +145,55 @@
     text += "\n";
     text += &report::base_table(&rows, &base, &at_base, &budget);
     text += "\n";
-    text += &report::findings_text(&found);
+    text += &report::findings_text(&findings);
     print!("{text}");
 
     write(&args.out.join("table.txt"), text.as_bytes())?;
     for axis in Axis::ALL {
-        let along: Vec<&Sample> = samples.iter().filter(|sample| sample.axis == axis).collect();
-        if along.is_empty() {
+        let axis_samples: Vec<&Sample> = samples.iter().filter(|sample| sample.axis == axis).collect();
+        if axis_samples.is_empty() {
             continue;
         }
         for function in Function::ALL {
             let path = args.out.join(format!("{}-{}.csv", function.name(), axis.name()));
-            table(&path, function, &along).map_err(|error| format!("{}: {error}", path.display()))?;
+            write_csv(&path, function, &axis_samples)
+                .map_err(|error| format!("{}: {error}", path.display()))?;
         }
-        let of: Vec<&Row> = rows.iter().filter(|row| row.axis == axis).collect();
+        let axis_rows: Vec<&Row> = rows.iter().filter(|row| row.axis == axis).collect();
         let path = args.out.join(format!("{}.svg", axis.name()));
-        chart::draw(&path, axis, &of).map_err(|error| format!("{}: {error}", path.display()))?;
+        chart::draw_axis(&path, axis, &axis_rows).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     Ok(())
 }
 
-/// All sizes of all axes that are wanted, and the base, for all seeds.
-fn sample(args: &Slopes, base: &FleetParameters) -> (Vec<Sample>, Vec<Vec<Measurement>>) {
+/// Measures all sizes of the selected axes and the base fleet, with all seeds.
+fn measure_all(args: &Slopes, base: &FleetParameters) -> (Vec<Sample>, Vec<Vec<Measurement>>) {
     let axes = if args.axes.is_empty() { Axis::ALL.to_vec() } else { args.axes.clone() };
     let seeds = args.seed..args.seed + args.seeds.max(1);
     let bar = ProgressBar::new((axes.len() as u64 * 6 + 1) * args.seeds.max(1));
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} {msg}, {eta} left") {
         bar.set_style(style);
     }
-    let seconds = args.effort().calm_seconds;
-    let mut plays: Vec<(FleetParameters, u64, MessageCounts)> = Vec::new();
-    let mut of = |size: &FleetParameters, seed: u64| {
-        let still = FleetParameters { days: 0, ..*size };
-        let known = plays.iter().position(|(played, with, _)| (played, *with) == (&still, seed));
+    let seconds = args.measure_options().calm_seconds;
+    let mut simulations: Vec<(FleetParameters, u64, MessageCounts)> = Vec::new();
+    let mut measure_size = |size: &FleetParameters, seed: u64| {
+        let without_days = FleetParameters { days: 0, ..*size };
+        let known =
+            simulations.iter().position(|(fleet, seed_used, _)| (fleet, *seed_used) == (&without_days, seed));
         let at = known.unwrap_or_else(|| {
-            plays.push((still, seed, simulate_phases(&still, seed, seconds)));
-            plays.len() - 1
+            simulations.push((without_days, seed, simulate_phases(&without_days, seed, seconds)));
+            simulations.len() - 1
         });
-        measure(size, seed, args.effort(), &plays[at].2)
+        measure(size, seed, args.measure_options(), &simulations[at].2)
     };
     let mut samples = Vec::new();
     for axis in axes {
         let sizes = if args.quick { axis.small_values() } else { axis.values() };
-        for to in sizes {
+        for value in sizes {
             for seed in seeds.clone() {
-                bar.set_message(format!("{} {to}", axis.name()));
-                let measured = of(&axis.with_value(base, to), seed);
-                samples.push(Sample { axis, size: f64::from(to), seed, measured });
+                bar.set_message(format!("{} {value}", axis.name()));
+                let measured = measure_size(&axis.with_value(base, value), seed);
+                samples.push(Sample { axis, size: f64::from(value), seed, measured });
                 bar.inc(1);
             }
         }
@@ -183,7 +201,7 @@
     let at_base = seeds
         .map(|seed| {
             bar.set_message("base");
-            let measured = of(base, seed);
+            let measured = measure_size(base, seed);
             bar.inc(1);
             measured
         })
@@ -192,49 +210,53 @@
     (samples, at_base)
 }
 
-fn suspect(args: &Slopes, base: &FleetParameters, budget: &Budget) -> Vec<Finding> {
-    let times = args.effort().cpu_times;
-    let fleets = if args.quick { &FLEETS[..3] } else { &FLEETS[..] };
-    let mut found = vec![
+/// Tests the hypotheses about growing costs. Without CPU times, those that need times are left out.
+fn test_hypotheses(args: &Slopes, base: &FleetParameters, budget: &Budget) -> Vec<Finding> {
+    let times = args.measure_options().cpu_times;
+    let fleets = if args.quick { &QUOTA_FLEET_SIZES[..3] } else { &QUOTA_FLEET_SIZES[..] };
+    let mut findings = vec![
         hypotheses::tenant_quota(args.seed, fleets),
         hypotheses::hello_messages(base, args.seed, times),
         hypotheses::fault_reports(base, args.seed, budget.bytes_per_s),
     ];
     if times {
-        found.extend(hypotheses::worker_lists(base, args.seed, (budget.bytes_per_s, budget.cpu_ms_per_s)));
-        found.push(hypotheses::load_messages(base, args.seed, args.effort().calm_seconds));
+        findings.extend(hypotheses::worker_lists(base, args.seed, (budget.bytes_per_s, budget.cpu_ms_per_s)));
+        findings.push(hypotheses::load_messages(base, args.seed, args.measure_options().calm_seconds));
     }
-    found
+    findings
 }
 
-/// Memory that this process has, in bytes; 0 where the system does not tell.
-fn resident() -> u64 {
+/// Returns the resident memory of this process in bytes, or 0 where `/proc` does not give it.
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok());
     kib.map_or(0, |kib| kib * 1_024)
 }
 
+/// Writes a file; the error names its path.
 fn write(path: &Path, bytes: &[u8]) -> Result<(), String> {
     fs::write(path, bytes).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// One function along one axis: a line for each size and seed.
-fn table(path: &Path, function: Function, along: &[&Sample]) -> Result<(), csv::Error> {
-    let mut table = csv::Writer::from_path(path)?;
-    let heads = ["size", "seed", "messages", "bytes", "cpu_us", "state_bytes"];
-    let loads = ["mean_bytes_per_s", "mean_cpu_ms_per_s", "worst_bytes_per_s", "worst_cpu_ms_per_s"];
-    table.write_record(heads.iter().chain(&loads))?;
-    let told = |value: Option<f64>| value.map_or(String::new(), |value| value.to_string());
-    for sample in along {
-        for of in sample.measured.iter().filter(|measured| measured.function == function) {
-            let (cost, mean, worst) = (of.cost, of.mean, of.worst);
+/// Writes the CSV file of one function along one axis, with a line for each size and seed.
+fn write_csv(path: &Path, function: Function, axis_samples: &[&Sample]) -> Result<(), csv::Error> {
+    let mut writer = csv::Writer::from_path(path)?;
+    let cost_columns = ["size", "seed", "messages", "bytes", "cpu_us", "state_bytes"];
+    let rate_columns = ["mean_bytes_per_s", "mean_cpu_ms_per_s", "worst_bytes_per_s", "worst_cpu_ms_per_s"];
+    writer.write_record(cost_columns.iter().chain(&rate_columns))?;
+    let format_value = |value: Option<f64>| value.map_or(String::new(), |value| value.to_string());
+    for sample in axis_samples {
+        for measurement in sample.measured.iter().filter(|measured| measured.function == function) {
+            let (cost, mean, worst) = (measurement.cost, measurement.mean, measurement.worst);
             let values = [cost.messages, cost.bytes, cost.cpu_us, cost.heap_bytes];
-            let loads = [mean.bytes, mean.cpu_ms, worst.bytes, worst.cpu_ms];
+            let rate_columns = [mean.bytes, mean.cpu_ms, worst.bytes, worst.cpu_ms];
             let line = [sample.size.to_string(), sample.seed.to_string()];
-            table.write_record(line.into_iter().chain(values.into_iter().chain(loads).map(told)))?;
+            writer.write_record(
+                line.into_iter().chain(values.into_iter().chain(rate_columns).map(format_value)),
+            )?;
         }
     }
-    table.flush()?;
+    writer.flush()?;
     Ok(())
 }
--- a/crates/rig/src/slopes/chart.rs
+++ b/crates/rig/src/slopes/chart.rs
@@ -1,4 +1,4 @@
-//! A chart for each axis: what was measured, with the laws drawn through it, both scales logarithmic.
+//! SVG charts: measured costs and fitted scaling laws along one axis, on logarithmic scales.
 
 use calicolb_scaling::axes::{Axis, Quantity, Row};
 use calicolb_scaling::fit::{Growth, mean_by_size};
@@ -6,11 +6,11 @@
 use std::error::Error;
 use std::path::Path;
 
-/// Width and height, in pixels.
-const SIZE: (u32, u32) = (1_200, 900);
-/// Pieces of a law's curve.
-const STEPS: u32 = 32;
-/// The four panels.
+/// Width and height of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (1_200, 900);
+/// Number of line segments of a law's curve.
+const CURVE_SEGMENTS: u32 = 32;
+/// Quantity and title of each of the four panels.
 const PANELS: [(Quantity, &str); 4] = [
     (Quantity::Messages, "messages by the event"),
     (Quantity::Bytes, "bytes by the event"),
@@ -18,30 +18,36 @@
     (Quantity::State, "bytes of state"),
 ];
 
-/// Draws one axis.
-pub fn draw(path: &Path, axis: Axis, rows: &[&Row]) -> Result<(), Box<dyn Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+/// Draws the chart of one axis into an SVG file.
+///
+/// # Errors
+///
+/// The chart cannot be drawn or written.
+pub fn draw_axis(path: &Path, axis: Axis, rows: &[&Row]) -> Result<(), Box<dyn Error>> {
+    let root = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     for (area, (quantity, title)) in root.split_evenly((2, 2)).iter().zip(PANELS) {
-        let of: Vec<&Row> = rows.iter().copied().filter(|row| row.quantity == quantity).collect();
-        panel(area, axis, title, &of)?;
+        let panel_rows: Vec<&Row> = rows.iter().copied().filter(|row| row.quantity == quantity).collect();
+        draw_panel(area, axis, title, &panel_rows)?;
     }
     root.present()?;
     Ok(())
 }
 
-type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
+/// Drawing area of a panel.
+type PanelArea<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn panel(area: &Area<'_>, axis: Axis, title: &str, rows: &[&Row]) -> Result<(), Box<dyn Error>> {
-    // What is 0 has no place on a logarithmic scale.
-    let shown: Vec<_> = rows
+/// Draws the panel of one quantity: a series for each function.
+fn draw_panel(area: &PanelArea<'_>, axis: Axis, title: &str, rows: &[&Row]) -> Result<(), Box<dyn Error>> {
+    // A logarithmic scale cannot show 0.
+    let series: Vec<_> = rows
         .iter()
         .map(|row| {
             (row, mean_by_size(&row.points).into_iter().filter(|at| at.value > 0.0).collect::<Vec<_>>())
         })
         .filter(|(_, points)| !points.is_empty())
         .collect();
-    let all = shown.iter().flat_map(|(_, points)| points);
+    let all = series.iter().flat_map(|(_, points)| points);
     let bounds = |values: &mut dyn Iterator<Item = f64>| {
         let (low, high) =
             values.fold((f64::INFINITY, 0.0_f64), |(low, high), value| (low.min(value), high.max(value)));
@@ -56,26 +62,27 @@
         .y_label_area_size(70)
         .build_cartesian_2d((x.0..x.1 * 4.0).log_scale(), (y.0..y.1).log_scale())?;
     chart.configure_mesh().x_desc(axis.name()).light_line_style(WHITE).draw()?;
-    for (nr, (row, points)) in shown.iter().enumerate() {
-        let color = Palette99::pick(nr).to_rgba();
+    for (index, (row, points)) in series.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
         let mut name = row.function.name().to_owned();
         if let Growth::Law(law, _) = &row.growth {
-            // Without a sign before a 0.
+            // Adding 0.0 turns -0.0 into 0.0, which is printed without a sign.
             name = format!("{name} {:.2}", (law.exponent * 100.0).round() / 100.0 + 0.0);
             let (low, high) = (law.sizes.low, points[points.len() - 1].size);
-            let at = |step: u32| low * (high / low).powf(f64::from(step) / f64::from(STEPS));
-            let line = (0..=STEPS).map(at).map(|size| (size, law.predict(size).value.clamp(y.0, y.1)));
+            let at = |step: u32| low * (high / low).powf(f64::from(step) / f64::from(CURVE_SEGMENTS));
+            let line =
+                (0..=CURVE_SEGMENTS).map(at).map(|size| (size, law.predict(size).value.clamp(y.0, y.1)));
             chart.draw_series(LineSeries::new(line, color.stroke_width(1)))?;
         }
-        let kept_out = points.len().saturating_sub(1);
+        let held_out = points.len().saturating_sub(1);
         let dots = points.iter().enumerate().map(|(at, point)| {
-            // The size that was kept out of the fit is hollow.
-            let style = if at == kept_out { color.stroke_width(1) } else { color.filled() };
+            // The point of the size that the fit leaves out is drawn hollow.
+            let style = if at == held_out { color.stroke_width(1) } else { color.filled() };
             Circle::new((point.size, point.value), 4, style)
         });
         chart.draw_series(dots)?.label(name).legend(move |(x, y)| Circle::new((x + 8, y), 4, color.filled()));
     }
-    if !shown.is_empty() {
+    if !series.is_empty() {
         chart
             .configure_series_labels()
             .position(SeriesLabelPosition::UpperRight)
--- a/crates/rig/tests/calibrate.rs
+++ b/crates/rig/tests/calibrate.rs
@@ -1,12 +1,13 @@
-//! A small calibration: three processes of the program, six workers, a few seconds, and the hollow fleet beside them.
+//! A small calibration run: three scheduler processes and six simulated workers for a few seconds, compared with the
+//! simulation of the same plan.
 
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
 use calicolb_rig::calibrate::play::play;
 use calicolb_rig::calibrate::process::program;
 use calicolb_simulation::Plan;
 
-/// Replays by `calicolb-rig calibrate` with these figures.
-fn plan() -> Plan {
+/// Returns the plan of the run. `calicolb-rig calibrate` with these values repeats it.
+fn test_plan() -> Plan {
     Plan {
         schedulers: 3,
         workers: 6,
@@ -24,40 +25,40 @@
 }
 
 #[test]
-fn three_processes_lose_and_double_nothing_and_the_relay_counts_all_that_it_passes_on() {
-    let plan = plan();
+fn three_processes_lose_and_repeat_no_job_and_the_relay_counts_every_datagram() {
+    let plan = test_plan();
     println!("seed {}", plan.seed);
-    let program = program(None).expect("the program is there");
-    let real = play(&program, &plan, true).expect("the processes start and serve");
-    let hollow = calicolb_simulation::simulate(&plan);
+    let program = program(None).expect("locating the scheduler executable failed");
+    let real = play(&program, &plan, true).expect("running the plan with real processes failed");
+    let simulated = calicolb_simulation::simulate(&plan);
 
-    // The same requests came to both, and each was answered with the result of a worker that ran it once.
-    assert_eq!(real.jobs, hollow.jobs);
-    assert!(real.jobs > 40, "hardly anything came in: {real:?}");
+    // Both runs have the same requests. Each request is answered once, and no request runs twice or at two workers.
+    assert_eq!(real.jobs, simulated.jobs);
+    assert!(real.jobs > 40, "not more than 40 jobs arrived: {real:?}");
     assert_eq!((real.lost, real.doubled, real.overlapping), (0, 0, 0), "{real:?}");
     assert_eq!(real.served + real.refused + real.failed, real.jobs, "{real:?}");
     assert!(real.served * 10 >= real.jobs * 9, "{real:?}");
     assert_eq!(real.news_dropped, 0, "{real:?}");
 
-    // Every datagram has one of the known shapes, is short, and is counted once on its way in and once a receiver.
+    // Every datagram has a known length of under 256 bytes, and is counted once when received and once for each receiver.
     let sum = |flows: &[Flow]| real.counts.sum(flows);
     let sent = sum(&[Flow::TalkSent, Flow::GreetingsSent, Flow::TroublesSent, Flow::FreshnessSent]);
     let passed = sum(&[Flow::TalkPassed, Flow::GreetingsPassed, Flow::TroublesPassed, Flow::FreshnessPassed]);
     assert_eq!((real.counts.relay_in, real.counts.relay_out), (sent, passed), "{real:?}");
-    assert!(sent.messages > 0, "nobody spoke: {real:?}");
+    assert!(sent.messages > 0, "no datagram was sent: {real:?}");
     assert_eq!((real.datagrams_unknown, real.datagrams_dropped), (0, 0), "{real:?}");
     assert!((3..256).contains(&real.datagram_longest), "{real:?}");
 
-    // Each watch brings an empty line each two seconds: nothing else is on the list.
+    // The list does not change during the run: each watch carries only an empty line every 2 s.
     let watch = real.traffic["watch"];
     assert_eq!(watch, Traffic { messages: watch.messages, bytes: 6 * watch.messages });
     assert!((3..=9).contains(&watch.messages), "{real:?}");
     assert_eq!(real.traffic["list"], Traffic::default());
 
-    let restart = real.restart.as_ref().expect("a process was started anew");
-    // Who starts anew asks for the list once, and tells all where it stands.
+    let restart = real.restart.as_ref().expect("the result has no restart of a process");
+    // The restarted process requests the list once and sends hello to all others.
     assert_eq!(restart.traffic["list"].messages, 1, "{real:?}");
-    // One greeting to both others, and an answer from each: sent and passed on.
+    // 1 hello to both others and 2 replies are sent; 2 and 2 are passed on.
     assert_eq!(restart.traffic["greetings"].messages, 1 + 2 + 2 + 2, "{real:?}");
     assert!(real.resident_kib.least > 1_000.0, "{real:?}");
 }
--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/rig/tests/stand_ins.rs
@@ -1,5 +1,5 @@
-//! The stand-ins of `calibrate` themselves: discovery in the form of the protocol page, attempts that overlap seen as such,
-//! and datagrams counted by their shape and passed on from the sender's address.
+//! The simulated peers of `calicolb-rig calibrate`: discovery follows the discovery protocol, repeated and overlapping
+//! attempts are counted, and datagrams are counted by length and relayed from the address that stands for their sender.
 
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
 use calicolb_rig::calibrate::crew::{Crew, Effect, Job, Kind, Verdict, Ways};
@@ -12,11 +12,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(20);
+/// Maximum wait for a peer, and for each read.
+const PEER_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Returns `count` hosts in service, all with the same address.
 fn hosts(count: usize) -> Vec<Host> {
-    let host = |nr| Host {
-        host: format!("s-{nr:08x}"),
+    let host = |index| Host {
+        host: format!("s-{index:08x}"),
         dial: SocketAddr::from(([127, 0, 0, 1], 1)),
         site: "a".to_owned(),
         class: "m1".to_owned(),
@@ -28,6 +30,7 @@
     (0..count).map(host).collect()
 }
 
+/// Creates a stage with `workers` workers of two slots and `schedulers` schedulers.
 fn stage(workers: usize, schedulers: usize) -> Stage {
     let kind = |host: &Host| Kind {
         name: host.host.clone(),
@@ -46,77 +49,79 @@
     };
     let hosts = hosts(workers);
     let kinds = hosts.iter().map(kind).collect();
-    Stage::new(kinds, hosts, ways, Capacity::default(), schedulers).expect("ports are free")
+    Stage::new(kinds, hosts, ways, Capacity::default(), schedulers)
+        .expect("binding the ports of the stage failed")
 }
 
-/// Runs what a peer does on a thread of its own, and the stage until that is over.
-fn with<T: Send + 'static>(stage: &mut Stage, peer: impl FnOnce() -> T + Send + 'static) -> T {
-    let (tell, told): (_, Receiver<T>) = channel();
-    thread::spawn(move || tell.send(peer()));
-    let until = Instant::now() + LIMIT;
+/// Runs `peer` on a thread of its own, and the stage until `peer` returns; gives the result of `peer`.
+fn run_with<T: Send + 'static>(stage: &mut Stage, peer: impl FnOnce() -> T + Send + 'static) -> T {
+    let (sender, receiver): (_, Receiver<T>) = channel();
+    thread::spawn(move || sender.send(peer()));
+    let until = Instant::now() + PEER_TIMEOUT;
     loop {
-        stage.run_until(Instant::now() + Duration::from_millis(5)).expect("the stage runs");
-        match told.try_recv() {
+        stage.run_until(Instant::now() + Duration::from_millis(5)).expect("running the stage failed");
+        match receiver.try_recv() {
             Ok(found) => return found,
             Err(std::sync::mpsc::TryRecvError::Empty) if Instant::now() < until => {}
-            Err(why) => panic!("the peer does not end: {why}"),
+            Err(error) => panic!("the peer did not return within {PEER_TIMEOUT:?}: {error}"),
         }
     }
 }
 
-/// Writes a request and reads until what has come holds `mark`; gives all of that.
+/// Sends a request and reads until the received text contains `mark`; returns the received text.
 fn call(stream: &mut TcpStream, request: &str, mark: &str) -> String {
-    stream.set_read_timeout(Some(LIMIT)).expect("a time-out can be set");
-    stream.write_all(request.as_bytes()).expect("it takes the request");
-    let mut held = String::new();
-    until(stream, &mut held, mark);
-    held
+    stream.set_read_timeout(Some(PEER_TIMEOUT)).expect("setting the read timeout failed");
+    stream.write_all(request.as_bytes()).expect("sending the request failed");
+    let mut received = String::new();
+    read_until(stream, &mut received, mark);
+    received
 }
 
-fn until(stream: &mut TcpStream, held: &mut String, mark: &str) {
+/// Appends received text to `received` until it contains `mark`.
+fn read_until(stream: &mut TcpStream, received: &mut String, mark: &str) {
     let mut part = [0; 4096];
-    while !held.contains(mark) {
-        let count = stream.read(&mut part).expect("something comes");
-        assert!(count > 0, "it ended after {held:?}");
-        held.push_str(&String::from_utf8_lossy(&part[..count]));
+    while !received.contains(mark) {
+        let count = stream.read(&mut part).expect("reading from the peer failed");
+        assert!(count > 0, "the connection closed before {mark:?}; received {received:?}");
+        received.push_str(&String::from_utf8_lossy(&part[..count]));
     }
 }
 
 #[test]
-fn discovery_gives_the_whole_list_and_a_watch_in_the_form_of_the_page() {
+fn discovery_list_and_watch_follow_the_protocol() {
     let mut stage = stage(2, 1);
     let at = stage.discovery_at();
-    let whole = with(&mut stage, move || {
-        let mut stream = TcpStream::connect(at).expect("discovery listens");
+    let whole = run_with(&mut stage, move || {
+        let mut stream = TcpStream::connect(at).expect("connecting to discovery failed");
         call(&mut stream, "GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n", "]}\n")
     });
-    let (head, body) = whole.split_once("\r\n\r\n").expect("a head and a body");
+    let (head, body) = whole.split_once("\r\n\r\n").expect("no empty line between head and body");
     assert!(head.starts_with("HTTP/1.1 200 "), "{head}");
     assert!(head.contains(&format!("Content-Length: {}", body.len())), "{head}");
-    let list: serde_json::Value = serde_json::from_str(body).expect("it is JSON");
+    let list: serde_json::Value = serde_json::from_str(body).expect("the body is not JSON");
     assert_eq!((list["seq"].as_u64(), list["whole"].as_bool()), (Some(1), Some(true)));
     let keys = ["host", "dial", "site", "class", "block", "health", "share", "born_ms"];
-    let hosts = list["hosts"].as_array().expect("lines");
+    let hosts = list["hosts"].as_array().expect("hosts is not an array");
     assert_eq!(hosts.len(), 2);
     assert!(hosts.iter().all(|line| keys.iter().all(|key| line.get(key).is_some())), "{body}");
 
     stage.change(Instant::now() + Duration::from_millis(300), Change { station: 1, health: "terminating" });
     let begun = Instant::now();
-    let (watch, spent) = with(&mut stage, move || {
-        let mut stream = TcpStream::connect(at).expect("discovery listens");
+    let (watch, spent) = run_with(&mut stage, move || {
+        let mut stream = TcpStream::connect(at).expect("connecting to discovery failed");
         let watch = "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\nHost: d\r\n\r\n";
-        let mut held = call(&mut stream, watch, "\"hosts\":[]}\n\r\n");
-        until(&mut stream, &mut held, "terminating");
-        until(&mut stream, &mut held, "\r\n1\r\n\n\r\n");
-        (held, begun.elapsed())
+        let mut received = call(&mut stream, watch, "\"hosts\":[]}\n\r\n");
+        read_until(&mut stream, &mut received, "terminating");
+        read_until(&mut stream, &mut received, "\r\n1\r\n\n\r\n");
+        (received, begun.elapsed())
     });
-    let (head, chunks) = watch.split_once("\r\n\r\n").expect("a head and chunks");
+    let (head, chunks) = watch.split_once("\r\n\r\n").expect("no empty line between head and chunks");
     assert!(head.contains("Transfer-Encoding: chunked"), "{head}");
-    // Each object stands on one line, as one chunk whose length is right.
+    // Each object is one line, sent as one chunk whose length field is correct.
     let mut left = chunks;
     let mut lines = Vec::new();
     while let Some((size, rest)) = left.split_once("\r\n") {
-        let size = usize::from_str_radix(size, 16).expect("the length of a chunk");
+        let size = usize::from_str_radix(size, 16).expect("a chunk length is not hexadecimal");
         lines.push(&rest[..size]);
         assert_eq!(&rest[size..size + 2], "\r\n");
         left = &rest[size + 2..];
@@ -128,33 +133,33 @@
         objects.iter().map(|object| (object["seq"].as_u64(), object["whole"].as_bool())).collect();
     assert_eq!(seen, [(Some(1), Some(false)), (Some(2), Some(false))]);
     assert_eq!(objects[1]["hosts"][0]["health"], "terminating");
-    // The empty line comes 2 s after the last change, not before.
+    // The empty line is sent 2 s after the last change (at 300 ms), not before.
     assert!(spent >= Duration::from_millis(2_300), "{spent:?}");
     let counts = stage.counts();
     let seen = [Flow::ListAsked, Flow::ListAnswered, Flow::WatchAsked, Flow::WatchOpened, Flow::WatchChanges];
     assert_eq!(seen.map(|flow| counts.of(flow).messages), [1, 1, 1, 1, 1]);
     assert_eq!(counts.of(Flow::ListAnswered).bytes, whole.len() as u64);
-    let told = counts.sum(&[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchBeats]);
-    assert_eq!(told.bytes, watch.len() as u64, "{counts:?}");
+    let watch_traffic = counts.sum(&[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchBeats]);
+    assert_eq!(watch_traffic.bytes, watch.len() as u64, "{counts:?}");
 }
 
 #[test]
-fn a_watch_from_an_older_version_brings_what_has_changed_and_one_of_an_unknown_version_the_list() {
+fn watch_from_a_known_version_sends_the_changes_and_from_an_unknown_version_the_whole_list() {
     let now = Instant::now();
     let mut discovery = Discovery::new(hosts(3), Capacity::default(), now);
     let mut gone = discovery.hosts()[0].clone();
     gone.health = "terminated";
-    let chunk = String::from_utf8(discovery.change(gone)).expect("text");
+    let chunk = String::from_utf8(discovery.change(gone)).expect("the answer is not UTF-8");
     assert!(chunk.contains("\"seq\":2,\"whole\":false") && chunk.contains("terminated"), "{chunk}");
-    assert_eq!(discovery.hosts().len(), 2, "who has gone is not on the list");
+    assert_eq!(discovery.hosts().len(), 2, "a terminated host is still on the list");
     let mut first = |from: u64| match discovery.call(now, &format!("/discovery/hosts?watch=1&from={from}")).1
     {
         Answer::Watch(text, whole) => {
-            let text = String::from_utf8(text).expect("text");
+            let text = String::from_utf8(text).expect("the answer is not UTF-8");
             assert_eq!(whole, text.contains("\"whole\":true"));
             text
         }
-        other => panic!("{other:?}"),
+        other => panic!("expected a watch, got {other:?}"),
     };
     assert!(first(1).contains("\"whole\":false,\"hosts\":[{\"host\":\"s-00000000\""));
     assert!(first(2).contains("\"whole\":false,\"hosts\":[]"));
@@ -163,10 +168,10 @@
 }
 
 #[test]
-fn discovery_answers_in_turn_and_turns_away_who_would_wait_too_long() {
+fn discovery_answers_one_call_at_a_time_and_rejects_calls_that_would_wait_too_long() {
     let now = Instant::now();
-    let milli = Duration::from_millis;
-    let capacity = Capacity { call: milli(10), line: milli(1), patience: milli(100) };
+    let ms = Duration::from_millis;
+    let capacity = Capacity { call: ms(10), line: ms(1), patience: ms(100) };
     let mut discovery = Discovery::new(hosts(10), capacity, now);
     let mut at = Vec::new();
     let busy = (0..8).filter(|_| {
@@ -174,20 +179,20 @@
         at.push(when - now);
         matches!(answer, Answer::Busy(_))
     });
-    // Each takes 20 ms; the sixth would begin 100 ms from now, the seventh 120.
+    // Each call takes 20 ms: the sixth starts after the allowed wait of 100 ms, the seventh would start after 120 ms.
     assert_eq!(busy.count(), 2);
-    assert_eq!(at[..6], [20, 40, 60, 80, 100, 120].map(milli));
+    assert_eq!(at[..6], [20, 40, 60, 80, 100, 120].map(ms));
     assert_eq!(discovery.turned_away, 2);
-    // Later there is room again.
-    assert!(matches!(discovery.call(now + milli(200), "/discovery/hosts").1, Answer::List(_)));
+    // A later call is answered again.
+    assert!(matches!(discovery.call(now + ms(200), "/discovery/hosts").1, Answer::List(_)));
 }
 
 #[test]
-fn a_worker_runs_what_fits_at_its_speed_and_reports_loads_of_some_time_ago() {
-    let milli = Duration::from_millis;
-    let kind = |born| Kind { name: "w".to_owned(), slots: 2, memory: 0.0, speed: 0.5, phase: milli(0), born };
+fn worker_runs_jobs_that_fit_at_its_speed_and_reports_a_delayed_load() {
+    let ms = Duration::from_millis;
+    let kind = |born| Kind { name: "w".to_owned(), slots: 2, memory: 0.0, speed: 0.5, phase: ms(0), born };
     let ways = || Ways {
-        cold: milli(10_000),
+        cold: ms(10_000),
         start_speed: 0.25,
         tells_start: true,
         progress: Duration::ZERO,
@@ -195,7 +200,7 @@
     };
     let mut crew = Crew::new(vec![kind(None)], ways());
     let now = Instant::now();
-    let job = |id: &str, slots| Job { id: id.to_owned(), work: milli(1_000), slots, memory: 0.0 };
+    let job = |id: &str, slots| Job { id: id.to_owned(), work: ms(1_000), slots, memory: 0.0 };
     let wake = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::Wake(at, number) => Some((*at, *number)),
@@ -204,32 +209,38 @@
     };
     let (verdict, effects) = crew.arrive(now, 0, job("a", 2));
     assert_eq!(verdict, Verdict::Taken);
-    let (ends, number) = wake(&effects).expect("it has begun");
-    assert_eq!(ends - now, milli(2_000), "half the speed is twice the time");
-    assert_eq!(wake(&crew.arrive(now, 0, job("b", 1)).1), None, "no slot is free");
-    assert_eq!(crew.arrive(now, 0, job("c", 3)).0, Verdict::Full, "it will never fit");
-    // The load of this moment is not told yet; a second later it is.
+    let (ends, number) = wake(&effects).expect("the job did not start");
+    assert_eq!(ends - now, ms(2_000), "run time at half the speed");
+    assert_eq!(wake(&crew.arrive(now, 0, job("b", 1)).1), None, "a job started without a free slot");
+    assert_eq!(
+        crew.arrive(now, 0, job("c", 3)).0,
+        Verdict::Full,
+        "a job with more slots than the worker was not rejected"
+    );
+    // Reports are delayed: the load of this moment shows up in the report of one second later.
     assert_eq!(crew.report(now, 0), serde_json::json!({"x0": 2, "queue": 0}));
-    assert_eq!(crew.report(now + milli(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
+    assert_eq!(crew.report(now + ms(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
     let done = crew.wake(ends, number);
     assert!(
         matches!(&done[0], Effect::News(0, id, body) if id == "a" && body.contains(r#""result":"done a""#))
     );
-    assert!(wake(&done).is_some(), "the next one begins: {done:?}");
+    assert!(wake(&done).is_some(), "the queued job did not start: {done:?}");
     assert_eq!(crew.seen().running_peak, 1);
-    // One that has just started is slower still.
+    // A cold worker runs at a quarter of its warm speed.
     let mut cold = Crew::new(vec![kind(Some(now))], ways());
-    let (ends, _) = wake(&cold.arrive(now, 0, job("a", 1)).1).expect("it has begun");
-    assert_eq!(ends - now, milli(8_000));
-    // A queue of twice the slots is full.
+    let (ends, _) = wake(&cold.arrive(now, 0, job("a", 1)).1).expect("the job did not start");
+    assert_eq!(ends - now, ms(8_000));
+    // The worker accepts 2 running jobs and queues 4, twice its slots. The seventh is rejected.
     let mut full = Crew::new(vec![kind(None)], ways());
-    let verdicts: Vec<Verdict> = (0..7).map(|nr| full.arrive(now, 0, job(&nr.to_string(), 1)).0).collect();
+    let verdicts: Vec<Verdict> =
+        (0..7).map(|index| full.arrive(now, 0, job(&index.to_string(), 1)).0).collect();
     assert_eq!(verdicts.iter().filter(|&&verdict| verdict == Verdict::Taken).count(), 6);
     assert_eq!(full.seen().turned_away, 1);
 }
 
+/// Sends an attempt of request `id` to the worker and returns the head of the answer.
 fn attempt(at: SocketAddr, id: &str) -> String {
-    let mut stream = TcpStream::connect(at).expect("the worker listens");
+    let mut stream = TcpStream::connect(at).expect("connecting to the worker failed");
     let body = "work=5000000 slots=1";
     let text =
         format!("POST /batch HTTP/1.1\r\nRequest-Id: {id}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -237,7 +248,7 @@
 }
 
 #[test]
-fn a_second_attempt_at_a_worker_is_seen_as_doubled_and_one_that_was_given_up_is_not() {
+fn repeated_attempt_is_counted_as_doubled_unless_the_earlier_one_was_given_up() {
     let mut stage = stage(2, 1);
     let at: Vec<SocketAddr> = stage.discovery().hosts().iter().map(|host| host.dial).collect();
     let (first, second) = (at[0], at[1]);
@@ -245,30 +256,30 @@
         let seen = stage.crew().seen();
         (seen.attempts, seen.doubled, seen.overlapping, seen.given_up)
     };
-    assert!(with(&mut stage, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
+    assert!(run_with(&mut stage, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
     assert_eq!(seen(&stage), (1, 0, 0, 0));
-    // The same request at the same worker, while it runs there.
-    with(&mut stage, move || attempt(first, "r1"));
+    // The same request again at the worker that runs it.
+    run_with(&mut stage, move || attempt(first, "r1"));
     assert_eq!(seen(&stage), (2, 1, 0, 0));
-    // Another request is none of its business.
-    with(&mut stage, move || attempt(second, "r2"));
+    // Another request at another worker changes neither count.
+    run_with(&mut stage, move || attempt(second, "r2"));
     assert_eq!(seen(&stage), (3, 1, 0, 0));
-    // The same request at another worker is a copy.
-    with(&mut stage, move || attempt(first, "r2"));
+    // The same request at a second worker counts as overlapping.
+    run_with(&mut stage, move || attempt(first, "r2"));
     assert_eq!(seen(&stage), (4, 1, 1, 0));
-    // What was given up there may come again.
-    with(&mut stage, move || {
-        let mut stream = TcpStream::connect(second).expect("the worker listens");
+    // The attempt at the second worker is given up.
+    run_with(&mut stage, move || {
+        let mut stream = TcpStream::connect(second).expect("connecting to the worker failed");
         call(&mut stream, "DELETE /jobs/r2 HTTP/1.1\r\nHost: w\r\n\r\n", "\r\n\r\n")
     });
-    // At the other worker it still is.
-    with(&mut stage, move || attempt(first, "r2"));
+    // The first worker still runs it, so a repeat there counts as doubled.
+    run_with(&mut stage, move || attempt(first, "r2"));
     assert_eq!(seen(&stage), (5, 2, 1, 1));
-    with(&mut stage, move || {
-        let mut stream = TcpStream::connect(first).expect("the worker listens");
+    run_with(&mut stage, move || {
+        let mut stream = TcpStream::connect(first).expect("connecting to the worker failed");
         call(&mut stream, "DELETE /jobs/r2 HTTP/1.1\r\nHost: w\r\n\r\n", "\r\n\r\n")
     });
-    with(&mut stage, move || attempt(second, "r2"));
+    run_with(&mut stage, move || attempt(second, "r2"));
     assert_eq!(seen(&stage), (6, 2, 1, 2));
     let counts = stage.counts();
     assert_eq!(counts.of(Flow::AttemptsSent).messages, 6);
@@ -276,7 +287,7 @@
 }
 
 #[test]
-fn datagrams_are_told_apart_by_their_length() {
+fn datagram_type_follows_from_its_length() {
     for length in 0..=256 {
         let sent = match length {
             3 => Flow::GreetingsSent,
@@ -289,36 +300,43 @@
 }
 
 #[test]
-fn datagrams_come_from_the_address_that_stands_for_the_sender_and_are_counted_by_shape() {
+fn datagrams_are_relayed_from_the_senders_relay_address_and_counted_by_type() {
     let mut stage = stage(1, 3);
-    let (relays, all) = stage.relay().addresses().expect("they are bound");
+    let (relays, all) = stage.relay().addresses().expect("reading the relay addresses failed");
     let sockets: Vec<UdpSocket> =
-        (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port is free")).collect();
-    let home = |nr: usize| sockets[nr].local_addr().expect("it is bound");
-    let (from, to) = (sockets[0].try_clone().expect("shared"), sockets[1].try_clone().expect("shared"));
-    to.set_read_timeout(Some(LIMIT)).expect("a time-out can be set");
-    for nr in 0..2 {
-        stage.home(nr, None, Some(home(nr)));
+        (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("binding a UDP socket failed")).collect();
+    let socket_address = |index: usize| sockets[index].local_addr().expect("reading a socket address failed");
+    let (from, to) = (
+        sockets[0].try_clone().expect("cloning a UDP socket failed"),
+        sockets[1].try_clone().expect("cloning a UDP socket failed"),
+    );
+    to.set_read_timeout(Some(PEER_TIMEOUT)).expect("setting the read timeout failed");
+    for index in 0..2 {
+        stage.home(index, None, Some(socket_address(index)));
     }
-    // The third one isn't known yet: what it sends waits until it is.
-    sockets[2].send_to(&[1; 6], relays[1]).expect("it is sent");
+    // The third scheduler is not registered yet: the relay keeps its datagram until it is.
+    sockets[2].send_to(&[1; 6], relays[1]).expect("sending a datagram failed");
     let relay = relays[1];
-    let heard = with(&mut stage, move || {
-        from.send_to(&[1, 0, 1], all).expect("it is sent");
-        from.send_to(&[1; 9], relay).expect("it is sent");
+    let received = run_with(&mut stage, move || {
+        from.send_to(&[1, 0, 1], all).expect("sending a datagram failed");
+        from.send_to(&[1; 9], relay).expect("sending a datagram failed");
         let mut space = [0; 64];
-        let heard = (0..2).map(|_| to.recv_from(&mut space).expect("it is passed on"));
-        // They go by two sockets of the relay: which comes first is open.
-        heard.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
+        let received = (0..2).map(|_| to.recv_from(&mut space).expect("receiving a relayed datagram failed"));
+        // The two datagrams pass through two relay sockets, so their order is undefined.
+        received.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
     });
-    assert_eq!(heard, [(3, relays[0]), (9, relays[0])]);
+    assert_eq!(received, [(3, relays[0]), (9, relays[0])]);
     let of = |stage: &Stage, flow| stage.counts().of(flow);
     let traffic = |messages, bytes| Traffic { messages, bytes };
     assert_eq!(stage.relay().unplaced(), 1);
     assert_eq!(of(&stage, Flow::GreetingsSent), traffic(1, 3));
-    assert_eq!(of(&stage, Flow::GreetingsPassed), traffic(1, 3), "one of the others is known");
+    assert_eq!(
+        of(&stage, Flow::GreetingsPassed),
+        traffic(1, 3),
+        "the broadcast goes to the one other registered scheduler"
+    );
     assert_eq!(of(&stage, Flow::TalkSent), traffic(1, 9));
-    stage.home(2, None, Some(home(2)));
+    stage.home(2, None, Some(socket_address(2)));
     assert_eq!(stage.relay().unplaced(), 0);
     assert_eq!(of(&stage, Flow::TroublesPassed), traffic(1, 6));
     assert_eq!((stage.counts().relay_in, stage.counts().datagram_longest), (traffic(3, 18), 9));
