--- a/crates/rig/src/appliance.rs
+++ b/crates/rig/src/appliance.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Returns the shipped operator file with cold times of 2 s instead of 10 s, the descriptor limit `descriptors`, and the
-/// HTTP workers `workers`, each with its name, address and lanes.
+/// Returns the shipped operator file with cold times of 2 s instead of 10 s, the descriptor limit `descriptors`, and
+/// the HTTP workers `workers`, each with its name, address and lanes.
 fn operator_file(workers: &[(String, SocketAddr, usize)], descriptors: usize) -> String {
     let shipped = include_str!("../../../deploy/appliance.kdl");
     let mut text = shipped.replace("cold \"10s\"", "cold \"2s\"");
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -1,5 +1,5 @@
-//! Simulated clients: an open load, whose jobs arrive at planned times, and a closed load, where each client submits its
-//! next job upon the answer to the previous one.
+//! Simulated clients: an open load, whose jobs arrive at planned times, and a closed load, where each client submits
+//! its next job upon the answer to the previous one.
 
 use crate::load::{CLASSES, Job, Plan};
 use crate::workers::{GearmanConnection, exchange};
@@ -55,9 +55,9 @@
     pool.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
 }
 
-/// Submits each job of the plan at its arrival time, counted from `started_at`, and returns the outcomes in the order of the
-/// answers. `at` holds the HTTP and the Gearman address of the scheduler; `gearman` tells for a job's index whether the
-/// job is submitted over Gearman.
+/// Submits each job of the plan at its arrival time, counted from `started_at`, and returns the outcomes in the order
+/// of the answers. `at` holds the HTTP and the Gearman address of the scheduler; `gearman` tells for a job's index
+/// whether the job is submitted over Gearman.
 pub fn run_plan(
     plan: &Plan,
     started_at: Instant,
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,5 +1,5 @@
-//! Test rig for calicolb: simulated workers and clients around a running scheduler, with a reproducible load and a table
-//! of the results.
+//! Test rig for calicolb: simulated workers and clients around a running scheduler, with a reproducible load and a
+//! table of the results.
 
 mod appliance;
 mod clients;
--- a/crates/rig/src/result_table.rs
+++ b/crates/rig/src/result_table.rs
@@ -48,7 +48,8 @@
                 Answer::Missing => row.lost += 1,
             }
             row.run_twice += u64::from(CLASSES[job.class].must_not_repeat && run_counts.runs(&job.id) > 1);
-            // A result without a run, or a refusal of a job that ran and must not repeat, is a false answer and counts as lost.
+            // A result without a run, or a refusal of a job that ran and must not repeat, is a false answer and
+            // counts as lost.
             let ran = run_counts.runs(&job.id) > 0;
             let false_answer = (outcome.answer == Answer::Served && !ran)
                 || (outcome.answer == Answer::Refused && ran && CLASSES[job.class].must_not_repeat);
--- a/crates/rig/src/scale.rs
+++ b/crates/rig/src/scale.rs
@@ -1,5 +1,5 @@
-//! `calicolb-rig scale`: simulates a fleet of a given size, and prints its results and the cost of control as a table or
-//! as a JSON object.
+//! `calicolb-rig scale`: simulates a fleet of a given size, and prints its results and the cost of control as a table
+//! or as a JSON object.
 
 use calicolb_simulation::{Incident, Plan, Summary};
 use clap::{Args, ValueEnum};
@@ -49,7 +49,8 @@
     /// Mean number of requests a second.
     #[arg(long, default_value_t = 140.0)]
     starts: f64,
-    /// Mean number of tasks that run at the same time. Default: the number for each worker is that of the default fleet.
+    /// Mean number of tasks that run at the same time. Default: the number for each worker is that of the default
+    /// fleet.
     #[arg(long)]
     running: Option<f64>,
     /// Simulated seconds that are measured, after the warm-up.
--- a/crates/rig/src/workers.rs
+++ b/crates/rig/src/workers.rs
@@ -124,7 +124,8 @@
         &self.worker.name
     }
 
-    /// Replaces the worker process as a deploy does: the worker drains, stops for [`RESTART_DELAY`], and starts again cold.
+    /// Replaces the worker process as a deploy does: the worker drains, stops for [`RESTART_DELAY`], and starts again
+    /// cold.
     pub fn restart(&self) {
         let worker = &self.worker;
         worker.draining.store(true, Ordering::Relaxed);
@@ -243,7 +244,8 @@
             let (id, from) = (id.unwrap_or_default(), &worker.name);
             callback.report(&format!(r#"{{"id":"{id}","from":"{from}","state":"started"}}"#));
             let result = worker.run(&body);
-            // The lane is freed before the report is sent: a job that the scheduler sends upon this report must find it free.
+            // The lane is freed before the report is sent: a job that the scheduler sends upon this report must find
+            // it free.
             worker.running_jobs.fetch_sub(1, Ordering::Relaxed);
             let result = String::from_utf8_lossy(&result).into_owned();
             callback
@@ -273,8 +275,8 @@
         self.stream.write_all(&encode(Sender::Peer, kind, fields))
     }
 
-    /// Waits up to `wait` (without limit for `None`) for a packet. Returns its type and its first `N` arguments; the last of
-    /// these contains all remaining bytes.
+    /// Waits up to `wait` (without limit for `None`) for a packet. Returns its type and its first `N` arguments; the
+    /// last of these contains all remaining bytes.
     pub fn receive<const N: usize>(
         &mut self,
         wait: Option<Duration>,
@@ -334,7 +336,8 @@
                     (PacketType::JobAssignUniq, [handle, _, _, body]) => {
                         break complete_job(worker, &mut connection, &handle, &body);
                     }
-                    // The first NO_JOB may answer an earlier GRAB_JOB_UNIQ. After the NO_JOB for the last one, no job is in flight.
+                    // The first NO_JOB may answer an earlier GRAB_JOB_UNIQ. After the NO_JOB for the last one, no job
+                    // is in flight.
                     (PacketType::NoJob, _) if grab_pending => grab_pending = false,
                     (PacketType::NoJob, _) => break Ok(()),
                     _ => {}
--- a/crates/rig/tests/calibrate.rs
+++ b/crates/rig/tests/calibrate.rs
@@ -40,7 +40,8 @@
     assert!(real.served * 10 >= real.jobs * 9, "{real:?}");
     assert_eq!(real.news_dropped, 0, "{real:?}");
 
-    // Every datagram has a known length of under 256 bytes, and is counted once when received and once for each receiver.
+    // Every datagram has a known length of under 256 bytes, and is counted once when received and once for each
+    // receiver.
     let sum = |flows: &[Flow]| real.counts.sum(flows);
     let sent = sum(&[Flow::TalkSent, Flow::GreetingsSent, Flow::TroublesSent, Flow::FreshnessSent]);
     let passed = sum(&[Flow::TalkPassed, Flow::GreetingsPassed, Flow::TroublesPassed, Flow::FreshnessPassed]);
--- a/crates/rig/tests/deploy.rs
+++ b/crates/rig/tests/deploy.rs
@@ -1,4 +1,5 @@
-//! Rolling deploy under mixed HTTP and Gearman traffic: no job may be lost, and none that must not repeat may run twice.
+//! Rolling deploy under mixed HTTP and Gearman traffic: no job may be lost, and none that must not repeat may run
+//! twice.
 
 use std::process::Command;
 
