--- a/crates/payload-store/src/file_store.rs
+++ b/crates/payload-store/src/file_store.rs
@@ -20,7 +20,7 @@
 const LOCK_FILE: &str = "lock";
 /// Name of the lock file that is held while a directory is created or leftover directories are removed, so that a
 /// directory just being created is not taken for a leftover.
-const CLEANUP_LOCK_FILE: &str = "cleanup_lock.lock";
+const CLEANUP_LOCK_FILE: &str = "sweep.lock";
 
 /// An error of the file store.
 #[derive(Debug, thiserror::Error)]
