--- a/crates/scaling/tests/simulation.rs
+++ b/crates/scaling/tests/simulation.rs
@@ -37,10 +37,10 @@
 
 #[test]
 fn equal_seeds_give_equal_counts_and_different_seeds_differ() {
-    let fault_report_count =
+    let load_message_count =
         |seed| simulate(&SMALL, seed, &[(5, Incident::None)]).total(0, MessageType::Load);
-    assert_eq!(fault_report_count(3), fault_report_count(3));
-    assert_ne!(fault_report_count(3), fault_report_count(4));
+    assert_eq!(load_message_count(3), load_message_count(3));
+    assert_ne!(load_message_count(3), load_message_count(4));
 }
 
 #[test]
