--- a/crates/rig/src/program.rs
+++ b/crates/rig/src/program.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Returns the path of the scheduler executable, which lies in the target_folder of this executable. Under cargo
+/// Returns the path of the scheduler executable, which lies in the same folder as this executable. Under cargo
 /// (`CARGO` is set) it is built first, with this executable's profile.
 ///
 /// # Errors
