--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -2,9 +2,9 @@
 //! outdated.
 //!
 //! Every version that a control machine sends has been decided. A machine without a majority may send an old version,
-//! however, and a learner without contact may have an old version in force. From a version of a machine without a
-//! majority, only the keys that tighten a limit come into force at once. All other keys wait until a machine with a
-//! majority confirms that the learner has the latest version. A learner that receives nothing keeps its last version
+//! however, and a learner without contact may have an old version in force. If a machine without a majority sends
+//! a version, only its keys that tighten a limit come into force at once. All other keys wait until a machine with a
+//! majority confirms that this version is the latest. A learner that receives nothing keeps its last version
 //! in force and reports that it is behind.
 
 use crate::change::{Delta, Version};
@@ -227,7 +227,8 @@
         self.validation_error.as_ref()
     }
 
-    /// Returns whether no machine with a majority has sent anything for the maximum silence.
+    /// Returns whether the last message from a machine with a majority is older than the maximum silence, or there was
+    /// none.
     fn is_silent(&self, now: u64) -> bool {
         self.majority_heard_at.is_none_or(|heard_at| now.saturating_sub(heard_at) > self.max_silence_us)
     }
@@ -246,8 +247,8 @@
         self.apply_held(majority)
     }
 
-    /// Processes a version that is not newer than the held one. From a machine with a majority it confirms the held
-    /// version.
+    /// Processes the number of a version that is not newer than the held one. If the sender has a majority and the
+    /// number is that of the held version, the held version comes into force completely.
     fn confirm(&mut self, seq: u64, digest: Option<Digest>, majority: bool) -> UpdateOutcome {
         if seq < self.held.seq || !majority || self.is_up_to_date() {
             return UpdateOutcome::Unchanged;
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -20,14 +20,14 @@
 use std::collections::VecDeque;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// A voter. Every method that may write returns only after the store has written. Messages that depend on a write are
-/// returned by [`Voter::take_outgoing`] only after it.
+/// A voter. Every method that may write returns only after the store has completed the writes.
+/// [`Voter::take_outgoing`] returns a message that depends on a write only after this write.
 pub struct Voter<S: Store> {
     id: VoterId,
     omni_paxos: OmniPaxos<Entry, SharedLogStorage<S>>,
     log_storage: SharedLogStorage<S>,
     sessions: Sessions,
-    /// The number of this start of the voter.
+    /// The number of starts of this voter, including the current one. It distinguishes the proposals of different starts.
     start: u64,
     tick: u64,
     /// True if the store failed or the consensus library panicked.
@@ -38,7 +38,7 @@
     outgoing: VecDeque<(VoterId, Vec<u8>)>,
     /// The number of decided entries at which the log is compacted.
     max_log_entries: usize,
-    /// The tick since which a peer is known to have a higher ballot than this leader.
+    /// The tick at which this leader noticed that a peer has a higher ballot; `None` if no peer has one.
     higher_ballot_since: Option<u64>,
 }
 
@@ -107,7 +107,7 @@
         self.tick += 1;
         self.sessions.advance_ticks(1);
         self.run_consensus(&[], OmniPaxos::tick);
-        self.outbid_higher_ballots();
+        self.exceed_higher_ballot();
         self.proposals.expire(self.tick);
         let seq = self.decided_version().seq;
         if self.proposals.needs_resend(seq, self.tick) && self.has_majority() {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Records ticks that the host missed. All received messages count as that many ticks older.
+    /// Records ticks that the host missed. The age of every message received before grows by `ticks`.
     pub fn skip_ticks(&mut self, ticks: u64) {
         self.tick = self.tick.saturating_add(ticks);
         self.sessions.advance_ticks(ticks);
@@ -183,8 +183,8 @@
     }
 
     /// Returns the outcomes of proposals since the last call. The host calls this after each message and each tick,
-    /// because it also validates a proposal that another change has overtaken against the current version, and sends
-    /// it again or finishes it as invalidated.
+    /// because this call also handles a proposal that was not decided before another change: it validates the proposal
+    /// against the new version and sends it again, or finishes it as invalidated.
     pub fn take_outcomes(&mut self, check: &dyn Check) -> Vec<(Ticket, Outcome)> {
         self.send_next(check);
         self.proposals.take_outcomes()
@@ -243,10 +243,10 @@
         self.history.changes_since(seq, digest)
     }
 
-    /// Completes the snapshot of a message that contains only the entries since this voter's decided ones, and
-    /// returns these entries. Returns `None` if they do not directly follow this voter's decided entries. The
-    /// consensus library would merge the entries itself, but onto a snapshot of its own log up to the sender's
-    /// decided index; up to there, this voter may have fewer or other entries.
+    /// Replaces a message's partial snapshot (only the entries after this voter's decided ones) with a complete one, and
+    /// returns these entries. Returns `None` if the entries do not directly follow this voter's decided entries. The
+    /// consensus library could merge the entries itself, but it would merge them with a snapshot of this voter's log
+    /// up to the sender's decided index. That part of this voter's log may be shorter, or contain other entries.
     fn complete_snapshot(&self, sync: &mut LogSync<Entry>) -> Option<Vec<Entry>> {
         let Some(SnapshotType::Delta(Snapshot::Entries(entries))) = &mut sync.decided_snapshot else {
             return Some(vec![]);
@@ -269,10 +269,10 @@
             && bytes <= limits::MAX_CHANGE_BYTES
     }
 
-    /// Starts a higher ballot if a peer has long known a higher one. A peer that promised a higher ballot than this
-    /// leader's to a voter that disappeared before it had a majority would wait for that voter forever, since the
-    /// consensus library does not replace a leader that a majority follows.
-    fn outbid_higher_ballots(&mut self) {
+    /// Starts a higher ballot if a peer has had a higher one for [`limits::HIGHER_BALLOT_DELAY_TICKS`]. Such a peer has
+    /// promised its ballot to another voter. If that voter disappears before it has a majority, the peer waits for it
+    /// forever, since the consensus library does not replace a leader that a majority follows.
+    fn exceed_higher_ballot(&mut self) {
         let higher_ballot_known = !self.stopped
             && self.is_leader()
             && self.sessions.is_higher_ballot_known(self.id, self.omni_paxos.get_promise());
@@ -298,7 +298,8 @@
     }
 
     /// Runs the consensus library and processes its results. The library panics on states that it considers
-    /// impossible. The voter stops after such a panic.
+    /// impossible. The voter stops after such a panic. `skipped_entries` are the entries of a message whose snapshot
+    /// replaces them.
     fn run_consensus(
         &mut self,
         skipped_entries: &[Entry],
@@ -364,8 +365,9 @@
         ProposalId { voter: self.id, start: self.start, number: ticket.0 }
     }
 
-    /// Sends the first proposal if it has not been sent on the current version: it is new, or another change has
-    /// overtaken it.
+    /// Sends the first proposal if it has not been sent for the current version, either because the proposal is new or
+    /// because another change was decided first. A proposal that is invalid for the current version is finished, and the
+    /// next one is tried.
     fn send_next(&mut self, check: &dyn Check) {
         while !self.stopped && self.has_majority() {
             let version = self.history.version();
--- a/crates/consensus/tests/fault_injection/simulation.rs
+++ b/crates/consensus/tests/fault_injection/simulation.rs
@@ -76,11 +76,12 @@
     pub cuts: BTreeSet<(u64, u64)>,
     pub nodes: BTreeMap<u64, Node>,
     learners: Vec<LearnerNode>,
-    /// Messages in transit with their receivers, ordered by arrival time.
+    /// Messages in transit with their receivers (0 for all learners), by arrival time and number. The earliest message is
+    /// the last entry.
     in_flight: BTreeMap<Reverse<(u64, u64)>, (u64, Packet)>,
     packet_count: u64,
     pub checker: InvariantChecker,
-    /// The number of messages between voters and their size in bytes.
+    /// The number of messages between voters, and their total size in bytes.
     pub traffic: (u64, u64),
     /// True if learners notice at once that a control machine was killed.
     pub kills_are_visible: bool,
@@ -120,6 +121,7 @@
         simulation
     }
 
+    /// Starts or restarts a control machine with the content of its disk. Its watches are lost.
     pub fn start(&mut self, id: u64) {
         let node = self.nodes.get_mut(&id).unwrap();
         node.voter = None;
@@ -129,7 +131,7 @@
         node.paused_until = 0;
     }
 
-    /// Kills a control machine. Up to 59 bytes that were not synced survive.
+    /// Kills a control machine. Up to 59 bytes that were not synced stay on its disk.
     pub fn kill(&mut self, id: u64) {
         let kept_bytes = self.rng.usize(..60);
         let node = self.nodes.get_mut(&id).unwrap();
@@ -275,16 +277,18 @@
         }
         let node = self.nodes.get_mut(&to).unwrap();
         if node.paused_until > self.now {
-            let later = node.paused_until - self.now;
-            self.now += later;
+            // The packet is delivered after the pause: the clock is at the end of the pause while it is queued again.
+            let remaining_pause = node.paused_until - self.now;
+            self.now += remaining_pause;
             self.enqueue(to, packet);
-            self.now -= later;
+            self.now -= remaining_pause;
             return Ok(());
         }
         let Some(voter) = &mut node.voter else { return Ok(()) };
         match packet {
             Packet::VoterMessage { from, bytes } => voter.receive(from, &bytes),
             Packet::WatchRequest { learner, version } => {
+                // As if the last message had been sent a heartbeat interval ago, so that the machine answers at once.
                 let watch = Watch {
                     seq: version.seq,
                     digest: version.digest,
@@ -324,7 +328,7 @@
     fn next_event(&self) -> u64 {
         let phase = self.now % TICK_MS;
         let events = [17, 34, 50, 51, 68, 85, TICK_MS + 17];
-        let next = events.into_iter().find(|tick_machine| *tick_machine > phase).unwrap_or(TICK_MS + 17);
+        let next = events.into_iter().find(|event| *event > phase).unwrap_or(TICK_MS + 17);
         self.now - phase + next
     }
 
@@ -350,15 +354,15 @@
             let node = &mut self.learners[learner];
             let mut version = node.learner.next_request(self.now * 1_000);
             let silent = self.now - node.last_message_at.max(node.connected_at) > RECONNECT_TIMEOUT_MS;
-            // If a process was killed, its connections end and new ones are refused. If a machine fails, it is only
-            // silent.
+            // If only the process was killed, the system ends its connections and refuses new ones. If the computer
+            // failed, nothing ends the connections, and the learner notices only the silence.
             let refused = self.kills_are_visible && self.nodes[&node.machine].voter.is_none();
             if refused || silent || (version.is_some() && self.now - node.connected_at > RECONNECT_TIMEOUT_MS)
             {
-                let at = node.machine;
-                (node.machine, node.connected_at) = (at % 5 + 1, self.now);
+                let previous = node.machine;
+                (node.machine, node.connected_at) = (previous % 5 + 1, self.now);
                 version = Some(node.learner.held_version());
-                self.nodes.get_mut(&at).unwrap().watches.remove(&learner);
+                self.nodes.get_mut(&previous).unwrap().watches.remove(&learner);
             }
             let to = node.machine;
             if let Some(version) = version.filter(|_| self.rng.f64() >= self.conditions.loss) {
@@ -376,9 +380,9 @@
     pub fn has_converged(&self) -> bool {
         let versions: Vec<_> =
             VOTER_IDS.iter().filter_map(|id| Some(self.voter(*id)?.decided_version())).collect();
-        let voters = versions.len() == 5 && versions.iter().all(|version| *version == versions[0]);
+        let same_version = versions.len() == 5 && versions.iter().all(|version| *version == versions[0]);
         let majority = VOTER_IDS.iter().all(|id| self.voter(*id).is_some_and(|voter| voter.has_majority()));
-        voters && majority && self.are_learners_at(versions[0].seq)
+        same_version && majority && self.are_learners_at(versions[0].seq)
     }
 
     /// Returns whether all learners have this version or a later one completely in force.
@@ -390,15 +394,16 @@
         })
     }
 
-    /// Runs until the condition holds. Returns the number of elapsed ticks, or `None` if it did not hold in time.
+    /// Runs until the condition holds. Returns the number of elapsed ticks, or `None` if the condition
+    /// did not hold within `ticks`.
     pub fn run_until(
         &mut self,
         ticks: u64,
         condition: impl Fn(&Simulation) -> bool,
     ) -> Result<Option<u64>, Violation> {
-        for passed in 0..ticks {
+        for elapsed_ticks in 0..ticks {
             if condition(self) {
-                return Ok(Some(passed));
+                return Ok(Some(elapsed_ticks));
             }
             self.run(1)?;
         }
