--- a/crates/simulation/src/control_machines.rs
+++ b/crates/simulation/src/control_machines.rs
@@ -1,5 +1,5 @@
-//! The agreed settings of a simulated fleet: the settings as a flat document in the program's format, and the control
-//! machines, each a voter with the watches of learners.
+//! The agreed settings of a simulated fleet: the settings as a flat document in the program's format (keys such as
+//! `orgs.acme.quota_rps`), and the control machines, each a voter with the watches of learners.
 
 use crate::Micros;
 use crate::encode::{self, ControlLine};
@@ -17,11 +17,11 @@
 
 /// Number of control machines.
 pub(crate) const MACHINE_COUNT: u32 = 5;
-/// Interval of the ticks in which a voter counts time.
+/// Interval between two ticks of a voter.
 pub(crate) const VOTER_TICK: Micros = 100 * MILLI;
-/// Interval of the keepalives on a watch.
+/// Interval between two heartbeats on a watch.
 pub(crate) const HEARTBEAT_INTERVAL: Micros = 2 * SECOND;
-/// A proposed change that is not agreed within this time is proposed again.
+/// Time after which a proposed change without an outcome counts as failed.
 const AGREEMENT_TIMEOUT: Micros = 4 * SECOND;
 
 /// Settings that are lists of named objects.
@@ -106,7 +106,7 @@
         .map_err(|error| ValidationError { key: String::new(), reason: error.to_string() })
 }
 
-/// Check of a version, and the direction in which each key becomes stricter.
+/// Checks a version of the agreed settings, and knows for each key the direction that tightens it.
 pub(crate) struct SharedSettingsCheck;
 
 impl Check for SharedSettingsCheck {
@@ -163,7 +163,7 @@
     /// The running process, or `None` while it is down.
     pub(crate) voter: Option<Voter<MemoryStore>>,
     watches: BTreeMap<u32, Watch>,
-    /// The version and majority state that the watches were sent last.
+    /// The number of the version, and whether the machine had a majority, as last sent to the watches.
     last_announced: (u64, bool),
     pending: Vec<PendingChange>,
     /// The version that [`ControlMachine::learned_versions`] returned last.
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// Proposes the initial settings if this machine is the leader and there are no agreed settings.
+    /// Proposes the initial settings if this machine is the leader, no version is agreed yet, and no proposal is pending.
     pub(crate) fn propose_initial(&mut self, now: Micros, initial: &Document) {
         let no_settings = self.voter.as_ref().is_some_and(|voter| voter.decided_version().seq == 0);
         if no_settings && self.is_leader() && self.pending.is_empty() {
@@ -327,7 +327,7 @@
         }
         let majority_changed = current.1 != self.last_announced.1;
         self.last_announced = current;
-        let mut written: BTreeMap<(u64, String), Rc<Lines>> = BTreeMap::new();
+        let mut lines_by_version: BTreeMap<(u64, String), Rc<Lines>> = BTreeMap::new();
         let mut updates = Vec::new();
         let known: Vec<_> =
             self.watches.iter().map(|(&index, watch)| (index, watch.call, watch.seq, watch.digest)).collect();
@@ -336,8 +336,9 @@
                 continue;
             }
             let key = (seq, digest.to_string());
-            let lines =
-                Rc::clone(written.entry(key).or_insert_with(|| Rc::new(self.lines_since(seq, digest))));
+            let lines = Rc::clone(
+                lines_by_version.entry(key).or_insert_with(|| Rc::new(self.lines_since(seq, digest))),
+            );
             if let Some(watch) = self.watches.get_mut(&process).filter(|watch| watch.seq <= agreed.0) {
                 (watch.seq, watch.digest) = agreed;
             }
@@ -346,7 +347,7 @@
         updates
     }
 
-    /// The keepalives for all watches: an empty line, or a status line while there is no majority.
+    /// The heartbeats for all watches: an empty line, or a status line while there is no majority.
     pub(crate) fn heartbeats(&self) -> Vec<(u32, u64, Rc<Lines>)> {
         let majority = self.voter.as_ref().is_some_and(Voter::has_majority);
         let empty = || Lines { lines: Vec::new(), bytes: encode::chunk("").len() };
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -17,7 +17,7 @@
 //! | `schedulers` | the host of a dispatcher: attempts, timeouts, cancellations, the lease of the list |
 //! | `clients` | classes, tenants of unequal size, unequal shares of the schedulers |
 //! | `control_machines` | the settings as a document, and the control machines that agree on it |
-//! | `config_learner` | how a scheduler learns the agreed settings |
+//! | `config_learner` | the learner of the agreed settings at a scheduler |
 //! | `workload` | the workers and requests of a plan, for a run of the same load with real processes |
 //! | `encode` | the bytes of the messages, as the program writes them |
 //! | `recorder` | counts, and the summary |
--- a/crates/simulation/src/links.rs
+++ b/crates/simulation/src/links.rs
@@ -21,7 +21,7 @@
 pub struct Links {
     regions: usize,
     zones: usize,
-    /// For each path (index `from * zones + to`) the time since which it is cut.
+    /// For each path (index `from * zones + to`) the time at which it was cut, or `None` if it is not cut.
     cut_since: Vec<Option<Micros>>,
     rng: StdRng,
 }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -44,9 +44,10 @@
     Rack,
     /// The workers and schedulers of a zone vanish without closing their connections, and return cold 18 s later.
     Zone,
-    /// The regions are cut off from each other from the incident time on, until the same time before the end.
+    /// The regions are cut off from each other from the incident on. The cut ends before the end of the measured time, by the same interval that lies between the
+    /// begin of the measured time and the incident.
     Regions,
-    /// All schedulers and workers die at once and return within 6 s, cold and without any learned state.
+    /// All schedulers and workers are killed at the same time and return within 6 s, cold and without any learned state.
     AllRestart,
     /// The settings change repeatedly, and the leader of the control machines is down for 10 s.
     Config,
@@ -73,7 +74,7 @@
     pub running_tasks: Option<f64>,
     /// Length of the measured time, in seconds.
     pub measured_seconds: u64,
-    /// Length of the warm-up before the measured time, in seconds, in which the fleet fills and learns.
+    /// Length of the warm-up before the measured time, in seconds, in which the schedulers get their usual load and learn.
     pub warm_up_seconds: u64,
     /// The incident to simulate.
     pub incident: Incident,
@@ -126,7 +127,7 @@
 }
 
 impl ClassPlan {
-    /// Aim of a request with `work` microseconds of work: an answer within this time of its arrival is in time.
+    /// Aim of a request with `work` microseconds of work: an answer is in time if it comes within the aim after the arrival. In microseconds.
     pub(crate) fn aim_for(&self, work: f64) -> Micros {
         self.aim + (self.stretch * work) as Micros
     }
--- a/crates/simulation/src/recorder.rs
+++ b/crates/simulation/src/recorder.rs
@@ -10,13 +10,13 @@
 
 /// Width of the bins in which task starts are counted.
 const START_BIN: Micros = 100_000;
-/// Number of bins in a window over which starts are compared.
+/// Number of bins in the window (3 s) whose starts are compared with the usual starts.
 const WINDOW_BINS: usize = 30;
-/// Number of bins before the incident that give the usual rate of starts.
+/// Number of bins (10 s) before the incident from which the usual starts are computed.
 const BASELINE_BINS: usize = 100;
-/// Starts are down where a window has less than this fraction of the usual starts.
+/// A window with less than this fraction of the usual starts is part of the outage.
 const OUTAGE_THRESHOLD: f64 = 0.85;
-/// Starts have recovered where a window has at least this fraction of the usual starts.
+/// Starts have recovered in the first window after the outage that has at least this fraction of the usual starts.
 const RECOVERY_THRESHOLD: f64 = 0.95;
 
 /// Purpose of a control message.
@@ -38,7 +38,7 @@
     Config,
 }
 
-/// The control functions by their names in [`Summary::traffic`].
+/// The control functions by their names in [`Summary::traffic`], which are part of the serialized summary.
 const FUNCTIONS: [(&str, Function); 7] = [
     ("list", Function::List),
     ("watch", Function::Watch),
@@ -139,9 +139,10 @@
     pub state_bytes_per_scheduler: u64,
     /// Bytes in and out of discovery, largest value of any second.
     pub discovery_bytes_per_s_worst: u64,
-    /// Requests of tenants with a demand of 0.8 of their quota: the fraction that counted as within the quota.
+    /// Fraction of the requests that counted as within the quota, for tenants with a demand of 0.8 of their quota.
     pub quota_in_share_ratio: f64,
-    /// Requests of tenants with a demand of twice their quota: the number that counted as within, as a fraction of the quota.
+    /// Number of requests that counted as within the quota, divided by the quota, for tenants with a demand of twice their
+    /// quota.
     pub quota_over_ratio: f64,
     /// Time from the incident until task starts recovered, in milliseconds. `None` if there was no incident or no recovery.
     pub recovered_ms: Option<u64>,
@@ -209,7 +210,7 @@
 }
 
 /// Processor time of this thread since `started`, in nanoseconds.
-fn since(started: u64) -> u64 {
+fn nanos_since(started: u64) -> u64 {
     thread_nanos().saturating_sub(started)
 }
 
@@ -236,7 +237,7 @@
             urgent_start_delays: Histogram::new_with_bounds(1, 3_600 * SECOND, 3)
                 .unwrap_or_else(|_| unreachable!()),
             started_at: Instant::now(),
-            clock_overhead: (0..1_000).map(|_| since(thread_nanos())).min().unwrap_or(0),
+            clock_overhead: (0..1_000).map(|_| nanos_since(thread_nanos())).min().unwrap_or(0),
             summary,
         }
     }
@@ -253,10 +254,10 @@
     /// Records a control message that a scheduler sent or received.
     pub(crate) fn record_message(&mut self, now: Micros, rank: u32, function: Function, bytes: usize) {
         let Some(second) = self.measured_second(now) else { return };
-        let datagram = matches!(function, Function::PeerLoads | Function::Hellos | Function::FaultReports);
+        let is_datagram = matches!(function, Function::PeerLoads | Function::Hellos | Function::FaultReports);
         let usage = &mut self.usage[rank as usize * self.seconds + second];
         usage.bytes += bytes as u32;
-        usage.datagrams += u32::from(datagram);
+        usage.datagrams += u32::from(is_datagram);
         let traffic = &mut self.traffic[function as usize];
         traffic.messages += 1;
         traffic.bytes += bytes as u64;
@@ -273,11 +274,11 @@
     pub(crate) fn time_control_event<T>(&mut self, now: Micros, rank: u32, run: impl FnOnce() -> T) -> T {
         let Some(second) = self.measured_second(now) else { return run() };
         let started = thread_nanos();
-        let done = run();
-        let nanos = since(started).saturating_sub(self.clock_overhead);
+        let result = run();
+        let nanos = nanos_since(started).saturating_sub(self.clock_overhead);
         let usage = &mut self.usage[rank as usize * self.seconds + second];
         usage.nanos = usage.nanos.saturating_add(u32::try_from(nanos).unwrap_or(u32::MAX));
-        done
+        result
     }
 
     /// Records the start of a task at a worker. `waited` is the time since its request came in, or `None` if a task of the
@@ -356,9 +357,9 @@
 /// Ratios of requests that counted as within their tenant's quota.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct QuotaRatios {
-    /// For tenants that stay within their quota: counted requests by all requests.
+    /// For tenants that stay within their quota: requests that counted as within it, divided by all requests.
     pub(crate) within_quota: f64,
-    /// For tenants that exceed their quota: counted requests by the quota.
+    /// For tenants that exceed their quota: requests that counted as within it, divided by the quota.
     pub(crate) over_quota: f64,
 }
 
--- a/crates/simulation/src/schedulers.rs
+++ b/crates/simulation/src/schedulers.rs
@@ -1,5 +1,6 @@
-//! Schedulers: the host of a dispatcher, by the same rules as the program's own host. The host turns occurrences into events of
-//! the decision module, and the module's actions into commands for the simulation. It has no access to links or workers.
+//! Schedulers: the host of a dispatcher (the decision module), which follows the same rules as the host in the program. The host
+//! turns calls of the simulation into events of the decision module, and the module's actions into commands for the simulation.
+//! The host has no access to links or workers.
 
 use crate::Micros;
 use crate::config_learner::ConfigLearner;
@@ -17,10 +18,10 @@
 
 pub(crate) use process_end::TransferredJob;
 
-/// Time after the last byte of a job within which a healthy worker has accepted it. The program uses the same value for the
-/// connections of the plan.
+/// Time within which a healthy worker has accepted a job, from the last byte of the job on. The program uses the same value for
+/// connections like those of the simulation plan.
 pub(crate) const ACCEPTANCE_TIMEOUT: Micros = 500_000;
-/// Time within which the other side has seen the end of a connection.
+/// Time within which the end of a connection reaches the other side.
 pub(crate) const MAX_TRANSIT_TIME: Micros = 200_000;
 /// Time up to which an idle connection is used again.
 pub(crate) const MAX_IDLE_TIME: Micros = 9_700_000;
@@ -130,9 +131,10 @@
     finished_candidates: Vec<u32>,
     max_attempts: u32,
     concurrent_attempts: bool,
-    /// After SIGTERM the time at which the process ends. No answer is sent later.
+    /// Time after which the process sends no answer, set at SIGTERM; unlimited before. The process ends by then.
     ends_at: Micros,
-    /// True if `ends_at` also limits the requests that were open at SIGTERM.
+    /// True if the module has been notified of `ends_at`. From then on `ends_at` also limits the requests that were open at
+    /// SIGTERM; before, a successor may continue them.
     end_announced: bool,
     list_lease: ListLease,
     /// Time of the next deadline of the list lease.
@@ -143,11 +145,11 @@
     list_version_at: Micros,
     /// Number of the watch request that opened the current watch.
     pub(crate) watch_call: Option<u64>,
-    /// Idle connections by worker, each with the time since which it is idle and the incarnation of the worker.
+    /// Idle connections by worker, each with the time at which it became idle and the incarnation of the worker.
     pub(crate) idle_connections: BTreeMap<WorkerId, Vec<(Micros, u32)>>,
     /// Attempts that continue at the successor, with the process and the id of the attempt there.
     pub(crate) transferred_attempts: BTreeMap<AttemptId, (u32, AttemptId)>,
-    /// Requests that the module has taken since the last call, and whether each counted as within its tenant's quota.
+    /// Jobs that arrived since the simulation last took this list; true if the job counted as within its tenant's quota.
     pub(crate) quota_decisions: Vec<(u32, bool)>,
     /// Learner of the agreed settings, where there are control machines.
     pub(crate) learner: Option<Box<ConfigLearner>>,
@@ -198,9 +200,9 @@
         }
     }
 
-    // ---- Occurrences -----------------------------------------------------------------------------
+    // ---- Input from the simulation -----------------------------------------------------------------------------
 
-    /// Takes a complete request.
+    /// Handles a request whose last byte has arrived.
     pub(crate) fn add_request(&mut self, now: Micros, job: u32, mut arrival: Arrival) {
         arrival.request = RequestId(self.insert_request(job, now, arrival.expires));
         arrival.expires = arrival.expires.min(self.ends_at);
@@ -288,8 +290,8 @@
         self.end_attempt(now, id, ending, false, report);
     }
 
-    /// Called when the cancellation of an attempt has reached the worker. An accepted attempt that had already ended here has
-    /// then ended at the worker too.
+    /// Called when the cancellation of an attempt has reached the worker. If the worker had accepted the attempt and it had
+    /// already ended in the decision module, it has now ended at the worker too.
     fn cancel_delivered(&mut self, now: Micros, id: AttemptId) {
         let entry = self.requests.get(&id.request);
         let attempt = entry.and_then(|entry| entry.attempts.get(id.number as usize));
@@ -299,7 +301,7 @@
         }
     }
 
-    /// Tells the module that an attempt which had ended here and might still have been running has ended at its worker.
+    /// Notifies the module that an attempt has ended at its worker, if it had ended in the module and could still be running.
     fn confirm_ended(&mut self, id: AttemptId) {
         let entry = self.requests.get_mut(&id.request);
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(id.number as usize));
@@ -393,10 +395,11 @@
             if is_control_event(&event) {
                 recorder.time_control_event(now, rank, || dispatcher.on_event(now, event, &mut actions));
             } else if let Event::Arrival(Arrival { request, tenant: Some(tenant), .. }) = event {
-                let granted = |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
-                let before = granted(dispatcher);
+                let within_quota_count =
+                    |of: &Dispatcher| of.quota_counts(tenant).map_or(0, |counted| counted.1);
+                let before = within_quota_count(dispatcher);
                 dispatcher.on_event(now, event, &mut actions);
-                let within_quota = granted(dispatcher) > before;
+                let within_quota = within_quota_count(dispatcher) > before;
                 self.quota_decisions
                     .extend(self.requests.get(&request.0).map(|entry| (entry.job, within_quota)));
             } else {
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -42,7 +42,7 @@
     pub slots: u32,
     /// Time after which the client gives up, in microseconds.
     pub client_timeout: Micros,
-    /// The aim: an answer within this time is in time, in microseconds.
+    /// The aim: the longest time in which an answer is not late, in microseconds.
     pub aim: Micros,
     /// True if it comes in during the measured time.
     pub measured: bool,
