--- a/tests/list.rs
+++ b/tests/list.rs
@@ -193,7 +193,8 @@
 
 #[test]
 fn late_clients_after_sigterm_are_answered_or_disconnected() {
-    // An idle client connection is closed; one with an open request gets its answer with `Connection: close`, however late.
+    // An idle client connection is closed. A client with an open request gets its answer with `Connection: close`, however
+    // late the answer is.
     run_with_pushed_list(
         1,
         false,
@@ -243,8 +244,8 @@
 
 #[test]
 fn refused_watches_are_retried_soon_and_the_list_stays_valid() {
-    // While discovery is unreachable no change counts as notified, so the lease goes on. Retries come often enough that
-    // discovery is called soon after it returns.
+    // While discovery is unreachable no change counts as notified, so the lease continues. The program retries often enough
+    // to reach discovery soon after its return: eight watches within 12.5 s.
     run_with_watched_list(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
@@ -434,7 +435,7 @@
 
 #[test]
 fn repeated_reloads_do_not_extend_an_unconfirmed_list() {
-    // Each reload names another discovery service, and none of the services answers.
+    // The reloads switch between two discovery services, and neither of them answers.
     run_with_watched_list_without_probes(
         r#"
         expect d GET /discovery/hosts?watch=1&from=41
@@ -485,8 +486,8 @@
     );
 }
 
-/// Steps that answer the program's first eight questions about its list as another scheduler: with the digest of that
-/// scheduler's list and an age of 10 ms.
+/// Steps with which the scheduler of rank 1 answers the program's first eight questions about the list. Each answer
+/// contains the digest of that scheduler's list and an age of 10 ms.
 fn peer_answers(digest: u64) -> String {
     let digest_bytes = digest.to_le_bytes().map(|byte| byte.to_string()).join(",");
     (1..=8).map(|number| format!("send p 241,2,{number},0,{digest_bytes},10,0,0,0\n")).collect()
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -1,15 +1,16 @@
 //! Tests of a process's exit: each open request gets its final answer before the earliest SIGKILL, or is transferred to the
 //! successor with all its attempts.
 //!
-//! They guard against requests lost in a restart. In simulated fleets (30 schedulers, 60 workers, restarts), each of
-//! the seeds 1 to 50 lost 1 to 229 of about 8,400 requests. On seeds 1 to 6 all lost requests were in the hold queue; a
-//! test of the simulated fleet also lost a request whose second attempt was in flight.
+//! The tests guard against requests lost in a restart. `calicolb-rig scale --schedulers 30 --workers 60 --event restarts
+//! --seed N` lost 1 to 229 of about 8,400 requests on each of the seeds 1 to 50. On seeds 1 to 6 all lost requests were
+//! in the hold queue. A test of the simulated fleet also lost a request whose second attempt was in flight.
 //!
 //! The cause: a predecessor transferred only requests with exactly one attempt that a worker had accepted. All others
 //! stayed with the predecessor until their own deadline, which may be long after the earliest SIGKILL. Here SIGKILL may
 //! come 3.7 s after SIGTERM: the longest deadline of the classes is 20 s and counts as 3 s, and the margin is 0.7 s.
-//! The program waits for these requests, so SIGKILL decides which are lost. In each case below, the program had
-//! transferred no request.
+//! The simulation ends a process at the time of SIGKILL; the program waits for these requests until the real SIGKILL,
+//! which then decides which of them are lost. Before the fix, the program logged for each case below that it left 0
+//! requests to the successor.
 
 #[allow(dead_code, reason = "each test program uses some of the script steps")]
 mod scenario;
@@ -67,7 +68,8 @@
 
 #[test]
 fn held_and_running_safe_requests_are_refused_before_sigkill() {
-    // Both requests may safely be repeated: they are refused with 503, and their clients may use another scheduler.
+    // The effect of the class `look` is safe, so both requests may be repeated: the program refuses them with 503, and their
+    // clients may send them to another scheduler.
     run_with_long_aim(
         1,
         false,
@@ -288,8 +290,8 @@
 #[test]
 fn successor_does_not_resend_to_a_worker_with_an_unconfirmed_cancel() {
     // `h1` does not start the job, so the job is sent to `h2` and cancelled at `h1`, which never confirms the cancel.
-    // The attempt at `h2` is lost after the transfer. Another attempt at `h1` could run beside the first, which may
-    // still be running.
+    // The attempt at `h2` is lost after the transfer. Another attempt at `h1` could run beside the first one there,
+    // which may still be running, so the client gets 503.
     let settings = [LONG_AIM, ("/settings/ceilings/peers", "false")];
     Setup { workers: 2, pass_socket: true, settings: &settings, ..Setup::default() }.run(
         r#"
@@ -448,7 +450,8 @@
 
 #[test]
 fn worker_knowledge_keeps_its_age_when_the_wall_clock_steps() {
-    // A worker that answered with an error is avoided for a few seconds. The stepped clock must not turn them into an hour.
+    // A worker that answered with an error is avoided for a few seconds. The stepped clock must not
+    // prolong that time to an hour.
     for step in ["3600", "-3600"] {
         run_with_passed_socket(
             1,
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -35,8 +35,8 @@
 
 #[test]
 fn connection_established_as_its_client_disconnects_is_closed_unwritten() {
-    // The program is stopped, so that it sees in one iteration of its event loop that the connection is established and
-    // that the client has disconnected.
+    // The program is stopped, so that a single iteration of its event loop handles both the established connection and the
+    // client's disconnect.
     for class in ["look", "book"] {
         Setup { settings: &SLOW_CONNECT, ..Setup::default() }.run(&format!(
             r#"
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! # Names of connections
 //!
-//! The first letter of a name says which connection it is. A new name opens or accepts a connection.
+//! The first letter of a name selects the kind of connection. The first use of a name opens or accepts the connection.
 //!
 //! * `c…`: a client's connection to the program's HTTP port.
 //! * `n…`: a worker's connection to the same port, over which it sends callbacks.
@@ -30,9 +30,9 @@
 //! * `up c1` sends `GET /up` until the answer is 200.
 //! * `info LINE` polls the management port's `INFO` until it contains this line.
 //! * `mark` records the time. `after MS` and `within MS` check that at least, or at most, `MS` milliseconds have passed
-//!   since then; `until MS` sleeps until they have.
-//! * `fill_backlog h1` fills the accept queue of worker `h1`, so that nobody can connect to it until `free_backlog h1`. A
-//!   connection attempt made meanwhile completes when the kernel repeats it, about a second later.
+//!   since the last `mark`; `until MS` sleeps until `MS` milliseconds have passed since it.
+//! * `fill_backlog h1` fills the accept queue of worker `h1`, so that no connection to it completes until `free_backlog h1`.
+//!   A connection attempt made meanwhile completes when the kernel repeats it, about 1 s after `free_backlog`.
 //! * `restart program` kills the process with SIGKILL and starts it again. Only the configuration file remains.
 //! * `start successor` starts a second process that inherits the clients' socket: `program` and `o…` mean the new
 //!   process from then on. `start successor 3600` sets the new process's wall clock 3600 seconds ahead; a negative
@@ -43,9 +43,9 @@
 //! * `ready NAME FUNCTION` registers a Gearman worker for a function and puts it to sleep; `pull NAME MESSAGE` expects
 //!   that it is woken, grabs a job and expects the message.
 //!
-//! Where the list is watched (not pushed, no operator file) and a script uses neither `d` nor `d2`, both listeners
-//! confirm the list by themselves, and the script starts once the program has logged that the list is confirmed. Each
-//! step that waits for a condition fails after [`WAIT_LIMIT`].
+//! If the program watches the list (no pushed list, no operator file) and the script uses neither `d` nor `d2`, both
+//! listeners answer each watch and confirm the list without steps of the script. The script then starts once the program
+//! has logged that the list is confirmed. Each step that waits for a condition fails after [`WAIT_LIMIT`].
 //!
 //! # Messages
 //!
@@ -54,8 +54,8 @@
 //! list watch. `raw TEXT` is written as it is and `chunk TEXT` as one chunk of a chunked body; `\r`, `\n`, `\t`, `\0`
 //! and `\xHH` in them stand for those bytes. `#N` is `N` bytes of padding.
 //!
-//! A Gearman message is `PACKET_TYPE FIELD … | LAST_FIELD`. `~` is an empty field and `*` any. `$NAME` takes the value
-//! that stands there at its first use and stands for that value from then on. `times N MESSAGE` is the message `N`
+//! A Gearman message is `PACKET_TYPE FIELD … | LAST_FIELD`. `~` is an empty field and `*` any. The first `$NAME` in an expectation
+//! assigns the received value to the variable `NAME`; each later `$NAME` means that value. `times N MESSAGE` is the message `N`
 //! times, sent in one write. `text LINE` is a line of the text protocol; `expect` skips other lines before it.
 
 #[path = "../discovery/mod.rs"]
@@ -122,7 +122,7 @@
     /// The program was stopped with SIGSTOP and not continued.
     stopped: bool,
     /// Writes and closes made while the program was stopped: the connection's local address as /proc/net/tcp prints it,
-    /// whether the connection was closed, and how many lookups did not find it.
+    /// true if the connection was closed, and the number of lookups in which it was missing.
     pending_deliveries: Vec<(String, bool, u32)>,
     /// Sockets that keep the addresses of closed listeners bound, so that connections there are refused.
     reserved_addresses: Vec<OwnedFd>,
@@ -142,14 +142,14 @@
 
 /// Replaces the values at some JSON pointers of a configuration.
 fn with_settings<T: AsRef<str>>(text: &str, settings: &[(T, T)]) -> String {
-    let mut config: serde_json::Value = serde_json::from_str(text).expect("the configuration is JSON");
+    let mut config: serde_json::Value = serde_json::from_str(text).expect("the configuration is not JSON");
     for (pointer, value) in settings {
         let (parent, name) =
-            pointer.as_ref().rsplit_once('/').expect("a settings key is a JSON pointer with a parent");
-        let value = serde_json::from_str(value.as_ref()).expect("a settings value is JSON");
-        match config.pointer_mut(parent).expect("the JSON pointer names a place in the configuration") {
+            pointer.as_ref().rsplit_once('/').expect("a settings key is not a JSON pointer with a parent");
+        let value = serde_json::from_str(value.as_ref()).expect("a settings value is not JSON");
+        match config.pointer_mut(parent).expect("the JSON pointer names no place in the configuration") {
             serde_json::Value::Array(items) => {
-                items[name.parse::<usize>().expect("an array index is a number")] = value
+                items[name.parse::<usize>().expect("an array index is not a number")] = value
             }
             other => other[name] = value,
         }
@@ -296,24 +296,24 @@
     fn start(setup: Setup<'_>, script: &str) -> TestRun {
         let Setup { workers, max_descriptors, pass_socket, pushed_list, operator, settings } = setup;
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let bind = || TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        let bind = || TcpListener::bind("127.0.0.1:0").expect("no loopback port could be bound");
         let mut listeners: HashMap<String, TcpListener> =
             (1..=workers).map(|number| (format!("h{number}"), bind())).collect();
         let address =
-            |listener: &TcpListener| listener.local_addr().expect("a bound listener has an address");
+            |listener: &TcpListener| listener.local_addr().expect("a bound listener has no address");
         let mut listed_workers: Vec<_> =
             listeners.iter().map(|(name, listener)| (name.clone(), address(listener))).collect();
         listed_workers.sort();
         listeners.insert("d".to_owned(), bind());
         listeners.insert("d2".to_owned(), bind());
-        let script_is_discovery = script_controls(script, "d") || script_controls(script, "d2");
-        let auto_confirmed = operator.is_none() && !pushed_list && !script_is_discovery;
+        let script_controls_discovery = script_controls(script, "d") || script_controls(script, "d2");
+        let auto_confirmed = operator.is_none() && !pushed_list && !script_controls_discovery;
         for name in ["d", "d2"].into_iter().filter(|_| auto_confirmed) {
-            let listener = listeners[name].try_clone().expect("the listener can be duplicated");
+            let listener = listeners[name].try_clone().expect("the listener could not be duplicated");
             discovery::confirm_list_forever(listener);
         }
-        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port can be bound");
-        peer_socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a read timeout can be set");
+        let peer_socket = UdpSocket::bind("127.0.0.1:0").expect("no loopback port could be bound");
+        peer_socket.set_read_timeout(Some(WAIT_LIMIT)).expect("the read timeout could not be set");
         let (text, extension) = match operator {
             Some(lines) => (operator_file(&listed_workers, lines), "kdl"),
             None => (
@@ -321,7 +321,7 @@
                     &config_json(
                         &listed_workers,
                         address(&listeners["d"]),
-                        peer_socket.local_addr().expect("a bound socket has an address"),
+                        peer_socket.local_addr().expect("a bound socket has no address"),
                         pushed_list,
                     ),
                     settings,
@@ -332,12 +332,13 @@
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let config_file =
             std::env::temp_dir().join(format!("calicolb-{}-{number}.{extension}", std::process::id()));
-        fs::write(&config_file, text).expect("the configuration file can be written");
+        fs::write(&config_file, text).expect("the configuration file could not be written");
         let passed_socket = pass_socket.then(|| {
             let dir = config_file.with_extension("tmp");
-            fs::create_dir(&dir).expect("the folder of the upgrade socket can be created");
+            fs::create_dir(&dir).expect("the folder of the upgrade socket could not be created");
             drop(
-                UnixListener::bind(dir.join("calicolb.sock")).expect("a stale upgrade socket can be created"),
+                UnixListener::bind(dir.join("calicolb.sock"))
+                    .expect("a stale upgrade socket could not be created"),
             );
             (bind(), dir)
         });
@@ -373,7 +374,7 @@
             pending_deliveries: Vec::new(),
             reserved_addresses: Vec::new(),
         };
-        test_run.read_addresses().expect("the program logs its addresses");
+        test_run.read_addresses().expect("the program did not log its addresses");
         test_run
     }
 
@@ -466,8 +467,8 @@
         self.track_delivery(address, false)
     }
 
-    /// Notes, while the program is stopped, that bytes or the close of the connection with this local address must
-    /// reach the program's socket before the program is continued.
+    /// If the program is stopped, records that bytes, or the close of the connection with this local address, must reach
+    /// the program's socket before the program is continued.
     fn track_delivery(&mut self, address: SocketAddr, closed: bool) -> Result<(), String> {
         let SocketAddr::V4(address) = address else {
             return Err(format!("{address} is not an IPv4 address"));
@@ -481,7 +482,7 @@
     }
 
     /// Waits until every write and close made while the program was stopped has reached the program's sockets. On a busy
-    /// machine the kernel delivers them later, and in another order. The check reads /proc/net/tcp, which may skip a line
+    /// machine the kernel may deliver them late and out of order. The check reads /proc/net/tcp, which may skip a line
     /// while other connections change: a connection that is missing counts as reset after 20 lookups.
     fn wait_for_deliveries(&mut self) -> Result<(), String> {
         let mut pending = std::mem::take(&mut self.pending_deliveries);
@@ -810,7 +811,7 @@
         env!("CARGO_BIN_EXE_calicolb"),
     ]);
     if let Some((socket, dir)) = passed_socket {
-        let socket = socket.try_clone().expect("the clients' socket can be duplicated");
+        let socket = socket.try_clone().expect("the clients' socket could not be duplicated");
         command.stdin(OwnedFd::from(socket)).env("RELAY_PASSED_SOCKET", "3").env("TMPDIR", dir);
     }
     if !clock_step.is_empty() {
@@ -820,8 +821,8 @@
         .env("RELAY_CONFIG", config_file)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program can be started");
-    let stderr = BufReader::new(program.stderr.take().expect("the program's standard error is a pipe"));
+        .expect("the program could not be started");
+    let stderr = BufReader::new(program.stderr.take().expect("the program's standard error is not a pipe"));
     let (sender, log) = channel();
     thread::spawn(move || stderr.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok()));
     (program, log)
@@ -850,9 +851,9 @@
 /// Parses `1,0,255` as bytes, and `#N` as `N` bytes of padding.
 fn parse_bytes(text: &str) -> Vec<u8> {
     match text.strip_prefix('#') {
-        Some(count) => vec![b'x'; count.parse().expect("the padding length is a number")],
+        Some(count) => vec![b'x'; count.parse().expect("the padding length is not a number")],
         None => {
-            text.split(',').map(|part| part.parse().expect("each part is a number from 0 to 255")).collect()
+            text.split(',').map(|part| part.parse().expect("a part is not a number from 0 to 255")).collect()
         }
     }
 }
@@ -875,8 +876,8 @@
             (b'\\', [b'0', ..]) => (0, 2),
             (b'\\', [b'x', high, low, ..]) => {
                 let digits = [*high, *low];
-                let digits = std::str::from_utf8(&digits).expect("the digits after \\x are ASCII");
-                (u8::from_str_radix(digits, 16).expect("\\x is followed by two hexadecimal digits"), 4)
+                let digits = std::str::from_utf8(&digits).expect("the digits after \\x are not ASCII");
+                (u8::from_str_radix(digits, 16).expect("\\x is not followed by two hexadecimal digits"), 4)
             }
             (&byte, _) => (byte, 1),
         };
@@ -915,7 +916,7 @@
 /// Splits `times N REST` into the count and the rest; the count is 1 without `times`.
 fn parse_repeat(text: &str) -> (usize, &str) {
     let found = text.strip_prefix("times ").and_then(|rest| rest.split_once(' '));
-    found.map_or((1, text), |(count, rest)| (count.parse().expect("the repeat count is a number"), rest))
+    found.map_or((1, text), |(count, rest)| (count.parse().expect("the repeat count is not a number"), rest))
 }
 
 /// The bytes to send for a Gearman packet or a line of the text protocol.
