--- a/tests/common/rule_checker.rs
+++ b/tests/common/rule_checker.rs
@@ -10,8 +10,8 @@
 
 const WORKERS: u32 = 6;
 
-/// Lowest value of [`Step::selector`] for settings updates (five values) and for starts of pending attempts (the three values
-/// after these).
+/// Lowest value of [`Step::selector`] for settings updates. Five values select settings updates, and the next three select
+/// starts of pending attempts.
 const FIRST_UPDATE_SELECTOR: u8 = 21;
 
 /// One step of a stream: the kind of event and the item that it concerns.
@@ -50,7 +50,8 @@
     answered: bool,
     /// Effect of the request's class under each of the settings in force since the arrival.
     effects: Vec<Effect>,
-    /// The class was safe when an attempt may have run, so that no worker had to remember the attempt, and is not safe now.
+    /// True if an attempt may have run while the class was safe, and the class became unsafe or keyed later. No worker had to
+    /// remember such an attempt.
     unremembered: bool,
     /// Worker, time of sending and ending of each attempt.
     attempts: Vec<(u32, Micros, Option<Ending>)>,
@@ -105,10 +106,10 @@
     }
 }
 
-/// The dispatcher's inputs and actions so far, as needed to check the rules.
+/// Generates legal events for a dispatcher, records its actions, and checks them against the rules on sends.
 struct RuleChecker {
     settings: Settings,
-    /// Settings may change, and attempts start some time after the dispatcher decided on them.
+    /// True if settings may change and attempts start some time after the dispatcher decided on them.
     updates_settings: bool,
     now: Micros,
     jobs: BTreeMap<u32, Job>,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Turns a step into an event that is legal now. `None` where the step advances the clock or no event fits.
+    /// Turns a step into an event that is legal now. Returns `None` if the step advances the clock or no event fits.
     fn event(&mut self, step: &Step) -> Option<Event> {
         let in_flight = |job: &Job| job.attempts.iter().position(|attempt| attempt.2.is_none());
         match step.selector {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -432,8 +432,8 @@
     let good = [1, 200, 11, 0, 0, 0, 255, 255];
     for length in 0..=good.len() + 3 {
         let mut body: Vec<u8> = good.iter().copied().cycle().take(length).collect();
-        // These bytes are changed to another version. Messages of eight to eleven bytes are valid loads with cold work
-        // and speed in the current version.
+        // Messages of eight to eleven bytes are valid loads with cold work and speed in the current version, so the
+        // version byte of these messages is set to an unknown version.
         if length >= good.len() {
             body[0] = 99;
         }
@@ -635,11 +635,13 @@
     let mut knowledge = predecessor.dispatcher.knowledge();
     assert!(knowledge[1][0]["sizes"].is_array() && knowledge[0][0].get("told").is_some(), "{knowledge}");
     let learned = knowledge[2].as_object_mut().expect("the learned figures are a JSON object");
-    learned.remove("work").expect("field work");
+    learned.remove("work").expect("the learned data has no field work");
     learned.insert("work_rate".to_owned(), 0.5.into());
     learned.insert("work_at".to_owned(), T0.into());
     for kind in learned["kinds"].as_array_mut().expect("kinds is a JSON array") {
-        kind.as_object_mut().and_then(|kind| kind.remove("counted")).expect("field counted of a kind");
+        kind.as_object_mut()
+            .and_then(|kind| kind.remove("counted"))
+            .expect("a kind in the learned data has no field counted");
     }
     let mut successor = Bench::new(settings());
     let actions = successor.tell(Event::KnowledgeReceived(knowledge));
@@ -705,7 +707,8 @@
             work += sent * 100;
         }
         used += usize::from(work > 0);
-        // This is the work that the worker can do in the window, in milliseconds, times the multiple that it bears.
+        // The limit of 5400 ms is the work that the worker can do in the window, times the multiple of it that the worker
+        // may get.
         assert!(work <= 5400, "worker {cold} was sent {work} ms of work within one second");
     }
     assert!(used >= 14, "only {used} of 20 cold workers got a job");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -79,12 +79,12 @@
 /// Dispatchers that share twelve workers and exchange messages, of which a set part is lost.
 struct Fleet {
     benches: Vec<Bench>,
-    /// Every message whose number is a multiple of this is lost; 0 loses none, 1 loses all.
-    loss: usize,
+    /// Each message whose number is a multiple of `loss_interval` is lost: none at 0, all at 1.
+    loss_interval: usize,
     /// Messages sent so far, counted once for each receiver.
     message_count: usize,
     next_request: u32,
-    /// Attempts sent to each worker, and how many of them were of the unsafe class.
+    /// Number of attempts sent to each worker, and number of those of the unsafe class.
     sent: std::collections::BTreeMap<u32, (u32, u32)>,
 }
 
@@ -92,14 +92,14 @@
 const FAULTY: u32 = 15;
 
 impl Fleet {
-    fn new(count: u32, loss: usize) -> Fleet {
+    fn new(count: u32, loss_interval: usize) -> Fleet {
         let start = |rank| {
             let mut settings = settings();
             (settings.instances, settings.rank, settings.limits.peers) = (count, rank, true);
             Bench::with_workers(settings, &(10..22).collect::<Vec<_>>())
         };
         let benches = (0..count).map(start).collect();
-        Fleet { benches, loss, message_count: 0, next_request: 1, sent: Default::default() }
+        Fleet { benches, loss_interval, message_count: 0, next_request: 1, sent: Default::default() }
     }
 
     /// Delivers the messages among these actions to their receivers.
@@ -109,7 +109,7 @@
             for rank in (0..self.benches.len()).filter(|&rank| rank != from) {
                 if to.is_none_or(|to| to as usize == rank) {
                     self.message_count += 1;
-                    if self.loss == 0 || !self.message_count.is_multiple_of(self.loss) {
+                    if self.loss_interval == 0 || !self.message_count.is_multiple_of(self.loss_interval) {
                         let body = body.clone();
                         self.benches[rank].tell(Event::Peer { from: from as u32, body });
                     }
@@ -166,13 +166,14 @@
 fn fault_reports_reduce_the_jobs_that_all_dispatchers_send_a_failing_worker() {
     // In the first round all dispatchers use the faulty worker; later only those without a fault report send it more than
     // trial requests.
-    let play = |loss| {
-        let mut fleet = Fleet::new(24, loss);
+    let attempts_at_faulty = |loss_interval| {
+        let mut fleet = Fleet::new(24, loss_interval);
         fleet.run_rounds(1, true);
         fleet.run_rounds(80, true)
     };
     // Fault reports also work with a tenth of the messages lost.
-    let (all_lost, none_lost, tenth_lost) = (play(1), play(0), play(10));
+    let (all_lost, none_lost, tenth_lost) =
+        (attempts_at_faulty(1), attempts_at_faulty(0), attempts_at_faulty(10));
     assert!(
         none_lost.0 * 3 <= all_lost.0,
         "attempts at the faulty worker: {none_lost:?} without loss, {all_lost:?} with all messages lost"
@@ -369,11 +370,12 @@
     assert_eq!(sends(&bench.arrive(1, 0, 10 * MS)).len(), 1);
 }
 
-/// Guards against a cohort without workers. Workers of a zone were assigned to the first cohort of the zone after a position
-/// drawn among the cohorts of all zones; full cohorts were skipped, so that the last cohort of a zone could get no worker. Its
-/// schedulers then refused most requests from the start although workers were idle (zone+mass, head-office-stock, seed 4: n274,
-/// n275 and n280 refused 64 of 77, 70 of 90 and 262 of 343 with `NoCapacity`; at its first refusal, n280 had 0 workers in its
-/// own share, 22 others in its zone and 170 in other zones). Workers of other cohorts get a job only after a report, which is
+/// Guards against a cohort without workers. To assign a worker, a position was drawn among the cohorts of all zones, and the
+/// worker got the first cohort of its own zone after this position that was not full. The last cohort of a zone could so get no
+/// worker. Its schedulers then refused most requests from the start although workers were idle. In the simulated incident
+/// zone+mass on the plan head-office-stock with seed 4, the schedulers n274, n275 and n280 refused 64 of 77, 70 of 90 and 262
+/// of 343 requests with `NoCapacity`. At its first refusal, n280 had 0 workers in its own share, 22 others in its zone and 170
+/// in other zones. A scheduler sends a job to a worker of another cohort only after a report of that worker, and the report is
 /// outdated by the next job.
 #[test]
 fn every_scheduler_can_send_to_a_worker_of_its_zone_even_if_the_zone_has_few() {
--- a/tests/regions/mod.rs
+++ b/tests/regions/mod.rs
@@ -54,7 +54,8 @@
     machine_relays: BTreeMap<(usize, usize), Relay>,
     /// Relay from each scheduler (rank) to each machine (id).
     learner_relays: BTreeMap<(usize, usize), Relay>,
-    _worker: Worker,
+    /// The stub worker of all schedulers.
+    worker: Worker,
     clients: Vec<Client>,
     versions_in_force: VersionsInForce,
     decided_versions: DecidedVersions,
@@ -73,11 +74,11 @@
     pub schedulers: [usize; 2],
     /// Pause between two requests of a client.
     pub pause: Duration,
-    /// Polls each scheduler's management port every 10 ms for the version in force. Otherwise that is read from the logs.
+    /// Polls each scheduler's management port every 10 ms for the version in force. If false, the version is read from the logs.
     pub poll_versions: bool,
     /// Maximum number of learners that may watch one machine.
     pub learners: usize,
-    /// A scheduler that has not heard of a majority for this time counts itself as behind.
+    /// Time without a message from a machine with a majority after which a scheduler counts itself as behind.
     pub silence: Duration,
 }
 
@@ -147,7 +148,7 @@
             accepted: Vec::new(),
             random,
             folder,
-            _worker: worker,
+            worker,
         };
         for id in 1..=MACHINES {
             regions.boot(id);
@@ -162,9 +163,9 @@
                 count,
                 &control,
                 setup.silence,
-                regions._worker.address,
+                regions.worker.address,
             );
-            regions._worker.set_scheduler(rank, scheduler.address);
+            regions.worker.set_scheduler(rank, scheduler.address);
             regions.clients.push(Client::start(rank, scheduler.address, setup.pause));
             if setup.poll_versions {
                 regions.observe_scheduler(rank, scheduler.management);
@@ -233,7 +234,8 @@
         panic!("{reason}\n{}\n{}", logs.join("\n"), scheduler_logs.join("\n"))
     }
 
-    /// Waits until the condition holds and returns the time taken. Fails with the description after the timeout.
+    /// Waits until the condition holds and returns the time taken. Fails after the timeout; the failure contains the
+    /// description of the condition.
     pub fn wait(
         &self,
         description: &str,
@@ -262,8 +264,8 @@
         let mut found = None;
         self.wait("the machines with a majority agree on a running leader", WAIT_TIMEOUT, || {
             let states: Vec<Value> = (1..=MACHINES).filter_map(|id| self.state(id)).collect();
-            let with = states.iter().filter(|state| state["majority"] == json!(true));
-            let leaders: BTreeSet<u64> = with.filter_map(|state| state["leader"].as_u64()).collect();
+            let with_majority = states.iter().filter(|state| state["majority"] == json!(true));
+            let leaders: BTreeSet<u64> = with_majority.filter_map(|state| state["leader"].as_u64()).collect();
             found = leaders.first().filter(|_| leaders.len() == 1).map(|id| *id as usize);
             found.is_some_and(|id| self.machines[id - 1].address.is_some())
         });
@@ -308,8 +310,8 @@
         }
     }
 
-    /// Sets two keys to `value` in one change at a machine; returns the time of acceptance. The change is retried without an
-    /// answer and on status 503, since a change that was not acknowledged may or may not have taken effect.
+    /// Sends [`quota_change`] with `value` to a machine; returns the time of acceptance. If there is no
+    /// answer or the status is 503, the change is sent again, since it may or may not have taken effect.
     pub fn change(&mut self, id: usize, value: u32) -> Instant {
         let since = Instant::now();
         loop {
@@ -373,12 +375,13 @@
 
     /// Records every 10 ms the version that a scheduler has in force.
     fn observe_scheduler(&mut self, rank: usize, management: std::net::SocketAddr) {
-        let (stopping, sightings) = (Arc::clone(&self.stopping), Arc::clone(&self.versions_in_force));
+        let (stopping, versions_in_force) = (Arc::clone(&self.stopping), Arc::clone(&self.versions_in_force));
         self.observers.push(thread::spawn(move || {
             while !stopping.load(Ordering::Relaxed) {
                 if let Some(seen) = in_force(management) {
-                    let mut sightings = sightings.lock().expect("a thread panicked while it held the lock");
-                    sightings.entry(rank).or_default().entry(seen).or_insert_with(Instant::now);
+                    let mut versions_in_force =
+                        versions_in_force.lock().expect("a thread panicked while it held the lock");
+                    versions_in_force.entry(rank).or_default().entry(seen).or_insert_with(Instant::now);
                 }
                 thread::sleep(Duration::from_millis(10));
             }
@@ -390,8 +393,9 @@
         if !self.setup.poll_versions {
             return self.schedulers[rank].in_force_at(seq);
         }
-        let sightings = self.versions_in_force.lock().expect("a thread panicked while it held the lock");
-        sightings.get(&rank)?.iter().filter(|(seen, _)| seen.0 >= seq).map(|(_, at)| *at).min()
+        let versions_in_force =
+            self.versions_in_force.lock().expect("a thread panicked while it held the lock");
+        versions_in_force.get(&rank)?.iter().filter(|(seen, _)| seen.0 >= seq).map(|(_, at)| *at).min()
     }
 
     /// Waits until the last accepted version or a later one is in force at these schedulers; returns the time taken.
@@ -401,9 +405,10 @@
         let mut seen = BTreeMap::new();
         while !ranks.iter().all(|rank| self.first_in_force(*rank, last.0).is_some()) {
             if since.elapsed() > IN_FORCE_TIMEOUT {
-                let sightings =
+                let versions_in_force =
                     self.versions_in_force.lock().expect("a thread panicked while it held the lock");
-                seen = sightings.iter().map(|(rank, all)| (*rank, all.keys().last().cloned())).collect();
+                seen =
+                    versions_in_force.iter().map(|(rank, all)| (*rank, all.keys().last().cloned())).collect();
             }
             if !seen.is_empty() {
                 self.fail(&format!(
@@ -450,9 +455,9 @@
         if let Some(lost) = self.accepted.iter().find(|seen| !decided.contains_key(seen)) {
             self.fail(&format!("version {lost:?} was acknowledged and is lost: {decided:?}"));
         }
-        let sightings =
+        let versions_in_force =
             self.versions_in_force.lock().expect("a thread panicked while it held the lock").clone();
-        for (rank, seen) in &sightings {
+        for (rank, seen) in &versions_in_force {
             if let Some((wrong, _)) = seen.iter().find(|(seen, _)| seen.0 > 0 && !decided.contains_key(seen))
             {
                 self.fail(&format!(
@@ -460,8 +465,8 @@
                 ));
             }
         }
-        let ends: Vec<(u64, Vec<String>)> = self.clients.drain(..).map(Client::finish).collect();
-        for (rank, (served, lost)) in ends.iter().enumerate() {
+        let client_results: Vec<(u64, Vec<String>)> = self.clients.drain(..).map(Client::finish).collect();
+        for (rank, (served, lost)) in client_results.iter().enumerate() {
             if *served == 0 || !lost.is_empty() {
                 self.fail(&format!("scheduler {rank} served {served} requests and lost {lost:?}"));
             }
