--- a/crates/rig/src/calibrate/command.rs
+++ b/crates/rig/src/calibrate/command.rs
@@ -2,8 +2,8 @@
 
 use super::compare::{Chance, Compared, chance, compare};
 use super::direct::{Direct, Measured, measure};
-use super::play::{Real, play};
 use super::process::program;
+use super::replay::{Real, replay};
 use calicolb_simulation::{Incident, Plan, Summary};
 use clap::Args;
 use serde::Serialize;
@@ -134,7 +134,7 @@
     for seed in how.seed..how.seed + how.seeds {
         let plan = Plan { seed, ..plan(how) };
         // What a start costs is the same for each.
-        let real = play(&program, &plan, seed == how.seed)?;
+        let real = replay(&program, &plan, seed == how.seed)?;
         plays.push(Played { seed, real, hollow: calicolb_simulation::simulate(&plan) });
     }
     let one = match how.seeds {
--- a/crates/rig/src/calibrate/compare.rs
+++ b/crates/rig/src/calibrate/compare.rs
@@ -2,7 +2,7 @@
 
 use super::counts::{FUNCTIONS, Flow, Traffic};
 use super::direct::Measured;
-use super::play::Real;
+use super::replay::Real;
 use calicolb_simulation::{Plan, Summary};
 use serde::Serialize;
 
@@ -126,12 +126,12 @@
         Row { function, real, hollow, messages_ratio, bytes_ratio, alike: none || both }
     };
     let heard = [
-        (Flow::TalkPassed, one.talk_heard),
-        (Flow::TroublesPassed, one.trouble_heard),
-        (Flow::GreetingsPassed, one.greeting_heard),
+        (Flow::LoadsPassed, one.talk_heard),
+        (Flow::FaultReportsPassed, one.trouble_heard),
+        (Flow::HellosPassed, one.greeting_heard),
         (Flow::WatchChanges, one.list_change),
-        (Flow::WatchWhole, one.whole_list),
-        (Flow::ProbesAsked, one.probe),
+        (Flow::WatchFullList, one.whole_list),
+        (Flow::ProbesRequested, one.probe),
     ];
     let seconds = sum(&|(real, _)| real.seconds * f64::from(real.processes)).max(1e-9);
     let heard =
--- a/crates/rig/src/calibrate/counts.rs
+++ b/crates/rig/src/calibrate/counts.rs
@@ -24,31 +24,41 @@
 #[serde(rename_all = "snake_case")]
 pub enum Flow {
     /// `GET /discovery/hosts`.
-    ListAsked,
+    #[serde(rename = "list_asked")]
+    ListRequested,
     /// The whole list, or that discovery is busy, whatever was asked.
     ListAnswered,
     /// `GET /discovery/hosts?watch=1&from=N`.
-    WatchAsked,
+    #[serde(rename = "watch_asked")]
+    WatchRequested,
     /// The head of a watch and the changes that it begins with.
     WatchOpened,
     /// Changes on an open watch.
     WatchChanges,
     /// The whole list on a watch, with the head if it begins with that.
-    WatchWhole,
+    #[serde(rename = "watch_whole")]
+    WatchFullList,
     /// The empty line on a watch on which nothing changes.
-    WatchBeats,
+    #[serde(rename = "watch_beats")]
+    WatchKeepalives,
     /// Loads that a scheduler has sent, and those that were passed on to another.
-    TalkSent,
+    #[serde(rename = "talk_sent")]
+    LoadsSent,
     /// See above.
-    TalkPassed,
+    #[serde(rename = "talk_passed")]
+    LoadsPassed,
     /// The same of greetings.
-    GreetingsSent,
+    #[serde(rename = "greetings_sent")]
+    HellosSent,
     /// See above.
-    GreetingsPassed,
+    #[serde(rename = "greetings_passed")]
+    HellosPassed,
     /// The same of troubles.
-    TroublesSent,
+    #[serde(rename = "troubles_sent")]
+    FaultReportsSent,
     /// See above.
-    TroublesPassed,
+    #[serde(rename = "troubles_passed")]
+    FaultReportsPassed,
     /// The same of questions how fresh a list is, and of the answers. The hollow fleet has none of these.
     FreshnessSent,
     /// See above.
@@ -58,7 +68,8 @@
     /// See above.
     UnknownPassed,
     /// `GET /metrics/load` or `GET /alive`.
-    ProbesAsked,
+    #[serde(rename = "probes_asked")]
+    ProbesRequested,
     /// The answers to these.
     ProbesAnswered,
     /// Attempts that reached a worker.
@@ -66,13 +77,17 @@
     /// What the worker answered at once.
     AttemptsAnswered,
     /// `DELETE /jobs/ID`.
-    GiveUpsSent,
+    #[serde(rename = "give_ups_sent")]
+    CancelsSent,
     /// The answers to these.
-    GiveUpsAnswered,
+    #[serde(rename = "give_ups_answered")]
+    CancelsAnswered,
     /// Call-backs of workers.
-    NewsSent,
+    #[serde(rename = "news_sent")]
+    CallbacksSent,
     /// The answers to these.
-    NewsAnswered,
+    #[serde(rename = "news_answered")]
+    CallbacksAnswered,
     /// Jobs that clients submitted.
     JobsSent,
     /// What clients were answered.
@@ -82,12 +97,12 @@
 /// The control functions, as the hollow fleet counts them: key, and the flows that make it up.
 pub const FUNCTIONS: [(&str, &[Flow]); 6] = [
     // As there: every call, and every whole list, however it comes.
-    ("list", &[Flow::ListAsked, Flow::ListAnswered, Flow::WatchAsked, Flow::WatchWhole]),
-    ("watch", &[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchBeats]),
-    ("talk", &[Flow::TalkSent, Flow::TalkPassed]),
-    ("greetings", &[Flow::GreetingsSent, Flow::GreetingsPassed]),
-    ("troubles", &[Flow::TroublesSent, Flow::TroublesPassed]),
-    ("probes", &[Flow::ProbesAsked, Flow::ProbesAnswered]),
+    ("list", &[Flow::ListRequested, Flow::ListAnswered, Flow::WatchRequested, Flow::WatchFullList]),
+    ("watch", &[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchKeepalives]),
+    ("talk", &[Flow::LoadsSent, Flow::LoadsPassed]),
+    ("greetings", &[Flow::HellosSent, Flow::HellosPassed]),
+    ("troubles", &[Flow::FaultReportsSent, Flow::FaultReportsPassed]),
+    ("probes", &[Flow::ProbesRequested, Flow::ProbesAnswered]),
 ];
 
 /// All that was counted.
--- a/crates/rig/src/calibrate/direct.rs
+++ b/crates/rig/src/calibrate/direct.rs
@@ -4,9 +4,9 @@
 use super::counts::{Counts, Flow, Traffic};
 use super::discovery::Capacity;
 use super::fleet::start;
+use super::harness::{Change, Harness};
 use super::process::{Process, Usage};
 use super::scenario;
-use super::stage::{Change, Stage};
 use calicolb::wire::worker_id;
 use calicolb_simulation::Plan;
 use serde::Serialize;
@@ -111,7 +111,7 @@
 }
 
 struct Scene {
-    stage: Stage,
+    harness: Harness,
     processes: Vec<Process>,
     /// Counts of the start.
     start: Counts,
@@ -125,24 +125,29 @@
         ..sizes.clone()
     });
     let (kinds, hosts) = scenario::workers(&outline, settings);
-    let mut stage =
-        Stage::new(kinds, hosts, scenario::ways(settings), Capacity::default(), sizes.schedulers as usize)?;
-    let processes = start(program, &mut stage, settings, 0..1, sizes.seed)?;
+    let mut harness = Harness::new(
+        kinds,
+        hosts,
+        scenario::worker_settings(settings),
+        Capacity::default(),
+        sizes.schedulers as usize,
+    )?;
+    let processes = start(program, &mut harness, settings, 0..1, sizes.seed)?;
     // The others answer its greeting.
     let zones = sizes.zones.max(1) as usize;
     for rank in 1..sizes.schedulers as usize {
-        stage.say(rank, 0, &[1, (rank % zones) as u8, 0]);
+        harness.send_as(rank, 0, &[1, (rank % zones) as u8, 0]);
     }
-    stage.run_until(Instant::now() + Duration::from_secs(1))?;
-    let start = stage.counts().clone();
-    Ok(Scene { stage, processes, start })
+    harness.run_until(Instant::now() + Duration::from_secs(1))?;
+    let start = harness.counts().clone();
+    Ok(Scene { harness, processes, start })
 }
 
 impl Scene {
     /// Watches the process for so long while nothing happens; gives what it uses in a second, in milliseconds.
     fn idle(&mut self, span: Duration) -> Result<(f64, f64), String> {
         let (before, begun) = (self.processes[0].usage(), Instant::now());
-        self.stage.run_until(begun + span)?;
+        self.harness.run_until(begun + span)?;
         let (after, spent) = (self.processes[0].usage(), begun.elapsed().as_secs_f64());
         Ok(((after.on_cpu_ms - before.on_cpu_ms) / spent, (after.cpu_ms - before.cpu_ms) / spent))
     }
@@ -153,18 +158,18 @@
         direct: &Direct,
         idle: (f64, f64),
         (flow, burst): (Flow, u32),
-        mut send: impl FnMut(&mut Stage, u32),
+        mut send: impl FnMut(&mut Harness, u32),
     ) -> Result<Cost, String> {
-        let counted = self.stage.counts().of(flow);
+        let counted = self.harness.counts().of(flow);
         let (before, begun) = (self.processes[0].usage(), Instant::now());
         for nr in 0..MESSAGES {
-            self.stage.run_until(begun + direct.span * (nr - nr % burst) / MESSAGES)?;
-            send(&mut self.stage, nr);
+            self.harness.run_until(begun + direct.span * (nr - nr % burst) / MESSAGES)?;
+            send(&mut self.harness, nr);
         }
         // What is still on its way is dealt with.
-        self.stage.run_until(Instant::now() + Duration::from_millis(300))?;
+        self.harness.run_until(Instant::now() + Duration::from_millis(300))?;
         let (after, spent) = (self.processes[0].usage(), begun.elapsed().as_secs_f64());
-        let sent = self.stage.counts().of(flow);
+        let sent = self.harness.counts().of(flow);
         let (messages, bytes) = (sent.messages - counted.messages, sent.bytes - counted.bytes);
         let each = |ms: f64, idle: f64| (ms - idle * spent) * 1e3 / messages.max(1) as f64;
         Ok(Cost {
@@ -185,7 +190,7 @@
         let mut settings = scenario::settings(&alone);
         settings["report"]["how"] = how.into();
         let scene = scene(program, &alone, &settings)?;
-        Ok((scene.processes[0].usage(), scene.stage.counts().of(Flow::ProbesAsked)))
+        Ok((scene.processes[0].usage(), scene.harness.counts().of(Flow::ProbesRequested)))
     };
     let ((with, probed), (without, _)) = (used("probe")?, used("answers")?);
     let each = |more: f64| more * 1e3 / probed.messages.max(1) as f64;
@@ -207,7 +212,7 @@
     let sizes = &direct.plan;
     let quiet = |sizes: Plan| -> Result<Memory, String> {
         let mut scene = scene(program, &sizes, &scenario::settings(&sizes))?;
-        scene.stage.run_until(Instant::now() + Duration::from_secs(2))?;
+        scene.harness.run_until(Instant::now() + Duration::from_secs(2))?;
         Ok(Memory::of(scene.processes[0].usage()))
     };
     let idle_one_tenant = quiet(Plan { tenants: 1, ..sizes.clone() })?;
@@ -219,32 +224,32 @@
     let idle = scene.idle(direct.idle)?;
     let memory = Memory::of(scene.processes[0].usage());
     let count = sizes.workers as usize;
-    let list_change = scene.cost(direct, idle, (Flow::WatchChanges, 1), |stage, nr| {
+    let list_change = scene.cost(direct, idle, (Flow::WatchChanges, 1), |harness, nr| {
         // Each line in turn is taken out of service, and in the next round put back.
         let (round, station) = (nr as usize / count, nr as usize % count);
         let health = if round.is_multiple_of(2) { "terminating" } else { "in_service" };
-        stage.change(Instant::now(), Change { station, health });
+        harness.change(Instant::now(), Change { station, health });
     })?;
-    let whole_list = scene.cost(direct, idle, (Flow::WatchWhole, 1), |stage, _| stage.renew())?;
+    let whole_list = scene.cost(direct, idle, (Flow::WatchFullList, 1), |harness, _| harness.renew())?;
     let ids: Vec<[u8; 4]> =
-        scene.stage.discovery().hosts().iter().map(|host| worker_id(&host.host).0.to_le_bytes()).collect();
+        scene.harness.discovery().hosts().iter().map(|host| worker_id(&host.host).0.to_le_bytes()).collect();
     let others = sizes.schedulers.max(2) - 1;
     let from = |nr: u32| 1 + (nr % others) as usize;
     let id = |nr: u32| ids[nr as usize % ids.len()];
-    let talk_heard = scene.cost(direct, idle, (Flow::TalkPassed, 1), |stage, nr| {
+    let talk_heard = scene.cost(direct, idle, (Flow::LoadsPassed, 1), |harness, nr| {
         let [a, b, c, d] = id(nr);
-        stage.say(from(nr), 0, &[1, 1, a, b, c, d, 8, 16]);
+        harness.send_as(from(nr), 0, &[1, 1, a, b, c, d, 8, 16]);
     })?;
-    let talk_heard_in_bursts = scene.cost(direct, idle, (Flow::TalkPassed, BURST), |stage, nr| {
+    let talk_heard_in_bursts = scene.cost(direct, idle, (Flow::LoadsPassed, BURST), |harness, nr| {
         let [a, b, c, d] = id(nr);
-        stage.say(from(nr), 0, &[1, 1, a, b, c, d, 8, 16]);
+        harness.send_as(from(nr), 0, &[1, 1, a, b, c, d, 8, 16]);
     })?;
-    let trouble_heard = scene.cost(direct, idle, (Flow::TroublesPassed, 1), |stage, nr| {
+    let trouble_heard = scene.cost(direct, idle, (Flow::FaultReportsPassed, 1), |harness, nr| {
         let [a, b, c, d] = id(nr);
-        stage.say(from(nr), 0, &[1, a, b, c, d, (nr % 2) as u8]);
+        harness.send_as(from(nr), 0, &[1, a, b, c, d, (nr % 2) as u8]);
     })?;
-    let greeting_heard = scene.cost(direct, idle, (Flow::GreetingsPassed, 1), |stage, nr| {
-        stage.say(from(nr), 0, &[1, (from(nr) % sizes.zones.max(1) as usize) as u8, 1]);
+    let greeting_heard = scene.cost(direct, idle, (Flow::HellosPassed, 1), |harness, nr| {
+        harness.send_as(from(nr), 0, &[1, (from(nr) % sizes.zones.max(1) as usize) as u8, 1]);
     })?;
     Ok(Measured {
         workers: sizes.workers,
@@ -255,9 +260,9 @@
         idle_cpu_ms_per_s_by_ticks: idle.1,
         idle_one_tenant,
         idle_one_worker,
-        start_watch: scene.start.sum(&[Flow::WatchAsked, Flow::WatchOpened, Flow::WatchChanges]),
-        start_greeting: scene.start.of(Flow::GreetingsSent),
-        start_greeting_answers: scene.start.of(Flow::GreetingsPassed),
+        start_watch: scene.start.sum(&[Flow::WatchRequested, Flow::WatchOpened, Flow::WatchChanges]),
+        start_greeting: scene.start.of(Flow::HellosSent),
+        start_greeting_answers: scene.start.of(Flow::HellosPassed),
         start_cpu_ms,
         list_change,
         whole_list,
--- a/crates/rig/src/calibrate/fleet.rs
+++ b/crates/rig/src/calibrate/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program among the stand-ins: their configuration, their start, and their ends.
 
+use super::harness::Harness;
 use super::process::{Process, Usage};
-use super::stage::Stage;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -19,8 +19,8 @@
 /// # Errors
 ///
 /// The relay's addresses cannot be had.
-pub fn configuration(stage: &Stage, settings: &Value, rank: usize, seed: u64) -> Result<Value, String> {
-    let (peers, all) = stage.relay().addresses().map_err(|error| error.to_string())?;
+pub fn configuration(harness: &Harness, settings: &Value, rank: usize, seed: u64) -> Result<Value, String> {
+    let (peers, all) = harness.relay().addresses().map_err(|error| error.to_string())?;
     let mut settings = settings.clone();
     let zones = settings["azs"].as_array().cloned().unwrap_or_default();
     settings["rank"] = json!(rank);
@@ -28,13 +28,13 @@
     Ok(json!({
         "name": format!("n{rank}"),
         "listen": "127.0.0.1:0",
-        "discovery": stage.discovery_at().to_string(),
+        "discovery": harness.discovery_at().to_string(),
         "seed": format!("{:016x}", seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(rank as u64)),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
         "peer_listen": "127.0.0.1:0",
         "peers": peers.iter().map(ToString::to_string).collect::<Vec<_>>(),
         "peers_all": all.to_string(),
-        "known": stage.discovery().list(),
+        "known": harness.discovery().list(),
         "settings": settings,
     }))
 }
@@ -46,15 +46,15 @@
 /// A process ends, or does not serve or watch in time.
 pub fn start(
     program: &Path,
-    stage: &mut Stage,
+    harness: &mut Harness,
     settings: &Value,
     ranks: std::ops::Range<usize>,
     seed: u64,
 ) -> Result<Vec<Process>, String> {
     let mut processes = Vec::new();
-    let watches = stage.watches();
+    let watches = harness.watches();
     for rank in ranks.clone() {
-        processes.push(Process::start(program, &configuration(stage, settings, rank, seed)?)?);
+        processes.push(Process::start(program, &configuration(harness, settings, rank, seed)?)?);
     }
     let until = Instant::now() + PATIENCE;
     let mut waiting: Vec<usize> = (0..processes.len()).collect();
@@ -62,11 +62,11 @@
         if Instant::now() >= until {
             return Err(format!("{} schedulers do not serve", waiting.len()));
         }
-        stage.run_until(Instant::now() + Duration::from_millis(10))?;
+        harness.run_until(Instant::now() + Duration::from_millis(10))?;
         let mut left = Vec::new();
         for nr in waiting {
             if processes[nr].look()? {
-                stage.home(ranks.start + nr, processes[nr].clients, processes[nr].peers);
+                harness.set_address(ranks.start + nr, processes[nr].clients, processes[nr].peers);
             } else {
                 left.push(nr);
             }
@@ -74,8 +74,8 @@
         waiting = left;
     }
     let wanted = watches + processes.len();
-    if !stage.run_while(WATCHED, |stage| stage.watches() < wanted)? {
-        return Err(format!("{} of {wanted} schedulers watch the list", stage.watches()));
+    if !harness.run_while(WATCHED, |harness| harness.watches() < wanted)? {
+        return Err(format!("{} of {wanted} schedulers watch the list", harness.watches()));
     }
     Ok(processes)
 }
--- a/crates/rig/src/calibrate/stage.rs
+++ b/crates/rig/src/calibrate/harness.rs
@@ -1,12 +1,12 @@
 //! The sockets of the stand-ins: one thread and one poll for discovery, all workers, all clients and the relay.
 
 use super::counts::{Counts, Flow};
-use super::crew::{Crew, Effect, Kind, Ways};
 use super::discovery::{Answer, BEAT, Capacity, Discovery, Host};
 use super::message::{self, LIMIT, Message};
 use super::relay::Relay;
 use super::submitters::{Outcome, Submission, Submitters};
 use super::timers::Timers;
+use super::worker_pool::{Effect, WorkerPool, WorkerSettings, WorkerSpec};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use std::collections::{HashMap, VecDeque};
@@ -75,7 +75,7 @@
 const NEWS_TRIES: u32 = 10;
 
 /// See the head of this file.
-pub struct Stage {
+pub struct Harness {
     poll: Poll,
     next: usize,
     pub(super) conns: HashMap<usize, Conn>,
@@ -84,7 +84,7 @@
     relay: Relay,
     discovery: Discovery,
     discovery_at: SocketAddr,
-    crew: Crew,
+    worker_pool: WorkerPool,
     backs: HashMap<(usize, usize), Back>,
     pub(super) submitters: Submitters,
     /// By rank: where the scheduler takes clients and call-backs.
@@ -94,15 +94,15 @@
     pub news_dropped: u64,
 }
 
-impl Stage {
+impl Harness {
     /// Opens the sockets. The addresses in `hosts` are filled in; one stands for the worker of the same place in `kinds`.
     pub fn new(
-        kinds: Vec<Kind>,
+        kinds: Vec<WorkerSpec>,
         mut hosts: Vec<Host>,
-        ways: Ways,
+        worker_settings: WorkerSettings,
         capacity: Capacity,
         schedulers: usize,
-    ) -> Result<Stage, String> {
+    ) -> Result<Harness, String> {
         let told = |error: std::io::Error| error.to_string();
         let poll = Poll::new().map_err(told)?;
         let mut listeners = HashMap::new();
@@ -121,7 +121,7 @@
         }
         let relay = Relay::new(poll.registry(), next, schedulers).map_err(told)?;
         let now = Instant::now();
-        Ok(Stage {
+        Ok(Harness {
             poll,
             next: next + schedulers + 1,
             conns: HashMap::new(),
@@ -130,7 +130,7 @@
             relay,
             discovery: Discovery::new(hosts, capacity, now),
             discovery_at,
-            crew: Crew::new(kinds, ways),
+            worker_pool: WorkerPool::new(kinds, worker_settings),
             backs: HashMap::new(),
             submitters: Submitters::new(schedulers),
             homes: vec![None; schedulers],
@@ -150,8 +150,8 @@
     }
 
     /// See above.
-    pub fn crew(&self) -> &Crew {
-        &self.crew
+    pub fn worker_pool(&self) -> &WorkerPool {
+        &self.worker_pool
     }
 
     /// See above.
@@ -165,9 +165,9 @@
     }
 
     /// A scheduler of this rank listens here from now on; `None`: it has gone.
-    pub fn home(&mut self, rank: usize, clients: Option<SocketAddr>, peers: Option<SocketAddr>) {
+    pub fn set_address(&mut self, rank: usize, clients: Option<SocketAddr>, peers: Option<SocketAddr>) {
         self.homes[rank] = clients;
-        self.relay.home(rank, peers, &mut self.counts);
+        self.relay.set_address(rank, peers, &mut self.counts);
     }
 
     /// Clients submit these jobs, each so long after `from`.
@@ -191,12 +191,12 @@
     /// Writes the whole list, under a new version, on every watch.
     pub fn renew(&mut self) {
         let chunk = self.discovery.renew();
-        self.broadcast(Flow::WatchWhole, &chunk);
+        self.broadcast(Flow::WatchFullList, &chunk);
     }
 
     /// Sends a datagram to the scheduler of one rank as if that of another had.
-    pub fn say(&mut self, from: usize, to: usize, body: &[u8]) {
-        self.relay.say(from, to, body, &mut self.counts);
+    pub fn send_as(&mut self, from: usize, to: usize, body: &[u8]) {
+        self.relay.send_as(from, to, body, &mut self.counts);
     }
 
     /// Watches that are open.
@@ -228,7 +228,7 @@
     }
 
     /// Serves until the condition holds; tells whether it did in time.
-    pub fn run_while(&mut self, most: Duration, go: impl Fn(&Stage) -> bool) -> Result<bool, String> {
+    pub fn run_while(&mut self, most: Duration, go: impl Fn(&Harness) -> bool) -> Result<bool, String> {
         let until = Instant::now() + most;
         while go(self) {
             if Instant::now() >= until {
@@ -248,7 +248,7 @@
             Due::Beat(token) => self.beat(now, token),
             Due::Reply(token, answer) => self.reply(now, token, answer),
             Due::Wake(number) => {
-                let effects = self.crew.wake(now, number);
+                let effects = self.worker_pool.wake(now, number);
                 self.follow(effects);
             }
             Due::Submit(job) => self.begin_job(now, job),
@@ -366,7 +366,7 @@
             Role::Discovery(_) => self.asked(now, token, &message),
             Role::Worker(at) => self.job_came(now, token, at, &message),
             Role::News(station, rank) => {
-                self.counts.add(Flow::NewsAnswered, message.length);
+                self.counts.add(Flow::CallbacksAnswered, message.length);
                 self.news_answered(token, station, rank, &message);
             }
             Role::Client(rank) => self.job_answered(now, token, rank, &message),
@@ -385,5 +385,5 @@
     }
 }
 
-// What the parts of the stage do with what comes.
-mod parts;
+// What the parts of the harness do with what comes.
+mod handlers;
--- a/crates/rig/src/calibrate/stage/parts.rs
+++ b/crates/rig/src/calibrate/harness/handlers.rs
@@ -1,14 +1,14 @@
-//! Discovery, workers and their call-backs, as the stage serves them.
+//! Discovery, workers and their call-backs, as the harness serves them.
 
 use super::*;
-use crate::calibrate::crew::{Job, Verdict};
+use crate::calibrate::worker_pool::{Job, Verdict};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-impl Stage {
+impl Harness {
     /// A scheduler asks discovery.
     pub(super) fn asked(&mut self, now: Instant, token: usize, message: &Message) {
         let watch = message.target.contains("watch=1");
-        let flow = if watch { Flow::WatchAsked } else { Flow::ListAsked };
+        let flow = if watch { Flow::WatchRequested } else { Flow::ListRequested };
         self.counts.add(flow, message.length);
         let (at, answer) = self.discovery.call(now, &message.target);
         self.set(at, Due::Reply(token, answer));
@@ -21,7 +21,7 @@
                 let Some(conn) = self.conns.get_mut(&token) else { return };
                 conn.role = Role::Discovery(Some(now));
                 self.set(now + BEAT, Due::Beat(token));
-                (if whole { Flow::WatchWhole } else { Flow::WatchOpened }, bytes)
+                (if whole { Flow::WatchFullList } else { Flow::WatchOpened }, bytes)
             }
         };
         if self.conns.contains_key(&token) {
@@ -39,7 +39,7 @@
         }
         *last = now;
         let bytes = Discovery::beat();
-        self.counts.add(Flow::WatchBeats, bytes.len());
+        self.counts.add(Flow::WatchKeepalives, bytes.len());
         self.set(now + BEAT, Due::Beat(token));
         self.put(token, &bytes);
     }
@@ -62,7 +62,7 @@
 
     /// The list changes, and the worker with it.
     pub(super) fn turn(&mut self, now: Instant, change: Change) {
-        let name = self.crew.name(change.station).to_owned();
+        let name = self.worker_pool.name(change.station).to_owned();
         let Some(mut host) = self.discovery.hosts().iter().find(|host| host.host == name).cloned() else {
             return;
         };
@@ -72,7 +72,7 @@
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             host.born_ms = unix.as_millis() as u64;
         }
-        self.crew.turn(change.station, !anew, anew.then_some(now));
+        self.worker_pool.turn(change.station, !anew, anew.then_some(now));
         let chunk = self.discovery.change(host);
         self.broadcast(Flow::WatchChanges, &chunk);
     }
@@ -81,33 +81,33 @@
     pub(super) fn job_came(&mut self, now: Instant, token: usize, at: usize, message: &Message) {
         match (message.method.as_str(), message.target.as_str()) {
             ("GET", "/metrics/load" | "/alive") => {
-                self.counts.add(Flow::ProbesAsked, message.length);
-                let report = self.crew.report(now, at).to_string();
+                self.counts.add(Flow::ProbesRequested, message.length);
+                let report = self.worker_pool.report(now, at).to_string();
                 let answer =
                     message::write_response(200, "OK", "Content-Type: application/json\r\n", &report);
                 self.counts.add(Flow::ProbesAnswered, answer.len());
                 self.put(token, &answer);
             }
             ("DELETE", target) => {
-                self.counts.add(Flow::GiveUpsSent, message.length);
+                self.counts.add(Flow::CancelsSent, message.length);
                 let id = target.strip_prefix("/jobs/").unwrap_or_default();
-                let (found, effects) = self.crew.give_up(now, at, id);
+                let (found, effects) = self.worker_pool.give_up(now, at, id);
                 let answer = match found {
                     true => message::write_response(200, "OK", "", ""),
                     false => message::write_response(404, "Not Found", "", ""),
                 };
-                self.counts.add(Flow::GiveUpsAnswered, answer.len());
+                self.counts.add(Flow::CancelsAnswered, answer.len());
                 self.put(token, &answer);
                 self.follow(effects);
             }
             _ => {
                 self.counts.add(Flow::AttemptsSent, message.length);
                 let (answer, effects) = match job(message) {
-                    Some(job) => match self.crew.arrive(now, at, job) {
-                        (Verdict::Taken, effects) => {
+                    Some(job) => match self.worker_pool.arrive(now, at, job) {
+                        (Verdict::Accepted, effects) => {
                             (message::write_response(202, "Accepted", "", ""), effects)
                         }
-                        (Verdict::Full, effects) => {
+                        (Verdict::Rejected, effects) => {
                             let unstarted = "Not-Started: 1\r\n";
                             (message::write_response(503, "Service Unavailable", unstarted, ""), effects)
                         }
@@ -126,7 +126,7 @@
         for effect in effects {
             match effect {
                 Effect::Wake(at, number) => self.set(at, Due::Wake(number)),
-                Effect::News(station, id, body) => {
+                Effect::Callback(station, id, body) => {
                     let Some(rank) = self.submitters.rank_of(&id) else {
                         self.news_dropped += 1;
                         continue;
@@ -164,7 +164,7 @@
         if let Some(back) = self.backs.get_mut(&(station, rank)) {
             (back.token, back.busy) = (Some(token), true);
         }
-        self.counts.add(Flow::NewsSent, bytes.len());
+        self.counts.add(Flow::CallbacksSent, bytes.len());
         self.put(token, &bytes);
     }
 
--- a/crates/rig/src/calibrate/mod.rs
+++ b/crates/rig/src/calibrate/mod.rs
@@ -5,15 +5,15 @@
 //! | `message` | HTTP messages, read and written |
 //! | `counts` | messages and bytes, by flow and by control function |
 //! | `discovery` | the list and its watches, without sockets |
-//! | `crew` | the workers and what they saw, without sockets |
+//! | `worker_pool` | the workers and what they saw, without sockets |
 //! | `relay` | the datagrams between schedulers |
 //! | `submitters` | the clients |
-//! | `stage` | the sockets of all of these, on one thread |
+//! | `harness` | the sockets of all of these, on one thread |
 //! | `timers` | what is to be done when |
 //! | `process` | the program, and what the kernel says it uses |
 //! | `fleet` | several processes: configuration, start |
 //! | `scenario` | a plan of the hollow fleet, as settings, workers and requests |
-//! | `play` | the plan played by processes |
+//! | `replay` | the plan played by processes |
 //! | `compare` | the hollow fleet held against it |
 //! | `command` | the command line |
 //! | `direct` | one process at the letter's size, and what each message costs it |
@@ -21,15 +21,15 @@
 pub mod command;
 pub mod compare;
 pub mod counts;
-pub mod crew;
 pub mod direct;
 pub mod discovery;
 pub mod fleet;
+pub mod harness;
 pub mod message;
-pub mod play;
 pub mod process;
 pub mod relay;
+pub mod replay;
 pub mod scenario;
-pub mod stage;
 pub mod submitters;
 mod timers;
+pub mod worker_pool;
--- a/crates/rig/src/calibrate/relay.rs
+++ b/crates/rig/src/calibrate/relay.rs
@@ -16,9 +16,9 @@
 /// What a datagram is, by its shape.
 pub fn flows(body: &[u8]) -> (Flow, Flow) {
     match body.len() {
-        3 => (Flow::GreetingsSent, Flow::GreetingsPassed),
-        6 => (Flow::TroublesSent, Flow::TroublesPassed),
-        8..=11 => (Flow::TalkSent, Flow::TalkPassed),
+        3 => (Flow::HellosSent, Flow::HellosPassed),
+        6 => (Flow::FaultReportsSent, Flow::FaultReportsPassed),
+        8..=11 => (Flow::LoadsSent, Flow::LoadsPassed),
         _ if Message::decode(body).is_some() => (Flow::FreshnessSent, Flow::FreshnessPassed),
         _ => (Flow::UnknownSent, Flow::UnknownPassed),
     }
@@ -60,7 +60,7 @@
     }
 
     /// A scheduler listens here from now on; `None`: it has gone.
-    pub fn home(&mut self, rank: usize, at: Option<SocketAddr>, counts: &mut Counts) {
+    pub fn set_address(&mut self, rank: usize, at: Option<SocketAddr>, counts: &mut Counts) {
         self.homes[rank] = at;
         for (from, to, body) in std::mem::take(&mut self.early) {
             self.pass(from, to, body, counts);
@@ -104,7 +104,7 @@
     }
 
     /// Sends a datagram to the scheduler of one rank as if that of another had: only what is passed on is counted.
-    pub fn say(&mut self, from: usize, to: usize, body: &[u8], counts: &mut Counts) {
+    pub fn send_as(&mut self, from: usize, to: usize, body: &[u8], counts: &mut Counts) {
         let Some(home) = self.homes[to] else { return };
         if self.sockets[from].send_to(body, home).is_ok() {
             counts.add(flows(body).1, body.len());
--- a/crates/rig/src/calibrate/play.rs
+++ b/crates/rig/src/calibrate/replay.rs
@@ -1,13 +1,13 @@
 //! A plan of the hollow fleet, played by real processes of the program, and what was measured of them.
 
 use super::counts::{Counts, Flow, Traffic};
-use super::crew::Seen;
 use super::discovery::Capacity;
 use super::fleet::{Spread, start, usages};
+use super::harness::Harness;
 use super::process::{Process, Usage, datagrams_dropped};
 use super::scenario;
-use super::stage::Stage;
 use super::submitters::{Outcome, Told};
+use super::worker_pool::Seen;
 use calicolb_simulation::Plan;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -106,8 +106,12 @@
     seen: Seen,
 }
 
-fn snapshot(stage: &Stage, processes: &[Process]) -> Snapshot {
-    Snapshot { counts: stage.counts().clone(), usages: usages(processes), seen: stage.crew().seen() }
+fn snapshot(harness: &Harness, processes: &[Process]) -> Snapshot {
+    Snapshot {
+        counts: harness.counts().clone(),
+        usages: usages(processes),
+        seen: harness.worker_pool().seen(),
+    }
 }
 
 /// Plays the plan by processes of this program. It takes the plan's warm-up and seconds, and as long after these as the
@@ -116,26 +120,27 @@
 /// # Errors
 ///
 /// The program does not start or serve, or a socket cannot be had.
-pub fn play(program: &Path, plan: &Plan, anew: bool) -> Result<Real, String> {
+pub fn replay(program: &Path, plan: &Plan, anew: bool) -> Result<Real, String> {
     let outline = calicolb_simulation::workload(plan);
     let settings = scenario::settings(plan);
     let (kinds, hosts) = scenario::workers(&outline, &settings);
     let ranks = plan.schedulers as usize;
-    let mut stage = Stage::new(kinds, hosts, scenario::ways(&settings), Capacity::default(), ranks)?;
-    let mut processes = start(program, &mut stage, &settings, 0..ranks, plan.seed)?;
+    let mut harness =
+        Harness::new(kinds, hosts, scenario::worker_settings(&settings), Capacity::default(), ranks)?;
+    let mut processes = start(program, &mut harness, &settings, 0..ranks, plan.seed)?;
     let (jobs, counting) = scenario::submissions(&outline, &settings);
     let aims: Vec<Duration> = jobs.iter().map(|job| job.aim).collect();
     let last = jobs.iter().map(|job| job.at + job.patience).max().unwrap_or_default();
     let begun = Instant::now();
-    stage.submit(begun, jobs);
+    harness.submit(begun, jobs);
     let micros = Duration::from_micros;
-    stage.run_until(begun + micros(outline.measured_span.0))?;
-    let (before, from) = (snapshot(&stage, &processes), Instant::now());
-    stage.run_until(begun + micros(outline.measured_span.1))?;
-    let (after, spent) = (snapshot(&stage, &processes), from.elapsed().as_secs_f64());
+    harness.run_until(begun + micros(outline.measured_span.0))?;
+    let (before, from) = (snapshot(&harness, &processes), Instant::now());
+    harness.run_until(begun + micros(outline.measured_span.1))?;
+    let (after, spent) = (snapshot(&harness, &processes), from.elapsed().as_secs_f64());
     // Until the last answer: none is later than its client's patience and some slack.
     let left = (begun + last + Duration::from_secs(10)).saturating_duration_since(Instant::now());
-    stage.run_while(left, |stage| stage.outcomes().iter().any(Option::is_none))?;
+    harness.run_while(left, |harness| harness.outcomes().iter().any(Option::is_none))?;
     for process in &mut processes {
         process.look()?;
     }
@@ -146,23 +151,23 @@
         seconds: spent,
         ..Real::default()
     };
-    real.tell_jobs(stage.outcomes(), &counting, &aims);
+    real.tell_jobs(harness.outcomes(), &counting, &aims);
     real.tell_use(&before, &after, spent);
-    let all = stage.crew().seen();
+    let all = harness.worker_pool().seen();
     (real.doubled, real.overlapping, real.running_peak) = (all.doubled, all.overlapping, all.running_peak);
     if anew {
-        real.restart = Some(restart(program, &mut stage, &settings, &mut processes, plan.seed)?);
+        real.restart = Some(restart(program, &mut harness, &settings, &mut processes, plan.seed)?);
     }
-    let counts = stage.counts();
+    let counts = harness.counts();
     real.datagram_longest = counts.datagram_longest;
     real.datagrams_unknown = counts.of(Flow::UnknownSent).messages;
-    let (each, to_all) = stage.relay().addresses().map_err(|error| error.to_string())?;
+    let (each, to_all) = harness.relay().addresses().map_err(|error| error.to_string())?;
     let homes = processes.iter().filter_map(|process| process.peers);
     let ports: Vec<u16> =
         each.into_iter().chain([to_all]).chain(homes).map(|at: SocketAddr| at.port()).collect();
     real.datagrams_dropped = datagrams_dropped(&ports);
-    real.news_dropped = stage.news_dropped;
-    real.calls_turned_away = stage.discovery().turned_away;
+    real.news_dropped = harness.news_dropped;
+    real.calls_turned_away = harness.discovery().turned_away;
     Ok(real)
 }
 
@@ -205,25 +210,25 @@
 /// Kills the last process and starts it anew; what that adds to what the fleet exchanges at rest.
 fn restart(
     program: &Path,
-    stage: &mut Stage,
+    harness: &mut Harness,
     settings: &serde_json::Value,
     processes: &mut Vec<Process>,
     seed: u64,
 ) -> Result<Restart, String> {
     let rank = processes.len() - 1;
-    stage.run_until(Instant::now() + REST)?;
-    let begun = stage.counts().clone();
-    stage.run_until(Instant::now() + START)?;
-    let rest = stage.counts().since(&begun).by_function();
+    harness.run_until(Instant::now() + REST)?;
+    let begun = harness.counts().clone();
+    harness.run_until(Instant::now() + START)?;
+    let rest = harness.counts().since(&begun).by_function();
     drop(processes.pop());
-    stage.home(rank, None, None);
-    stage.run_until(Instant::now() + REST)?;
-    let (before, from) = (stage.counts().clone(), Instant::now());
-    let anew = start(program, stage, settings, rank..rank + 1, seed ^ 1)?;
+    harness.set_address(rank, None, None);
+    harness.run_until(Instant::now() + REST)?;
+    let (before, from) = (harness.counts().clone(), Instant::now());
+    let anew = start(program, harness, settings, rank..rank + 1, seed ^ 1)?;
     let used = usages(&anew);
     processes.extend(anew);
-    stage.run_until(from + START)?;
-    let counts = stage.counts().since(&before);
+    harness.run_until(from + START)?;
+    let counts = harness.counts().since(&before);
     let mut traffic = counts.by_function();
     for (name, sum) in &mut traffic {
         let at_rest = rest.get(name).copied().unwrap_or_default();
@@ -231,8 +236,14 @@
         sum.bytes = sum.bytes.saturating_sub(at_rest.bytes);
     }
     // Its greeting goes out once; each of the others answers, and hears the greeting: that is their traffic, not its own.
-    let own = [Flow::WatchAsked, Flow::WatchOpened, Flow::WatchWhole, Flow::ListAsked, Flow::ListAnswered];
-    let bytes = counts.sum(&own).bytes + counts.of(Flow::GreetingsSent).bytes;
+    let own = [
+        Flow::WatchRequested,
+        Flow::WatchOpened,
+        Flow::WatchFullList,
+        Flow::ListRequested,
+        Flow::ListAnswered,
+    ];
+    let bytes = counts.sum(&own).bytes + counts.of(Flow::HellosSent).bytes;
     let used = used.first().copied().unwrap_or_default();
     Ok(Restart { traffic, bytes, resident_kib: used.resident_kib, on_cpu_ms: used.on_cpu_ms })
 }
--- a/crates/rig/src/calibrate/scenario.rs
+++ b/crates/rig/src/calibrate/scenario.rs
@@ -1,8 +1,8 @@
 //! A plan of the hollow fleet as real processes and stand-ins play it: the same settings, workers and requests.
 
-use super::crew::{Kind, Ways};
 use super::discovery::Host;
 use super::submitters::Submission;
+use super::worker_pool::{WorkerSettings, WorkerSpec};
 use calicolb_simulation::{Plan, Workload};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
     settings
 }
 
-/// The workers, and their lines on the list; where each listens is filled in by the stage.
-pub fn workers(outline: &Workload, settings: &Value) -> (Vec<Kind>, Vec<Host>) {
+/// The workers, and their lines on the list; where each listens is filled in by the harness.
+pub fn workers(outline: &Workload, settings: &Value) -> (Vec<WorkerSpec>, Vec<Host>) {
     let class = |kind: usize| settings["kinds"][kind].as_str().unwrap_or_default().to_owned();
-    let kinds = outline.workers.iter().map(|worker| Kind {
+    let kinds = outline.workers.iter().map(|worker| WorkerSpec {
         name: worker.name.clone(),
         slots: worker.slots,
         memory: 0.0,
@@ -43,11 +43,11 @@
 }
 
 /// What workers go by, as the settings say.
-pub fn ways(settings: &Value) -> Ways {
+pub fn worker_settings(settings: &Value) -> WorkerSettings {
     let micros = |value: &Value| Duration::from_micros(value.as_u64().unwrap_or(0));
     let fields = settings["report"]["fields"].as_array().cloned().unwrap_or_default();
     let answers = settings["report"]["how"] == "answers";
-    Ways {
+    WorkerSettings {
         cold: micros(&settings["rules"]["cold_us"]),
         start_speed: settings["rules"]["start_capacity"].as_f64().unwrap_or(1.0),
         tells_start: settings["extra"]["tells_start"] == true,
--- a/crates/rig/src/calibrate/submitters.rs
+++ b/crates/rig/src/calibrate/submitters.rs
@@ -1,9 +1,9 @@
 //! Stand-in clients: who submits what to which scheduler, on which connection, and what came of it.
 
 use super::counts::Flow;
-use super::crew::result;
+use super::harness::{Due, Harness, Role};
 use super::message::{self, Message};
-use super::stage::{Due, Role, Stage};
+use super::worker_pool::result;
 use mio::net::TcpStream;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -111,7 +111,7 @@
     }
 }
 
-impl Stage {
+impl Harness {
     /// A client submits a job.
     pub(super) fn begin_job(&mut self, now: Instant, nr: usize) {
         self.submitters.begun[nr] = Some(now);
--- a/crates/rig/src/calibrate/crew.rs
+++ b/crates/rig/src/calibrate/worker_pool.rs
@@ -15,7 +15,7 @@
 
 /// What one stand-in worker is.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct WorkerSpec {
     /// Its name on the list.
     pub name: String,
     /// Jobs of one slot that it runs at once.
@@ -32,7 +32,7 @@
 
 /// What all of them go by.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct WorkerSettings {
     /// For so long after its start a worker is cold.
     pub cold: Duration,
     /// Its speed at its start; it grows to 1 in a line.
@@ -62,8 +62,8 @@
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// A call-back of this worker, about this request, with this body.
-    News(usize, String, String),
-    /// [`Crew::wake`] is to be called at this time, with this number.
+    Callback(usize, String, String),
+    /// [`WorkerPool::wake`] is to be called at this time, with this number.
     Wake(Instant, u64),
 }
 
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It is taken.
-    Taken,
+    Accepted,
     /// It is turned away unstarted.
-    Full,
+    Rejected,
 }
 
 struct Run {
@@ -84,7 +84,7 @@
 }
 
 struct Station {
-    kind: Kind,
+    kind: WorkerSpec,
     draining: bool,
     running: Vec<Run>,
     queue: VecDeque<Job>,
@@ -140,10 +140,10 @@
 }
 
 /// See the head of this file.
-pub struct Crew {
+pub struct WorkerPool {
     /// Reports are made at intervals from here on.
     epoch: Instant,
-    ways: Ways,
+    worker_settings: WorkerSettings,
     stations: Vec<Station>,
     /// Where attempts of a request are that have neither ended nor been given up.
     open: HashMap<String, Vec<usize>>,
@@ -152,9 +152,9 @@
     seen: Seen,
 }
 
-impl Crew {
+impl WorkerPool {
     /// These workers.
-    pub fn new(kinds: Vec<Kind>, ways: Ways) -> Crew {
+    pub fn new(kinds: Vec<WorkerSpec>, worker_settings: WorkerSettings) -> WorkerPool {
         let station = |kind| Station {
             kind,
             draining: false,
@@ -162,9 +162,9 @@
             queue: VecDeque::new(),
             loads: VecDeque::new(),
         };
-        Crew {
+        WorkerPool {
             epoch: Instant::now(),
-            ways,
+            worker_settings,
             stations: kinds.into_iter().map(station).collect(),
             open: HashMap::new(),
             runs: HashMap::new(),
@@ -204,11 +204,11 @@
             if self.open.get(&job.id).is_some_and(Vec::is_empty) {
                 self.open.remove(&job.id);
             }
-            return (Verdict::Full, Vec::new());
+            return (Verdict::Rejected, Vec::new());
         }
         open.push(at);
         station.queue.push_back(job);
-        (Verdict::Taken, self.begin(now, at))
+        (Verdict::Accepted, self.begin(now, at))
     }
 
     /// Starts what fits, in order of arrival.
@@ -224,17 +224,24 @@
                 break;
             }
             let Some(job) = station.queue.pop_front() else { break };
-            let age = station.kind.born.map_or(self.ways.cold, |born| now.saturating_duration_since(born));
-            let part = (age.as_secs_f64() / self.ways.cold.as_secs_f64().max(1e-9)).min(1.0);
-            let speed = self.ways.start_speed + (1.0 - self.ways.start_speed) * part;
+            let age = station
+                .kind
+                .born
+                .map_or(self.worker_settings.cold, |born| now.saturating_duration_since(born));
+            let part = (age.as_secs_f64() / self.worker_settings.cold.as_secs_f64().max(1e-9)).min(1.0);
+            let speed = self.worker_settings.start_speed + (1.0 - self.worker_settings.start_speed) * part;
             let ends = now + job.work.div_f64((speed * station.kind.speed).max(0.01));
             self.next += 1;
             self.seen.started += 1;
             self.runs.insert(self.next, at);
-            if self.ways.tells_start {
+            if self.worker_settings.tells_start {
                 effects.push(news(at, &station.kind.name, &job.id, "started", &[]));
             }
-            let wake = if self.ways.progress.is_zero() { ends } else { ends.min(now + self.ways.progress) };
+            let wake = if self.worker_settings.progress.is_zero() {
+                ends
+            } else {
+                ends.min(now + self.worker_settings.progress)
+            };
             effects.push(Effect::Wake(wake, self.next));
             station.running.push(Run { job, number: self.next, begun: now, ends });
         }
@@ -247,7 +254,7 @@
     pub fn wake(&mut self, now: Instant, number: u64) -> Vec<Effect> {
         // One that was given up in between is gone.
         let Some(&at) = self.runs.get(&number) else { return Vec::new() };
-        let progress = self.ways.progress;
+        let progress = self.worker_settings.progress;
         let station = &mut self.stations[at];
         let Some(nr) = station.running.iter().position(|run| run.number == number) else { return Vec::new() };
         let run = &station.running[nr];
@@ -263,7 +270,7 @@
         self.forget(&run.job.id, at);
         let station = &self.stations[at];
         let mut more = vec![("result", json!(result(&run.job.id)))];
-        if !self.ways.report.is_empty() {
+        if !self.worker_settings.report.is_empty() {
             more.push(("load", self.report(now, at)));
         }
         let mut effects = vec![news(at, &station.kind.name, &run.job.id, "done", &more)];
@@ -323,7 +330,8 @@
             "util" | "utilization" => json!(rounded(f64::from(load.slots) / all)),
             _ => json!(0),
         };
-        let fields: Map<_, _> = self.ways.report.iter().map(|name| (name.clone(), value(name))).collect();
+        let fields: Map<_, _> =
+            self.worker_settings.report.iter().map(|name| (name.clone(), value(name))).collect();
         fields.into()
     }
 }
@@ -343,5 +351,5 @@
         text += &format!(r#","{name}":{value}"#);
     }
     text.push('}');
-    Effect::News(at, id.to_owned(), text)
+    Effect::Callback(at, id.to_owned(), text)
 }
--- a/crates/rig/tests/calibrate.rs
+++ b/crates/rig/tests/calibrate.rs
@@ -1,8 +1,8 @@
 //! A small calibration: three processes of the program, six workers, a few seconds, and the hollow fleet beside them.
 
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
-use calicolb_rig::calibrate::play::play;
 use calicolb_rig::calibrate::process::program;
+use calicolb_rig::calibrate::replay::replay;
 use calicolb_simulation::Plan;
 
 /// Replays by `calicolb-rig calibrate` with these figures.
@@ -28,7 +28,7 @@
     let plan = plan();
     println!("seed {}", plan.seed);
     let program = program(None).expect("the program is there");
-    let real = play(&program, &plan, true).expect("the processes start and serve");
+    let real = replay(&program, &plan, true).expect("the processes start and serve");
     let hollow = calicolb_simulation::simulate(&plan);
 
     // The same requests came to both, and each was answered with the result of a worker that ran it once.
@@ -41,8 +41,9 @@
 
     // Every datagram has one of the known shapes, is short, and is counted once on its way in and once a receiver.
     let sum = |flows: &[Flow]| real.counts.sum(flows);
-    let sent = sum(&[Flow::TalkSent, Flow::GreetingsSent, Flow::TroublesSent, Flow::FreshnessSent]);
-    let passed = sum(&[Flow::TalkPassed, Flow::GreetingsPassed, Flow::TroublesPassed, Flow::FreshnessPassed]);
+    let sent = sum(&[Flow::LoadsSent, Flow::HellosSent, Flow::FaultReportsSent, Flow::FreshnessSent]);
+    let passed =
+        sum(&[Flow::LoadsPassed, Flow::HellosPassed, Flow::FaultReportsPassed, Flow::FreshnessPassed]);
     assert_eq!((real.counts.relay_in, real.counts.relay_out), (sent, passed), "{real:?}");
     assert!(sent.messages > 0, "nobody spoke: {real:?}");
     assert_eq!((real.datagrams_unknown, real.datagrams_dropped), (0, 0), "{real:?}");
--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/rig/tests/stand_ins.rs
@@ -2,10 +2,10 @@
 //! and datagrams counted by their shape and passed on from the sender's address.
 
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
-use calicolb_rig::calibrate::crew::{Crew, Effect, Job, Kind, Verdict, Ways};
 use calicolb_rig::calibrate::discovery::{Answer, Capacity, Discovery, Host};
+use calicolb_rig::calibrate::harness::{Change, Harness};
 use calicolb_rig::calibrate::relay::flows;
-use calicolb_rig::calibrate::stage::{Change, Stage};
+use calicolb_rig::calibrate::worker_pool::{Effect, Job, Verdict, WorkerPool, WorkerSettings, WorkerSpec};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::sync::mpsc::{Receiver, channel};
@@ -28,8 +28,8 @@
     (0..count).map(host).collect()
 }
 
-fn stage(workers: usize, schedulers: usize) -> Stage {
-    let kind = |host: &Host| Kind {
+fn harness(workers: usize, schedulers: usize) -> Harness {
+    let kind = |host: &Host| WorkerSpec {
         name: host.host.clone(),
         slots: 2,
         memory: 0.0,
@@ -37,7 +37,7 @@
         phase: Duration::ZERO,
         born: None,
     };
-    let ways = Ways {
+    let worker_settings = WorkerSettings {
         cold: Duration::from_secs(1),
         start_speed: 0.3,
         tells_start: true,
@@ -46,16 +46,16 @@
     };
     let hosts = hosts(workers);
     let kinds = hosts.iter().map(kind).collect();
-    Stage::new(kinds, hosts, ways, Capacity::default(), schedulers).expect("ports are free")
+    Harness::new(kinds, hosts, worker_settings, Capacity::default(), schedulers).expect("ports are free")
 }
 
-/// Runs what a peer does on a thread of its own, and the stage until that is over.
-fn with<T: Send + 'static>(stage: &mut Stage, peer: impl FnOnce() -> T + Send + 'static) -> T {
+/// Runs what a peer does on a thread of its own, and the harness until that is over.
+fn with<T: Send + 'static>(harness: &mut Harness, peer: impl FnOnce() -> T + Send + 'static) -> T {
     let (tell, told): (_, Receiver<T>) = channel();
     thread::spawn(move || tell.send(peer()));
     let until = Instant::now() + LIMIT;
     loop {
-        stage.run_until(Instant::now() + Duration::from_millis(5)).expect("the stage runs");
+        harness.run_until(Instant::now() + Duration::from_millis(5)).expect("the harness runs");
         match told.try_recv() {
             Ok(found) => return found,
             Err(std::sync::mpsc::TryRecvError::Empty) if Instant::now() < until => {}
@@ -84,9 +84,9 @@
 
 #[test]
 fn discovery_gives_the_whole_list_and_a_watch_in_the_form_of_the_page() {
-    let mut stage = stage(2, 1);
-    let at = stage.discovery_at();
-    let whole = with(&mut stage, move || {
+    let mut harness = harness(2, 1);
+    let at = harness.discovery_at();
+    let whole = with(&mut harness, move || {
         let mut stream = TcpStream::connect(at).expect("discovery listens");
         call(&mut stream, "GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n", "]}\n")
     });
@@ -100,9 +100,9 @@
     assert_eq!(hosts.len(), 2);
     assert!(hosts.iter().all(|line| keys.iter().all(|key| line.get(key).is_some())), "{body}");
 
-    stage.change(Instant::now() + Duration::from_millis(300), Change { station: 1, health: "terminating" });
+    harness.change(Instant::now() + Duration::from_millis(300), Change { station: 1, health: "terminating" });
     let begun = Instant::now();
-    let (watch, spent) = with(&mut stage, move || {
+    let (watch, spent) = with(&mut harness, move || {
         let mut stream = TcpStream::connect(at).expect("discovery listens");
         let watch = "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\nHost: d\r\n\r\n";
         let mut held = call(&mut stream, watch, "\"hosts\":[]}\n\r\n");
@@ -130,11 +130,17 @@
     assert_eq!(objects[1]["hosts"][0]["health"], "terminating");
     // The empty line comes 2 s after the last change, not before.
     assert!(spent >= Duration::from_millis(2_300), "{spent:?}");
-    let counts = stage.counts();
-    let seen = [Flow::ListAsked, Flow::ListAnswered, Flow::WatchAsked, Flow::WatchOpened, Flow::WatchChanges];
+    let counts = harness.counts();
+    let seen = [
+        Flow::ListRequested,
+        Flow::ListAnswered,
+        Flow::WatchRequested,
+        Flow::WatchOpened,
+        Flow::WatchChanges,
+    ];
     assert_eq!(seen.map(|flow| counts.of(flow).messages), [1, 1, 1, 1, 1]);
     assert_eq!(counts.of(Flow::ListAnswered).bytes, whole.len() as u64);
-    let told = counts.sum(&[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchBeats]);
+    let told = counts.sum(&[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchKeepalives]);
     assert_eq!(told.bytes, watch.len() as u64, "{counts:?}");
 }
 
@@ -185,46 +191,47 @@
 #[test]
 fn a_worker_runs_what_fits_at_its_speed_and_reports_loads_of_some_time_ago() {
     let milli = Duration::from_millis;
-    let kind = |born| Kind { name: "w".to_owned(), slots: 2, memory: 0.0, speed: 0.5, phase: milli(0), born };
-    let ways = || Ways {
+    let kind =
+        |born| WorkerSpec { name: "w".to_owned(), slots: 2, memory: 0.0, speed: 0.5, phase: milli(0), born };
+    let worker_settings = || WorkerSettings {
         cold: milli(10_000),
         start_speed: 0.25,
         tells_start: true,
         progress: Duration::ZERO,
         report: vec!["x0".to_owned(), "queue".to_owned()],
     };
-    let mut crew = Crew::new(vec![kind(None)], ways());
+    let mut worker_pool = WorkerPool::new(vec![kind(None)], worker_settings());
     let now = Instant::now();
     let job = |id: &str, slots| Job { id: id.to_owned(), work: milli(1_000), slots, memory: 0.0 };
     let wake = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::Wake(at, number) => Some((*at, *number)),
-            Effect::News(..) => None,
+            Effect::Callback(..) => None,
         })
     };
-    let (verdict, effects) = crew.arrive(now, 0, job("a", 2));
-    assert_eq!(verdict, Verdict::Taken);
+    let (verdict, effects) = worker_pool.arrive(now, 0, job("a", 2));
+    assert_eq!(verdict, Verdict::Accepted);
     let (ends, number) = wake(&effects).expect("it has begun");
     assert_eq!(ends - now, milli(2_000), "half the speed is twice the time");
-    assert_eq!(wake(&crew.arrive(now, 0, job("b", 1)).1), None, "no slot is free");
-    assert_eq!(crew.arrive(now, 0, job("c", 3)).0, Verdict::Full, "it will never fit");
+    assert_eq!(wake(&worker_pool.arrive(now, 0, job("b", 1)).1), None, "no slot is free");
+    assert_eq!(worker_pool.arrive(now, 0, job("c", 3)).0, Verdict::Rejected, "it will never fit");
     // The load of this moment is not told yet; a second later it is.
-    assert_eq!(crew.report(now, 0), serde_json::json!({"x0": 2, "queue": 0}));
-    assert_eq!(crew.report(now + milli(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
-    let done = crew.wake(ends, number);
+    assert_eq!(worker_pool.report(now, 0), serde_json::json!({"x0": 2, "queue": 0}));
+    assert_eq!(worker_pool.report(now + milli(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
+    let done = worker_pool.wake(ends, number);
     assert!(
-        matches!(&done[0], Effect::News(0, id, body) if id == "a" && body.contains(r#""result":"done a""#))
+        matches!(&done[0], Effect::Callback(0, id, body) if id == "a" && body.contains(r#""result":"done a""#))
     );
     assert!(wake(&done).is_some(), "the next one begins: {done:?}");
-    assert_eq!(crew.seen().running_peak, 1);
+    assert_eq!(worker_pool.seen().running_peak, 1);
     // One that has just started is slower still.
-    let mut cold = Crew::new(vec![kind(Some(now))], ways());
+    let mut cold = WorkerPool::new(vec![kind(Some(now))], worker_settings());
     let (ends, _) = wake(&cold.arrive(now, 0, job("a", 1)).1).expect("it has begun");
     assert_eq!(ends - now, milli(8_000));
     // A queue of twice the slots is full.
-    let mut full = Crew::new(vec![kind(None)], ways());
+    let mut full = WorkerPool::new(vec![kind(None)], worker_settings());
     let verdicts: Vec<Verdict> = (0..7).map(|nr| full.arrive(now, 0, job(&nr.to_string(), 1)).0).collect();
-    assert_eq!(verdicts.iter().filter(|&&verdict| verdict == Verdict::Taken).count(), 6);
+    assert_eq!(verdicts.iter().filter(|&&verdict| verdict == Verdict::Accepted).count(), 6);
     assert_eq!(full.seen().turned_away, 1);
 }
 
@@ -238,50 +245,50 @@
 
 #[test]
 fn a_second_attempt_at_a_worker_is_seen_as_doubled_and_one_that_was_given_up_is_not() {
-    let mut stage = stage(2, 1);
-    let at: Vec<SocketAddr> = stage.discovery().hosts().iter().map(|host| host.dial).collect();
+    let mut harness = harness(2, 1);
+    let at: Vec<SocketAddr> = harness.discovery().hosts().iter().map(|host| host.dial).collect();
     let (first, second) = (at[0], at[1]);
-    let seen = |stage: &Stage| {
-        let seen = stage.crew().seen();
+    let seen = |harness: &Harness| {
+        let seen = harness.worker_pool().seen();
         (seen.attempts, seen.doubled, seen.overlapping, seen.given_up)
     };
-    assert!(with(&mut stage, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
-    assert_eq!(seen(&stage), (1, 0, 0, 0));
+    assert!(with(&mut harness, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
+    assert_eq!(seen(&harness), (1, 0, 0, 0));
     // The same request at the same worker, while it runs there.
-    with(&mut stage, move || attempt(first, "r1"));
-    assert_eq!(seen(&stage), (2, 1, 0, 0));
+    with(&mut harness, move || attempt(first, "r1"));
+    assert_eq!(seen(&harness), (2, 1, 0, 0));
     // Another request is none of its business.
-    with(&mut stage, move || attempt(second, "r2"));
-    assert_eq!(seen(&stage), (3, 1, 0, 0));
+    with(&mut harness, move || attempt(second, "r2"));
+    assert_eq!(seen(&harness), (3, 1, 0, 0));
     // The same request at another worker is a copy.
-    with(&mut stage, move || attempt(first, "r2"));
-    assert_eq!(seen(&stage), (4, 1, 1, 0));
+    with(&mut harness, move || attempt(first, "r2"));
+    assert_eq!(seen(&harness), (4, 1, 1, 0));
     // What was given up there may come again.
-    with(&mut stage, move || {
+    with(&mut harness, move || {
         let mut stream = TcpStream::connect(second).expect("the worker listens");
         call(&mut stream, "DELETE /jobs/r2 HTTP/1.1\r\nHost: w\r\n\r\n", "\r\n\r\n")
     });
     // At the other worker it still is.
-    with(&mut stage, move || attempt(first, "r2"));
-    assert_eq!(seen(&stage), (5, 2, 1, 1));
-    with(&mut stage, move || {
+    with(&mut harness, move || attempt(first, "r2"));
+    assert_eq!(seen(&harness), (5, 2, 1, 1));
+    with(&mut harness, move || {
         let mut stream = TcpStream::connect(first).expect("the worker listens");
         call(&mut stream, "DELETE /jobs/r2 HTTP/1.1\r\nHost: w\r\n\r\n", "\r\n\r\n")
     });
-    with(&mut stage, move || attempt(second, "r2"));
-    assert_eq!(seen(&stage), (6, 2, 1, 2));
-    let counts = stage.counts();
+    with(&mut harness, move || attempt(second, "r2"));
+    assert_eq!(seen(&harness), (6, 2, 1, 2));
+    let counts = harness.counts();
     assert_eq!(counts.of(Flow::AttemptsSent).messages, 6);
-    assert_eq!(counts.of(Flow::GiveUpsSent).messages, 2);
+    assert_eq!(counts.of(Flow::CancelsSent).messages, 2);
 }
 
 #[test]
 fn datagrams_are_told_apart_by_their_length() {
     for length in 0..=256 {
         let sent = match length {
-            3 => Flow::GreetingsSent,
-            6 => Flow::TroublesSent,
-            8..=11 => Flow::TalkSent,
+            3 => Flow::HellosSent,
+            6 => Flow::FaultReportsSent,
+            8..=11 => Flow::LoadsSent,
             _ => Flow::UnknownSent,
         };
         assert_eq!(flows(&vec![1; length]).0, sent, "{length}");
@@ -290,20 +297,20 @@
 
 #[test]
 fn datagrams_come_from_the_address_that_stands_for_the_sender_and_are_counted_by_shape() {
-    let mut stage = stage(1, 3);
-    let (relays, all) = stage.relay().addresses().expect("they are bound");
+    let mut harness = harness(1, 3);
+    let (relays, all) = harness.relay().addresses().expect("they are bound");
     let sockets: Vec<UdpSocket> =
         (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port is free")).collect();
     let home = |nr: usize| sockets[nr].local_addr().expect("it is bound");
     let (from, to) = (sockets[0].try_clone().expect("shared"), sockets[1].try_clone().expect("shared"));
     to.set_read_timeout(Some(LIMIT)).expect("a time-out can be set");
     for nr in 0..2 {
-        stage.home(nr, None, Some(home(nr)));
+        harness.set_address(nr, None, Some(home(nr)));
     }
     // The third one isn't known yet: what it sends waits until it is.
     sockets[2].send_to(&[1; 6], relays[1]).expect("it is sent");
     let relay = relays[1];
-    let heard = with(&mut stage, move || {
+    let heard = with(&mut harness, move || {
         from.send_to(&[1, 0, 1], all).expect("it is sent");
         from.send_to(&[1; 9], relay).expect("it is sent");
         let mut space = [0; 64];
@@ -312,14 +319,14 @@
         heard.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
     });
     assert_eq!(heard, [(3, relays[0]), (9, relays[0])]);
-    let of = |stage: &Stage, flow| stage.counts().of(flow);
+    let of = |harness: &Harness, flow| harness.counts().of(flow);
     let traffic = |messages, bytes| Traffic { messages, bytes };
-    assert_eq!(stage.relay().unplaced(), 1);
-    assert_eq!(of(&stage, Flow::GreetingsSent), traffic(1, 3));
-    assert_eq!(of(&stage, Flow::GreetingsPassed), traffic(1, 3), "one of the others is known");
-    assert_eq!(of(&stage, Flow::TalkSent), traffic(1, 9));
-    stage.home(2, None, Some(home(2)));
-    assert_eq!(stage.relay().unplaced(), 0);
-    assert_eq!(of(&stage, Flow::TroublesPassed), traffic(1, 6));
-    assert_eq!((stage.counts().relay_in, stage.counts().datagram_longest), (traffic(3, 18), 9));
+    assert_eq!(harness.relay().unplaced(), 1);
+    assert_eq!(of(&harness, Flow::HellosSent), traffic(1, 3));
+    assert_eq!(of(&harness, Flow::HellosPassed), traffic(1, 3), "one of the others is known");
+    assert_eq!(of(&harness, Flow::LoadsSent), traffic(1, 9));
+    harness.set_address(2, None, Some(home(2)));
+    assert_eq!(harness.relay().unplaced(), 0);
+    assert_eq!(of(&harness, Flow::FaultReportsPassed), traffic(1, 6));
+    assert_eq!((harness.counts().relay_in, harness.counts().datagram_longest), (traffic(3, 18), 9));
 }
