--- a/crates/rig/src/calibrate/command.rs
+++ b/crates/rig/src/calibrate/command.rs
@@ -1,9 +1,9 @@
 //! The command: one size played by real processes and by the hollow fleet, or one process measured by itself.
 
-use super::compare::{Chance, Compared, chance, compare};
-use super::direct::{Direct, Measured, measure};
+use super::compare::{Comparison, SeedVariation, compare, seed_variation};
 use super::process::program;
-use super::replay::{Real, replay};
+use super::replay::{ReplayResult, replay};
+use super::single_process::{MeasurementPlan, ProcessCosts, measure};
 use calicolb_simulation::{Incident, Plan, Summary};
 use clap::Args;
 use serde::Serialize;
@@ -11,15 +11,15 @@
 use std::time::Duration;
 
 /// Processes that one machine plays at most.
-const MOST_PROCESSES: u32 = 60;
+const MAX_PROCESSES: u32 = 60;
 /// Accelerators by worker, at the size of the letter.
-const ACCELERATORS: f64 = 760.0 / 690.0;
+const ACCELERATORS_PER_WORKER: f64 = 760.0 / 690.0;
 
 /// What is calibrated.
 #[derive(Clone, Debug, Args)]
 pub struct Calibrate {
     /// Processes of the program: 60 at most.
-    #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u32).range(1..=i64::from(MOST_PROCESSES)))]
+    #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u32).range(1..=i64::from(MAX_PROCESSES)))]
     pub processes: u32,
     /// Workers.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(1..=1_000))]
@@ -71,20 +71,20 @@
 
 /// A seed, played by both.
 #[derive(Debug, Serialize)]
-struct Played {
+struct SeedResult {
     seed: u64,
-    real: Real,
+    real: ReplayResult,
     hollow: Summary,
 }
 
 /// What came of it.
 #[derive(Debug, Serialize)]
-struct Report {
+struct CalibrationReport {
     machine: Machine,
-    plays: Vec<Played>,
-    one: Measured,
-    compared: Compared,
-    chance: Vec<Chance>,
+    plays: Vec<SeedResult>,
+    one: ProcessCosts,
+    compared: Comparison,
+    chance: Vec<SeedVariation>,
 }
 
 /// What else the machine did: processor time is dearer on a busy one.
@@ -96,23 +96,23 @@
     load_after: f64,
 }
 
-fn load() -> f64 {
+fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split(' ').next().and_then(|first| first.parse().ok()).unwrap_or(0.0)
 }
 
 impl Machine {
-    fn since(load_before: f64) -> Machine {
+    fn measure(load_before: f64) -> Machine {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
-        Machine { cores, load_before, load_after: load() }
+        Machine { cores, load_before, load_after: load_average() }
     }
 }
 
 /// One process, measured by itself.
 #[derive(Debug, Serialize)]
-struct Alone {
+struct SingleProcessReport {
     machine: Machine,
-    one: Measured,
+    one: ProcessCosts,
 }
 
 /// Runs the command.
@@ -120,70 +120,80 @@
 /// # Errors
 ///
 /// The program isn't there, or does not start or serve; or a rule was broken in the play of real processes.
-pub fn run(how: &Calibrate) -> Result<(), String> {
-    let program = program(how.program.as_deref())?;
-    let before = load();
+pub fn run(args: &Calibrate) -> Result<(), String> {
+    let program = program(args.program.as_deref())?;
+    let load_before = load_average();
     let second = Duration::from_secs(1);
-    if how.alone {
-        let (letter, seed) = (Plan::default(), how.seed);
-        let direct = Direct::of(&Plan { seed, ..letter }, 30 * second, 10 * second);
-        let one = measure(&program, &direct)?;
-        return print(&Alone { machine: Machine::since(before), one }, true);
+    if args.alone {
+        let (default_plan, seed) = (Plan::default(), args.seed);
+        let measurement = MeasurementPlan::of(&Plan { seed, ..default_plan }, 30 * second, 10 * second);
+        let one = measure(&program, &measurement)?;
+        return print_json(&SingleProcessReport { machine: Machine::measure(load_before), one }, true);
     }
     let mut plays = Vec::new();
-    for seed in how.seed..how.seed + how.seeds {
-        let plan = Plan { seed, ..plan(how) };
+    for seed in args.seed..args.seed + args.seeds {
+        let plan = Plan { seed, ..plan(args) };
         // What a start costs is the same for each.
-        let real = replay(&program, &plan, seed == how.seed)?;
-        plays.push(Played { seed, real, hollow: calicolb_simulation::simulate(&plan) });
+        let real = replay(&program, &plan, seed == args.seed)?;
+        plays.push(SeedResult { seed, real, hollow: calicolb_simulation::simulate(&plan) });
     }
-    let one = match how.seeds {
-        0 => Measured::default(),
-        _ => measure(&program, &Direct::of(&plan(how), 10 * second, 5 * second))?,
+    let one = match args.seeds {
+        0 => ProcessCosts::default(),
+        _ => measure(&program, &MeasurementPlan::of(&plan(args), 10 * second, 5 * second))?,
     };
-    let pairs: Vec<(&Real, &Summary)> = plays.iter().map(|play| (&play.real, &play.hollow)).collect();
+    let pairs: Vec<(&ReplayResult, &Summary)> = plays.iter().map(|play| (&play.real, &play.hollow)).collect();
     let compared = compare(&pairs, &one);
-    let real: Vec<&Real> = plays.iter().map(|play| &play.real).collect();
-    let chance = chance(&plan(how), how.hollow_seeds, &real);
-    if !how.json {
-        table(&compared, &chance);
+    let real: Vec<&ReplayResult> = plays.iter().map(|play| &play.real).collect();
+    let chance = seed_variation(&plan(args), args.hollow_seeds, &real);
+    if !args.json {
+        print_table(&compared, &chance);
     }
-    let broken: Vec<String> = plays
+    let violations: Vec<String> = plays
         .iter()
         .filter(|play| play.real.lost > 0 || play.real.doubled > 0)
-        .map(|play| format!("seed {}: {} lost, {} doubled", play.seed, play.real.lost, play.real.doubled))
+        .map(|play| {
+            format!(
+                "seed {}: {} requests lost, {} attempts doubled",
+                play.seed, play.real.lost, play.real.doubled
+            )
+        })
         .collect();
-    print(&Report { machine: Machine::since(before), plays, one, compared, chance }, how.json)?;
-    if broken.is_empty() { Ok(()) } else { Err(broken.join("; ")) }
+    print_json(
+        &CalibrationReport { machine: Machine::measure(load_before), plays, one, compared, chance },
+        args.json,
+    )?;
+    if violations.is_empty() { Ok(()) } else { Err(violations.join("; ")) }
 }
 
-fn plan(how: &Calibrate) -> Plan {
+fn plan(args: &Calibrate) -> Plan {
     Plan {
-        schedulers: how.processes,
-        workers: how.workers,
-        accelerators: how.accelerators.unwrap_or((ACCELERATORS * f64::from(how.workers)).round() as u32),
-        tenants: how.tenants,
-        zones: how.zones,
-        regions: how.regions.min(how.zones),
-        requests_per_s: how.starts.max(0.1),
-        running_tasks: how.running,
-        measured_seconds: how.seconds.max(1),
-        warm_up_seconds: how.warm_up,
+        schedulers: args.processes,
+        workers: args.workers,
+        accelerators: args
+            .accelerators
+            .unwrap_or((ACCELERATORS_PER_WORKER * f64::from(args.workers)).round() as u32),
+        tenants: args.tenants,
+        zones: args.zones,
+        regions: args.regions.min(args.zones),
+        requests_per_s: args.starts.max(0.1),
+        running_tasks: args.running,
+        measured_seconds: args.seconds.max(1),
+        warm_up_seconds: args.warm_up,
         incident: Incident::None,
-        seed: how.seed,
+        seed: args.seed,
         ..Plan::default()
     }
 }
 
-fn print(what: &impl Serialize, json: bool) -> Result<(), String> {
+fn print_json(value: &impl Serialize, json: bool) -> Result<(), String> {
     if json {
-        println!("{}", serde_json::to_string(what).map_err(|error| error.to_string())?);
+        println!("{}", serde_json::to_string(value).map_err(|error| error.to_string())?);
     }
     Ok(())
 }
 
-fn table(compared: &Compared, chance: &[Chance]) {
-    let percent = |ratio: Option<f64>| ratio.map_or("-".to_owned(), |ratio| format!("{ratio:.3}"));
+fn print_table(compared: &Comparison, chance: &[SeedVariation]) {
+    let ratio_text = |ratio: Option<f64>| ratio.map_or("-".to_owned(), |ratio| format!("{ratio:.3}"));
     println!(
         "{:<11}{:>10}{:>10}{:>8}{:>12}{:>12}{:>8}  alike",
         "function", "real", "hollow", "ratio", "real B", "hollow B", "ratio"
@@ -194,18 +204,18 @@
             row.function,
             row.real.messages,
             row.hollow.messages,
-            percent(row.messages_ratio),
+            ratio_text(row.messages_ratio),
             row.real.bytes,
             row.hollow.bytes,
-            percent(row.bytes_ratio),
+            ratio_text(row.bytes_ratio),
             row.alike
         );
     }
-    for Chance { function, plays, mean, deviation, real_mean, standard_errors } in chance {
+    for SeedVariation { function, plays, mean, deviation, real_mean, standard_errors } in chance {
         let real = real_mean.map_or("-".to_owned(), |real| format!("{real:.1}"));
-        let off = standard_errors.map_or("-".to_owned(), |errors| format!("{errors:.1}"));
+        let errors_text = standard_errors.map_or("-".to_owned(), |errors| format!("{errors:.1}"));
         println!(
-            "{function}: hollow {mean:.1} a play, +- {deviation:.1} over {plays} seeds; real {real}, {off} standard errors off"
+            "{function}: hollow {mean:.1} a play, +- {deviation:.1} over {plays} seeds; real {real}, {errors_text} standard errors off"
         );
     }
     let cpu = &compared.cpu;
@@ -213,9 +223,9 @@
         "control CPU, ms a second: real {:.3} (idle {:.3}, heard {:.3}), hollow {:.3}, ratio {}; the whole process {:.3}",
         cpu.real_control,
         cpu.real_idle,
-        cpu.real_heard,
+        cpu.real_received,
         cpu.hollow_control,
-        percent(cpu.ratio),
+        ratio_text(cpu.ratio),
         cpu.real_all
     );
 }
--- a/crates/rig/src/calibrate/compare.rs
+++ b/crates/rig/src/calibrate/compare.rs
@@ -1,19 +1,19 @@
 //! The hollow fleet held against real processes: by function, messages and bytes, and processor time on control.
 
 use super::counts::{FUNCTIONS, Flow, Traffic};
-use super::direct::Measured;
-use super::replay::Real;
+use super::replay::ReplayResult;
+use super::single_process::ProcessCosts;
 use calicolb_simulation::{Plan, Summary};
 use serde::Serialize;
 
 /// Counts of messages and bytes are alike within this part of the real figure, ...
-pub const COUNTS_ALIKE: f64 = 0.1;
-/// ... and processor time within this one.
-pub const CPU_ALIKE: f64 = 0.3;
+pub const COUNT_TOLERANCE: f64 = 0.1;
+/// ... and processor time within this costs.
+pub const CPU_TOLERANCE: f64 = 0.3;
 
 /// One function.
 #[derive(Clone, Debug, Serialize)]
-pub struct Row {
+pub struct FunctionComparison {
     /// Its name.
     pub function: &'static str,
     /// What real processes exchanged.
@@ -24,13 +24,13 @@
     pub messages_ratio: Option<f64>,
     /// See above.
     pub bytes_ratio: Option<f64>,
-    /// Both are within [`COUNTS_ALIKE`], or both fleets had none.
+    /// Both are within [`COUNT_TOLERANCE`], or both fleets real_counts none.
     pub alike: bool,
 }
 
 /// What chance alone does to a function's messages in one play of this size.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Chance {
+pub struct SeedVariation {
     /// The function.
     pub function: &'static str,
     /// Plays of the hollow fleet, each of its own seed.
@@ -48,52 +48,56 @@
 
 /// Plays the hollow fleet with this many seeds beyond the plan's, and tells how its counts vary; `real`: plays of real
 /// processes of the same size.
-pub fn chance(plan: &Plan, plays: u64, real: &[&Real]) -> Vec<Chance> {
-    // Seeds that no real play had.
-    let accounts: Vec<Summary> = (0..plays)
-        .map(|nr| calicolb_simulation::simulate(&Plan { seed: plan.seed + 1_000 + nr, ..plan.clone() }))
+pub fn seed_variation(plan: &Plan, plays: u64, real: &[&ReplayResult]) -> Vec<SeedVariation> {
+    // Seeds that no real play real_counts.
+    let summaries: Vec<Summary> = (0..plays)
+        .map(|index| calicolb_simulation::simulate(&Plan { seed: plan.seed + 1_000 + index, ..plan.clone() }))
         .collect();
-    let of = |function: &'static str| {
-        let counts: Vec<f64> =
-            accounts.iter().map(|of| of.traffic.get(function).map_or(0.0, |of| of.messages as f64)).collect();
+    let variation = |function: &'static str| {
+        let counts: Vec<f64> = summaries
+            .iter()
+            .map(|of| of.traffic.get(function).map_or(0.0, |of| of.messages as f64))
+            .collect();
         let mean = counts.iter().sum::<f64>() / counts.len().max(1) as f64;
         let squares: f64 = counts.iter().map(|count| (count - mean).powi(2)).sum();
         let deviation = (squares / (counts.len().max(2) - 1) as f64).sqrt();
-        let had = real.iter().map(|of| of.traffic.get(function).map_or(0.0, |of| of.messages as f64));
-        let real_mean = (!real.is_empty()).then(|| had.sum::<f64>() / real.len() as f64);
-        let error = deviation * (1.0 / real.len().max(1) as f64 + 1.0 / plays.max(1) as f64).sqrt();
-        let standard_errors = real_mean.filter(|_| error > 0.0).map(|real| (real - mean) / error);
-        Chance { function, plays, mean, deviation, real_mean, standard_errors }
+        let real_counts = real.iter().map(|of| of.traffic.get(function).map_or(0.0, |of| of.messages as f64));
+        let real_mean = (!real.is_empty()).then(|| real_counts.sum::<f64>() / real.len() as f64);
+        let standard_error = deviation * (1.0 / real.len().max(1) as f64 + 1.0 / plays.max(1) as f64).sqrt();
+        let standard_errors =
+            real_mean.filter(|_| standard_error > 0.0).map(|real| (real - mean) / standard_error);
+        SeedVariation { function, plays, mean, deviation, real_mean, standard_errors }
     };
-    FUNCTIONS.iter().map(|(function, _)| of(function)).collect()
+    FUNCTIONS.iter().map(|(function, _)| variation(function)).collect()
 }
 
 /// Processor time on control, in milliseconds a second, mean of all schedulers.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Cpu {
-    /// Real: what an idle process uses, and each message heard at what it costs one by itself.
+pub struct CpuComparison {
+    /// ReplayResult: what an idle process uses, and each message heard at what it costs one by itself.
     pub real_control: f64,
     /// Of that: the idle process, and what is heard or probed.
     pub real_idle: f64,
     /// See above.
-    pub real_heard: f64,
+    #[serde(rename = "real_heard")]
+    pub real_received: f64,
     /// Hollow: the module's time on control events.
     pub hollow_control: f64,
     /// Hollow by real.
     pub ratio: Option<f64>,
-    /// It is within [`CPU_ALIKE`].
+    /// It is within [`CPU_TOLERANCE`].
     pub alike: bool,
-    /// Real: all that the process does, jobs included.
+    /// ReplayResult: all that the process does, jobs included.
     pub real_all: f64,
 }
 
 /// All of it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Compared {
+pub struct Comparison {
     /// By function.
-    pub functions: Vec<Row>,
+    pub functions: Vec<FunctionComparison>,
     /// Processor time.
-    pub cpu: Cpu,
+    pub cpu: CpuComparison,
     /// Jobs and starts: hollow by real.
     pub jobs_ratio: Option<f64>,
     /// See above.
@@ -104,52 +108,60 @@
     (real > 0.0).then(|| hollow / real)
 }
 
-fn alike(ratio: Option<f64>, within: f64) -> bool {
-    ratio.is_some_and(|ratio| (ratio - 1.0).abs() <= within)
+fn within_tolerance(ratio: Option<f64>, tolerance: f64) -> bool {
+    ratio.is_some_and(|ratio| (ratio - 1.0).abs() <= tolerance)
 }
 
 /// Holds plays of the same plans against each other, all together; `one`: what messages cost one process by itself, at the
 /// same size.
-pub fn compare(plays: &[(&Real, &Summary)], one: &Measured) -> Compared {
-    let sum = |of: &dyn Fn(&(&Real, &Summary)) -> f64| plays.iter().map(of).sum::<f64>();
+pub fn compare(plays: &[(&ReplayResult, &Summary)], costs: &ProcessCosts) -> Comparison {
+    let sum = |of: &dyn Fn(&(&ReplayResult, &Summary)) -> f64| plays.iter().map(of).sum::<f64>();
     let row = |function: &'static str| {
         let add = |sum: Traffic, messages: u64, bytes: u64| sum.plus(Traffic { messages, bytes });
         let (mut real, mut hollow) = (Traffic::default(), Traffic::default());
-        for (played, account) in plays {
-            real = real.plus(played.traffic.get(function).copied().unwrap_or_default());
-            hollow = account.traffic.get(function).map_or(hollow, |of| add(hollow, of.messages, of.bytes));
+        for (replayed, summary) in plays {
+            real = real.plus(replayed.traffic.get(function).copied().unwrap_or_default());
+            hollow = summary.traffic.get(function).map_or(hollow, |of| add(hollow, of.messages, of.bytes));
         }
         let messages_ratio = ratio(hollow.messages as f64, real.messages as f64);
         let bytes_ratio = ratio(hollow.bytes as f64, real.bytes as f64);
-        let none = real.messages == 0 && hollow.messages == 0;
-        let both = alike(messages_ratio, COUNTS_ALIKE) && alike(bytes_ratio, COUNTS_ALIKE);
-        Row { function, real, hollow, messages_ratio, bytes_ratio, alike: none || both }
+        let both_empty = real.messages == 0 && hollow.messages == 0;
+        let both_within = within_tolerance(messages_ratio, COUNT_TOLERANCE)
+            && within_tolerance(bytes_ratio, COUNT_TOLERANCE);
+        FunctionComparison {
+            function,
+            real,
+            hollow,
+            messages_ratio,
+            bytes_ratio,
+            alike: both_empty || both_within,
+        }
     };
-    let heard = [
-        (Flow::LoadsPassed, one.talk_heard),
-        (Flow::FaultReportsPassed, one.trouble_heard),
-        (Flow::HellosPassed, one.greeting_heard),
-        (Flow::WatchChanges, one.list_change),
-        (Flow::WatchFullList, one.whole_list),
-        (Flow::ProbesRequested, one.probe),
+    let message_costs = [
+        (Flow::LoadsPassed, costs.load_received),
+        (Flow::FaultReportsPassed, costs.fault_report_received),
+        (Flow::HellosPassed, costs.hello_received),
+        (Flow::WatchChanges, costs.list_change),
+        (Flow::WatchFullList, costs.full_list),
+        (Flow::ProbesRequested, costs.probe),
     ];
     let seconds = sum(&|(real, _)| real.seconds * f64::from(real.processes)).max(1e-9);
-    let heard =
-        heard.map(|(flow, cost)| sum(&|(real, _)| real.counts.of(flow).messages as f64) * cost.cpu_us);
-    let real_heard = heard.iter().sum::<f64>() / 1e3 / seconds;
-    let real_control = one.idle_cpu_ms_per_s + real_heard;
-    let mean = |of: &dyn Fn(&(&Real, &Summary)) -> f64| sum(of) / plays.len().max(1) as f64;
+    let message_costs = message_costs
+        .map(|(flow, cost)| sum(&|(real, _)| real.counts.of(flow).messages as f64) * cost.cpu_us);
+    let real_received = message_costs.iter().sum::<f64>() / 1e3 / seconds;
+    let real_control = costs.idle_cpu_ms_per_s + real_received;
+    let mean = |of: &dyn Fn(&(&ReplayResult, &Summary)) -> f64| sum(of) / plays.len().max(1) as f64;
     let hollow_control = mean(&|(_, hollow)| hollow.control_cpu_ms_per_s_mean);
     let cpu_ratio = ratio(hollow_control, real_control);
-    Compared {
+    Comparison {
         functions: FUNCTIONS.iter().map(|(function, _)| row(function)).collect(),
-        cpu: Cpu {
+        cpu: CpuComparison {
             real_control,
-            real_idle: one.idle_cpu_ms_per_s,
-            real_heard,
+            real_idle: costs.idle_cpu_ms_per_s,
+            real_received,
             hollow_control,
             ratio: cpu_ratio,
-            alike: alike(cpu_ratio, CPU_ALIKE),
+            alike: within_tolerance(cpu_ratio, CPU_TOLERANCE),
             real_all: mean(&|(real, _)| real.on_cpu_ms_per_s.mean),
         },
         jobs_ratio: ratio(sum(&|(_, hollow)| hollow.jobs as f64), sum(&|(real, _)| real.jobs as f64)),
--- a/crates/rig/src/calibrate/counts.rs
+++ b/crates/rig/src/calibrate/counts.rs
@@ -26,7 +26,7 @@
     /// `GET /discovery/hosts`.
     #[serde(rename = "list_asked")]
     ListRequested,
-    /// The whole list, or that discovery is busy, whatever was asked.
+    /// The whole list, or that discovery is awaiting_answer, whatever was asked.
     ListAnswered,
     /// `GET /discovery/hosts?watch=1&from=N`.
     #[serde(rename = "watch_asked")]
@@ -82,7 +82,7 @@
     /// The answers to these.
     #[serde(rename = "give_ups_answered")]
     CancelsAnswered,
-    /// Call-backs of workers.
+    /// Call-callback_queues of workers.
     #[serde(rename = "news_sent")]
     CallbacksSent,
     /// The answers to these.
--- a/crates/rig/src/calibrate/discovery.rs
+++ b/crates/rig/src/calibrate/discovery.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 /// Nothing changes on a watch: an empty line comes after this time.
-pub const BEAT: Duration = Duration::from_secs(2);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Changes that are remembered for watches that begin at an older version.
-const REMEMBERED: usize = 4_096;
+const MAX_KEPT_CHANGES: usize = 4_096;
 
 /// A line of the list.
 #[derive(Clone, Debug, Serialize)]
@@ -37,17 +37,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// Time that each call takes.
-    pub call: Duration,
+    pub per_call: Duration,
     /// Time that each line of a whole list takes on top.
-    pub line: Duration,
+    pub per_line: Duration,
     /// A call that would wait longer is turned away with 503.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 impl Default for Capacity {
     fn default() -> Self {
         let micros = Duration::from_micros;
-        Capacity { call: micros(1_000), line: micros(6), patience: Duration::from_secs(2) }
+        Capacity { per_call: micros(1_000), per_line: micros(6), max_wait: Duration::from_secs(2) }
     }
 }
 
@@ -61,7 +61,7 @@
     /// Too many wait already.
     Busy(Vec<u8>),
     /// No such call.
-    Unknown(Vec<u8>),
+    NotFound(Vec<u8>),
 }
 
 /// See the head of this file.
@@ -70,15 +70,15 @@
     hosts: Vec<Host>,
     changes: VecDeque<(u64, Host)>,
     capacity: Capacity,
-    free: Instant,
+    free_at: Instant,
     /// Calls that were turned away.
-    pub turned_away: u64,
+    pub rejected: u64,
 }
 
 impl Discovery {
     /// A service with this list, at version 1.
     pub fn new(hosts: Vec<Host>, capacity: Capacity, now: Instant) -> Discovery {
-        Discovery { seq: 1, hosts, changes: VecDeque::new(), capacity, free: now, turned_away: 0 }
+        Discovery { seq: 1, hosts, changes: VecDeque::new(), capacity, free_at: now, rejected: 0 }
     }
 
     /// The whole list, as `known` of a scheduler's configuration has it too.
@@ -98,47 +98,49 @@
     }
 
     /// A call for this target came in; gives what it gets, and when.
-    pub fn call(&mut self, now: Instant, target: &str) -> (Instant, Answer) {
+    pub fn handle_call(&mut self, now: Instant, target: &str) -> (Instant, Answer) {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if path != "/discovery/hosts" {
-            return (now, Answer::Unknown(write_response(404, "Not Found", "", "")));
+            return (now, Answer::NotFound(write_response(404, "Not Found", "", "")));
         }
-        let begins = self.free.max(now);
-        if begins - now > self.capacity.patience {
-            self.turned_away += 1;
+        let starts_at = self.free_at.max(now);
+        if starts_at - now > self.capacity.max_wait {
+            self.rejected += 1;
             return (now, Answer::Busy(write_response(503, "Service Unavailable", "", "")));
         }
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         if !pairs.clone().any(|(name, value)| name == "watch" && value == "1") {
-            self.free = begins + self.capacity.call + self.capacity.line * self.hosts.len() as u32;
+            self.free_at =
+                starts_at + self.capacity.per_call + self.capacity.per_line * self.hosts.len() as u32;
             let hosts: Vec<&Host> = self.hosts.iter().collect();
             let body = self.object(true, &hosts);
             return (
-                self.free,
+                self.free_at,
                 Answer::List(write_response(200, "OK", "Content-Type: application/json\r\n", &body)),
             );
         }
         let from = pairs.find(|(name, _)| *name == "from").and_then(|(_, value)| value.parse::<u64>().ok());
         let oldest = self.changes.front().map_or(self.seq, |(seq, _)| seq - 1);
-        let known = from.filter(|&from| from >= oldest && from <= self.seq);
-        let first = match known {
+        let kept_from = from.filter(|&from| from >= oldest && from <= self.seq);
+        let object = match kept_from {
             Some(from) => {
-                self.free = begins + self.capacity.call;
+                self.free_at = starts_at + self.capacity.per_call;
                 let since: Vec<&Host> =
                     self.changes.iter().filter(|(seq, _)| *seq > from).map(|(_, host)| host).collect();
                 self.object(false, &since)
             }
             None => {
-                self.free = begins + self.capacity.call + self.capacity.line * self.hosts.len() as u32;
+                self.free_at =
+                    starts_at + self.capacity.per_call + self.capacity.per_line * self.hosts.len() as u32;
                 self.object(true, &self.hosts.iter().collect::<Vec<_>>())
             }
         };
         let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-        (self.free, Answer::Watch([head.as_bytes(), &chunk(&first)].concat(), known.is_none()))
+        (self.free_at, Answer::Watch([head.as_bytes(), &chunk(&object)].concat(), kept_from.is_none()))
     }
 
     /// A line changes; gives the chunk for every watch that is open.
-    pub fn change(&mut self, host: Host) -> Vec<u8> {
+    pub fn apply_change(&mut self, host: Host) -> Vec<u8> {
         self.seq += 1;
         self.hosts.retain(|known| known.host != host.host);
         if host.health != "terminated" {
@@ -146,20 +148,20 @@
         }
         let text = self.object(false, &[&host]);
         self.changes.push_back((self.seq, host));
-        if self.changes.len() > REMEMBERED {
+        if self.changes.len() > MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
         chunk(&text)
     }
 
     /// The whole list once more, under a new version, as a chunk for a watch.
-    pub fn renew(&mut self) -> Vec<u8> {
+    pub fn republish(&mut self) -> Vec<u8> {
         self.seq += 1;
         chunk(&self.object(true, &self.hosts.iter().collect::<Vec<_>>()))
     }
 
     /// The empty line of a watch on which nothing changes, as a chunk.
-    pub fn beat() -> Vec<u8> {
+    pub fn keepalive() -> Vec<u8> {
         chunk("\n")
     }
 }
--- a/crates/rig/src/calibrate/fleet.rs
+++ b/crates/rig/src/calibrate/fleet.rs
@@ -7,12 +7,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A scheduler serves by this time after its start, on a busy machine too.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// A scheduler serves by this time after its start, on a awaiting_answer machine too.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Every scheduler watches the list by this time: the module spreads its first calls over four seconds.
-const WATCHED: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Descriptors of a process, as on the days of the pages.
-const SOCKETS: u32 = 1_024;
+const MAX_SOCKETS: u32 = 1_024;
 
 /// What one process is told, on the platform's form.
 ///
@@ -28,9 +28,9 @@
     Ok(json!({
         "name": format!("n{rank}"),
         "listen": "127.0.0.1:0",
-        "discovery": harness.discovery_at().to_string(),
+        "discovery": harness.discovery_address().to_string(),
         "seed": format!("{:016x}", seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(rank as u64)),
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_SOCKETS},
         "peer_listen": "127.0.0.1:0",
         "peers": peers.iter().map(ToString::to_string).collect::<Vec<_>>(),
         "peers_all": all.to_string(),
@@ -56,26 +56,32 @@
     for rank in ranks.clone() {
         processes.push(Process::start(program, &configuration(harness, settings, rank, seed)?)?);
     }
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + START_TIMEOUT;
     let mut waiting: Vec<usize> = (0..processes.len()).collect();
     while !waiting.is_empty() {
-        if Instant::now() >= until {
-            return Err(format!("{} schedulers do not serve", waiting.len()));
+        if Instant::now() >= deadline {
+            return Err(format!(
+                "{} schedulers did not start serving within {START_TIMEOUT:?}",
+                waiting.len()
+            ));
         }
         harness.run_until(Instant::now() + Duration::from_millis(10))?;
-        let mut left = Vec::new();
-        for nr in waiting {
-            if processes[nr].look()? {
-                harness.set_address(ranks.start + nr, processes[nr].clients, processes[nr].peers);
+        let mut still_waiting = Vec::new();
+        for index in waiting {
+            if processes[index].poll_log()? {
+                harness.set_address(ranks.start + index, processes[index].clients, processes[index].peers);
             } else {
-                left.push(nr);
+                still_waiting.push(index);
             }
         }
-        waiting = left;
+        waiting = still_waiting;
     }
     let wanted = watches + processes.len();
-    if !harness.run_while(WATCHED, |harness| harness.watches() < wanted)? {
-        return Err(format!("{} of {wanted} schedulers watch the list", harness.watches()));
+    if !harness.run_while(WATCH_TIMEOUT, |harness| harness.watches() < wanted)? {
+        return Err(format!(
+            "only {} of {wanted} schedulers opened a watch on the list within {WATCH_TIMEOUT:?}",
+            harness.watches()
+        ));
     }
     Ok(processes)
 }
@@ -88,25 +94,27 @@
 /// The least, the mean and the most of a figure over the processes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Spread {
+    #[serde(rename = "least")]
     /// The least.
-    pub least: f64,
+    pub min: f64,
     /// The mean.
     pub mean: f64,
+    #[serde(rename = "most")]
     /// The most.
-    pub most: f64,
+    pub max: f64,
 }
 
 impl Spread {
-    /// Of these figures.
-    pub fn of(figures: impl Iterator<Item = f64>) -> Spread {
-        let figures: Vec<f64> = figures.collect();
-        if figures.is_empty() {
+    /// Of these values.
+    pub fn of(values: impl Iterator<Item = f64>) -> Spread {
+        let values: Vec<f64> = values.collect();
+        if values.is_empty() {
             return Spread::default();
         }
         Spread {
-            least: figures.iter().copied().fold(f64::INFINITY, f64::min),
-            mean: figures.iter().sum::<f64>() / figures.len() as f64,
-            most: figures.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+            min: values.iter().copied().fold(f64::INFINITY, f64::min),
+            mean: values.iter().sum::<f64>() / values.len() as f64,
+            max: values.iter().copied().fold(f64::NEG_INFINITY, f64::max),
         }
     }
 }
--- a/crates/rig/src/calibrate/harness.rs
+++ b/crates/rig/src/calibrate/harness.rs
@@ -1,8 +1,8 @@
 //! The sockets of the stand-ins: one thread and one poll for discovery, all workers, all clients and the relay.
 
 use super::counts::{Counts, Flow};
-use super::discovery::{Answer, BEAT, Capacity, Discovery, Host};
-use super::message::{self, LIMIT, Message};
+use super::discovery::{Answer, Capacity, Discovery, Host, KEEPALIVE_INTERVAL};
+use super::message::{self, MAX_MESSAGE_BYTES, Message};
 use super::relay::Relay;
 use super::submitters::{Outcome, Submission, Submitters};
 use super::timers::Timers;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Connections that all stand-ins together may hold.
-const CONNECTIONS: usize = 16_000;
+const MAX_CONNECTIONS: usize = 16_000;
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,13 +24,13 @@
     Discovery(Option<Instant>),
     /// From a scheduler to this worker.
     Worker(usize),
-    /// From this worker to this scheduler, with call-backs.
-    News(usize, usize),
+    /// From this worker to this scheduler, with call-callback_queues.
+    Callback(usize, usize),
     /// From a client to this scheduler.
     Client(usize),
 }
 
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) input: Vec<u8>,
     pub(super) output: Vec<u8>,
@@ -38,19 +38,19 @@
 }
 
 /// What is to be done at a time.
-pub(super) enum Due {
+pub(super) enum TimerEvent {
     /// A watch may need its empty line.
-    Beat(usize),
+    Keepalive(usize),
     /// Discovery answers a call.
-    Reply(usize, Answer),
+    DiscoveryAnswer(usize, Answer),
     /// A worker's job goes on or ends.
-    Wake(u64),
+    WorkerTimer(u64),
     /// A client submits a job.
     Submit(usize),
     /// A client's patience ends.
     Expire(usize),
-    /// Call-backs of this worker to this scheduler are tried again.
-    News(usize, usize),
+    /// Call-callback_queues of this worker to this scheduler are tried again.
+    Callback(usize, usize),
     /// The list changes.
     Change(Change),
 }
@@ -58,90 +58,91 @@
 /// A change of the list, and of the worker that it is about.
 pub struct Change {
     /// The worker.
-    pub station: usize,
+    pub worker: usize,
     /// Its new health: `in_service` under a new start, or `terminating`.
     pub health: &'static str,
 }
 
-/// Call-backs of a worker to a scheduler: one after the other, each until it is answered, ten times at most.
+/// Call-callback_queues of a worker to a scheduler: one after the other, each until it is answered, ten times at most.
 #[derive(Default)]
-pub(super) struct Back {
+pub(super) struct CallbackQueue {
     token: Option<usize>,
     queue: VecDeque<(String, u32)>,
-    busy: bool,
+    awaiting_answer: bool,
 }
 
-/// Calls of a call-back at most.
-const NEWS_TRIES: u32 = 10;
+/// Calls of a call-callbacks at most.
+const MAX_CALLBACK_ATTEMPTS: u32 = 10;
 
 /// See the head of this file.
 pub struct Harness {
     poll: Poll,
     next: usize,
-    pub(super) conns: HashMap<usize, Conn>,
+    pub(super) connections: HashMap<usize, Connection>,
     listeners: HashMap<usize, (TcpListener, Role)>,
-    timers: Timers<Due>,
+    timers: Timers<TimerEvent>,
     relay: Relay,
     discovery: Discovery,
-    discovery_at: SocketAddr,
+    discovery_address: SocketAddr,
     worker_pool: WorkerPool,
-    backs: HashMap<(usize, usize), Back>,
+    callback_queues: HashMap<(usize, usize), CallbackQueue>,
     pub(super) submitters: Submitters,
-    /// By rank: where the scheduler takes clients and call-backs.
-    pub(super) homes: Vec<Option<SocketAddr>>,
+    /// By rank: where the scheduler takes clients and call-callback_queues.
+    pub(super) scheduler_addresses: Vec<Option<SocketAddr>>,
     pub(super) counts: Counts,
-    /// Call-backs that were not answered in ten calls, or had nobody to go to.
-    pub news_dropped: u64,
+    /// Call-callback_queues that were not answered in ten calls, or had nobody to go to.
+    pub callbacks_dropped: u64,
 }
 
 impl Harness {
-    /// Opens the sockets. The addresses in `hosts` are filled in; one stands for the worker of the same place in `kinds`.
+    /// Opens the sockets. The addresses in `hosts` are filled in; one stands for the worker of the same place in `specs`.
     pub fn new(
-        kinds: Vec<WorkerSpec>,
+        specs: Vec<WorkerSpec>,
         mut hosts: Vec<Host>,
         worker_settings: WorkerSettings,
         capacity: Capacity,
         schedulers: usize,
     ) -> Result<Harness, String> {
-        let told = |error: std::io::Error| error.to_string();
-        let poll = Poll::new().map_err(told)?;
+        let error_text = |error: std::io::Error| error.to_string();
+        let poll = Poll::new().map_err(error_text)?;
         let mut listeners = HashMap::new();
         let mut next = 0;
         let mut listen = |role| -> Result<SocketAddr, String> {
-            let mut listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(told)?;
-            let at = listener.local_addr().map_err(told)?;
-            poll.registry().register(&mut listener, Token(next), Interest::READABLE).map_err(told)?;
+            let mut listener =
+                TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(error_text)?;
+            let at = listener.local_addr().map_err(error_text)?;
+            poll.registry().register(&mut listener, Token(next), Interest::READABLE).map_err(error_text)?;
             listeners.insert(next, (listener, role));
             next += 1;
             Ok(at)
         };
-        let discovery_at = listen(Role::Discovery(None))?;
-        for (nr, host) in hosts.iter_mut().enumerate() {
-            host.dial = listen(Role::Worker(nr))?;
+        let discovery_address = listen(Role::Discovery(None))?;
+        for (index, host) in hosts.iter_mut().enumerate() {
+            host.dial = listen(Role::Worker(index))?;
         }
-        let relay = Relay::new(poll.registry(), next, schedulers).map_err(told)?;
+        let relay = Relay::new(poll.registry(), next, schedulers).map_err(error_text)?;
         let now = Instant::now();
         Ok(Harness {
             poll,
             next: next + schedulers + 1,
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             listeners,
             timers: Timers::default(),
             relay,
             discovery: Discovery::new(hosts, capacity, now),
-            discovery_at,
-            worker_pool: WorkerPool::new(kinds, worker_settings),
-            backs: HashMap::new(),
+            discovery_address,
+            worker_pool: WorkerPool::new(specs, worker_settings),
+            callback_queues: HashMap::new(),
             submitters: Submitters::new(schedulers),
-            homes: vec![None; schedulers],
+            scheduler_addresses: vec![None; schedulers],
             counts: Counts::default(),
-            news_dropped: 0,
+            callbacks_dropped: 0,
         })
     }
 
     /// Where discovery is.
-    pub fn discovery_at(&self) -> SocketAddr {
-        self.discovery_at
+    pub fn discovery_address(&self) -> SocketAddr {
+        self.discovery_address
     }
 
     /// Discovery, the workers, the relay, and what was counted.
@@ -166,15 +167,15 @@
 
     /// A scheduler of this rank listens here from now on; `None`: it has gone.
     pub fn set_address(&mut self, rank: usize, clients: Option<SocketAddr>, peers: Option<SocketAddr>) {
-        self.homes[rank] = clients;
+        self.scheduler_addresses[rank] = clients;
         self.relay.set_address(rank, peers, &mut self.counts);
     }
 
     /// Clients submit these jobs, each so long after `from`.
     pub fn submit(&mut self, from: Instant, jobs: Vec<Submission>) {
-        for nr in self.submitters.take(jobs) {
-            let at = from + self.submitters.job(nr).at;
-            self.set(at, Due::Submit(nr));
+        for index in self.submitters.add_jobs(jobs) {
+            let at = from + self.submitters.job(index).offset;
+            self.set_timer(at, TimerEvent::Submit(index));
         }
     }
 
@@ -184,13 +185,13 @@
     }
 
     /// The list changes at this time.
-    pub fn change(&mut self, at: Instant, change: Change) {
-        self.set(at, Due::Change(change));
+    pub fn schedule_change(&mut self, at: Instant, change: Change) {
+        self.set_timer(at, TimerEvent::Change(change));
     }
 
     /// Writes the whole list, under a new version, on every watch.
-    pub fn renew(&mut self) {
-        let chunk = self.discovery.renew();
+    pub fn send_full_list(&mut self) {
+        let chunk = self.discovery.republish();
         self.broadcast(Flow::WatchFullList, &chunk);
     }
 
@@ -201,7 +202,10 @@
 
     /// Watches that are open.
     pub fn watches(&self) -> usize {
-        self.conns.values().filter(|conn| matches!(conn.role, Role::Discovery(Some(_)))).count()
+        self.connections
+            .values()
+            .filter(|connection| matches!(connection.role, Role::Discovery(Some(_))))
+            .count()
     }
 
     /// Serves until this time.
@@ -209,8 +213,8 @@
         let mut events = Events::with_capacity(1_024);
         loop {
             let now = Instant::now();
-            while let Some(due) = self.timers.due(now) {
-                self.due(now, due);
+            while let Some(event) = self.timers.pop_due(now) {
+                self.on_timer_event(now, event);
             }
             let now = Instant::now();
             if now >= until {
@@ -222,15 +226,19 @@
                 _ => {}
             }
             for event in &events {
-                self.ready(Instant::now(), event.token().0);
+                self.on_ready(Instant::now(), event.token().0);
             }
         }
     }
 
     /// Serves until the condition holds; tells whether it did in time.
-    pub fn run_while(&mut self, most: Duration, go: impl Fn(&Harness) -> bool) -> Result<bool, String> {
-        let until = Instant::now() + most;
-        while go(self) {
+    pub fn run_while(
+        &mut self,
+        timeout: Duration,
+        condition: impl Fn(&Harness) -> bool,
+    ) -> Result<bool, String> {
+        let until = Instant::now() + timeout;
+        while condition(self) {
             if Instant::now() >= until {
                 return Ok(false);
             }
@@ -239,28 +247,28 @@
         Ok(true)
     }
 
-    pub(super) fn set(&mut self, at: Instant, due: Due) {
-        self.timers.set(at, due);
+    pub(super) fn set_timer(&mut self, at: Instant, event: TimerEvent) {
+        self.timers.set(at, event);
     }
 
-    fn due(&mut self, now: Instant, due: Due) {
-        match due {
-            Due::Beat(token) => self.beat(now, token),
-            Due::Reply(token, answer) => self.reply(now, token, answer),
-            Due::Wake(number) => {
-                let effects = self.worker_pool.wake(now, number);
-                self.follow(effects);
+    fn on_timer_event(&mut self, now: Instant, event: TimerEvent) {
+        match event {
+            TimerEvent::Keepalive(token) => self.send_keepalive(now, token),
+            TimerEvent::DiscoveryAnswer(token, answer) => self.send_discovery_answer(now, token, answer),
+            TimerEvent::WorkerTimer(number) => {
+                let effects = self.worker_pool.on_timer(now, number);
+                self.apply_effects(effects);
             }
-            Due::Submit(job) => self.begin_job(now, job),
-            Due::Expire(job) => self.expire_job(now, job),
-            Due::News(station, rank) => self.call_back(station, rank),
-            Due::Change(change) => self.turn(now, change),
+            TimerEvent::Submit(job) => self.submit_job(now, job),
+            TimerEvent::Expire(job) => self.expire_job(now, job),
+            TimerEvent::Callback(worker, rank) => self.send_callback(worker, rank),
+            TimerEvent::Change(change) => self.apply_change(now, change),
         }
     }
 
-    fn ready(&mut self, now: Instant, token: usize) {
+    fn on_ready(&mut self, now: Instant, token: usize) {
         if let Some(rank) = self.relay.rank(token) {
-            return self.relay.ready(rank, &mut self.counts);
+            return self.relay.receive(rank, &mut self.counts);
         }
         if self.listeners.contains_key(&token) {
             return self.accept(token);
@@ -274,7 +282,7 @@
         while let Some((socket, role)) = self.listeners.get(&listener) {
             let role = *role;
             match socket.accept() {
-                Ok((stream, _)) => drop(self.hold(stream, role)),
+                Ok((stream, _)) => drop(self.add_connection(stream, role)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return,
             }
@@ -282,33 +290,33 @@
     }
 
     /// Keeps a connection; `None` where there are too many.
-    pub(super) fn hold(&mut self, mut stream: TcpStream, role: Role) -> Option<usize> {
-        if self.conns.len() >= CONNECTIONS {
+    pub(super) fn add_connection(&mut self, mut stream: TcpStream, role: Role) -> Option<usize> {
+        if self.connections.len() >= MAX_CONNECTIONS {
             return None;
         }
         let token = self.next;
         self.next += 1;
         let _ = stream.set_nodelay(true);
-        let both = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(token), both).ok()?;
-        self.conns.insert(token, Conn { stream, input: Vec::new(), output: Vec::new(), role });
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.poll.registry().register(&mut stream, Token(token), interest).ok()?;
+        self.connections.insert(token, Connection { stream, input: Vec::new(), output: Vec::new(), role });
         Some(token)
     }
 
     /// Writes to a connection.
-    pub(super) fn put(&mut self, token: usize, bytes: &[u8]) {
-        if let Some(conn) = self.conns.get_mut(&token) {
-            conn.output.extend_from_slice(bytes);
+    pub(super) fn send(&mut self, token: usize, bytes: &[u8]) {
+        if let Some(connection) = self.connections.get_mut(&token) {
+            connection.output.extend_from_slice(bytes);
             self.flush(token);
         }
     }
 
     /// Writes what waits; tells whether the connection goes on.
     fn flush(&mut self, token: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&token) else { return false };
-        while !conn.output.is_empty() {
-            match conn.stream.write(&conn.output) {
-                Ok(count) => drop(conn.output.drain(..count)),
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        while !connection.output.is_empty() {
+            match connection.stream.write(&connection.output) {
+                Ok(count) => drop(connection.output.drain(..count)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // Not up yet, or full.
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
@@ -324,30 +332,34 @@
     }
 
     fn read(&mut self, now: Instant, token: usize) {
-        let mut part = [0; 16 * 1_024];
+        let mut buffer = [0; 16 * 1_024];
         let mut ended = false;
-        while let Some(conn) = self.conns.get_mut(&token) {
-            match conn.stream.read(&mut part) {
+        while let Some(connection) = self.connections.get_mut(&token) {
+            match connection.stream.read(&mut buffer) {
                 Ok(0) => ended = true,
-                Ok(count) => conn.input.extend_from_slice(&part[..count]),
+                Ok(count) => connection.input.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     break;
                 }
                 Err(_) => ended = true,
             }
-            if ended || conn.input.len() > LIMIT {
+            if ended || connection.input.len() > MAX_MESSAGE_BYTES {
                 break;
             }
         }
-        while let Some(conn) = self.conns.get_mut(&token) {
-            let asked = matches!(conn.role, Role::Discovery(_) | Role::Worker(_));
-            let found = if asked { message::request(&conn.input) } else { message::response(&conn.input) };
-            match found {
+        while let Some(connection) = self.connections.get_mut(&token) {
+            let is_request = matches!(connection.role, Role::Discovery(_) | Role::Worker(_));
+            let parsed = if is_request {
+                message::parse_request(&connection.input)
+            } else {
+                message::parse_response(&connection.input)
+            };
+            match parsed {
                 Ok(Some(message)) => {
-                    conn.input.drain(..message.length);
-                    let role = conn.role;
-                    self.heard(now, token, role, message);
+                    connection.input.drain(..message.length);
+                    let role = connection.role;
+                    self.on_message(now, token, role, message);
                 }
                 Ok(None) => break,
                 Err(_) => ended = true,
@@ -361,25 +373,25 @@
         }
     }
 
-    fn heard(&mut self, now: Instant, token: usize, role: Role, message: Message) {
+    fn on_message(&mut self, now: Instant, token: usize, role: Role, message: Message) {
         match role {
-            Role::Discovery(_) => self.asked(now, token, &message),
-            Role::Worker(at) => self.job_came(now, token, at, &message),
-            Role::News(station, rank) => {
+            Role::Discovery(_) => self.on_discovery_request(now, token, &message),
+            Role::Worker(worker) => self.on_worker_request(now, token, worker, &message),
+            Role::Callback(worker, rank) => {
                 self.counts.add(Flow::CallbacksAnswered, message.length);
-                self.news_answered(token, station, rank, &message);
+                self.on_callback_answer(token, worker, rank, &message);
             }
-            Role::Client(rank) => self.job_answered(now, token, rank, &message),
+            Role::Client(rank) => self.on_job_answer(now, token, rank, &message),
         }
     }
 
     /// Lets go of a connection.
     pub(super) fn close(&mut self, token: usize) {
-        let Some(mut conn) = self.conns.remove(&token) else { return };
-        let _ = self.poll.registry().deregister(&mut conn.stream);
-        match conn.role {
-            Role::News(station, rank) => self.news_broke(token, station, rank),
-            Role::Client(rank) => self.client_broke(token, rank),
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let _ = self.poll.registry().deregister(&mut connection.stream);
+        match connection.role {
+            Role::Callback(worker, rank) => self.on_callback_closed(token, worker, rank),
+            Role::Client(rank) => self.on_client_closed(token, rank),
             Role::Discovery(_) | Role::Worker(_) => {}
         }
     }
--- a/crates/rig/src/calibrate/message.rs
+++ b/crates/rig/src/calibrate/message.rs
@@ -3,10 +3,10 @@
 use std::fmt::Write;
 
 /// The largest message that a stand-in takes, in bytes.
-pub const LIMIT: usize = 256 * 1024;
-const HEADERS: usize = 64;
+pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+const MAX_HEADERS: usize = 64;
 
-/// Bytes that are no message of HTTP/1.1, or one beyond [`LIMIT`].
+/// Bytes that are no message of HTTP/1.1, or one beyond [`MAX_MESSAGE_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -23,7 +23,7 @@
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// Bytes of head and body.
+    /// Bytes of head_length and body.
     pub length: usize,
 }
 
@@ -35,66 +35,70 @@
     }
 
     /// The other side closes the connection after it.
-    pub fn last(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-fn owned(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+fn copy_headers(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_owned();
     headers.iter().map(|header| (header.name.to_owned(), text(header.value))).collect()
 }
 
-/// Completes a message by the body that its head tells of.
-fn whole(mut message: Message, head: usize, bytes: &[u8]) -> Result<Option<Message>, Malformed> {
+/// Completes a message by the body that its head_length tells of.
+fn complete_body(
+    mut message: Message,
+    head_length: usize,
+    bytes: &[u8],
+) -> Result<Option<Message>, Malformed> {
     let length = match message.header("content-length") {
         Some(text) => text.parse::<usize>().map_err(|_| Malformed)?,
         None => 0,
     };
-    let end = head.checked_add(length).filter(|&end| end <= LIMIT).ok_or(Malformed)?;
-    let Some(body) = bytes.get(head..end) else { return Ok(None) };
+    let end = head_length.checked_add(length).filter(|&end| end <= MAX_MESSAGE_BYTES).ok_or(Malformed)?;
+    let Some(body) = bytes.get(head_length..end) else { return Ok(None) };
     (message.body, message.length) = (body.to_vec(), end);
     Ok(Some(message))
 }
 
 /// Reads a request from the beginning of these bytes; `None` while it is not whole.
-pub fn request(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
-    let mut raw = [httparse::EMPTY_HEADER; HEADERS];
+pub fn parse_request(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
+    let mut raw = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut raw);
     match parsed.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) => {
+        Ok(httparse::Status::Complete(head_length)) => {
             let message = Message {
                 method: parsed.method.unwrap_or_default().to_owned(),
                 target: parsed.path.unwrap_or_default().to_owned(),
                 status: 0,
-                headers: owned(parsed.headers),
+                headers: copy_headers(parsed.headers),
                 body: Vec::new(),
-                length: head,
+                length: head_length,
             };
-            whole(message, head, bytes)
+            complete_body(message, head_length, bytes)
         }
-        Ok(httparse::Status::Partial) if bytes.len() <= LIMIT => Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_MESSAGE_BYTES => Ok(None),
         _ => Err(Malformed),
     }
 }
 
 /// Reads a response; `None` while it is not whole.
-pub fn response(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
-    let mut raw = [httparse::EMPTY_HEADER; HEADERS];
+pub fn parse_response(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
+    let mut raw = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut raw);
     match parsed.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) => {
+        Ok(httparse::Status::Complete(head_length)) => {
             let message = Message {
                 method: String::new(),
                 target: String::new(),
                 status: parsed.code.unwrap_or(0),
-                headers: owned(parsed.headers),
+                headers: copy_headers(parsed.headers),
                 body: Vec::new(),
-                length: head,
+                length: head_length,
             };
-            whole(message, head, bytes)
+            complete_body(message, head_length, bytes)
         }
-        Ok(httparse::Status::Partial) if bytes.len() <= LIMIT => Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_MESSAGE_BYTES => Ok(None),
         _ => Err(Malformed),
     }
 }
--- a/crates/rig/src/calibrate/mod.rs
+++ b/crates/rig/src/calibrate/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes of the program among stand-ins, and what these saw on the wire: the hollow fleet is held against it.
+//! ReplayResult processes of the program among stand-ins, and what these saw on the wire: the hollow fleet is held against it.
 //!
 //! | part | what it is |
 //! | --- | --- |
@@ -16,12 +16,11 @@
 //! | `replay` | the plan played by processes |
 //! | `compare` | the hollow fleet held against it |
 //! | `command` | the command line |
-//! | `direct` | one process at the letter's size, and what each message costs it |
+//! | `single_process` | one process at the letter's size, and what each message costs it |
 
 pub mod command;
 pub mod compare;
 pub mod counts;
-pub mod direct;
 pub mod discovery;
 pub mod fleet;
 pub mod harness;
@@ -30,6 +29,7 @@
 pub mod relay;
 pub mod replay;
 pub mod scenario;
+pub mod single_process;
 pub mod submitters;
 mod timers;
 pub mod worker_pool;
--- a/crates/rig/src/calibrate/process.rs
+++ b/crates/rig/src/calibrate/process.rs
@@ -26,51 +26,55 @@
 /// A process of the program; killed and cleared away when dropped.
 pub struct Process {
     child: Child,
-    file: PathBuf,
-    log: PathBuf,
-    /// Where clients connect, and workers with their call-backs.
+    config_file: PathBuf,
+    log_file: PathBuf,
+    /// Where clients connect, and workers with their call-callback_queues.
     pub clients: Option<SocketAddr>,
     /// Where datagrams of other schedulers arrive.
     pub peers: Option<SocketAddr>,
 }
 
 impl Process {
-    /// Starts the program with this configuration; where it listens shows later (see [`Process::look`]).
+    /// Starts the program with this configuration; where it listens shows later (see [`Process::poll_log`]).
     pub fn start(program: &Path, config: &Value) -> Result<Process, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let nr = NEXT.fetch_add(1, Ordering::Relaxed);
-        let stem = std::env::temp_dir().join(format!("calicolb-calibrate-{}-{nr}", std::process::id()));
-        let (file, log) = (stem.with_extension("json"), stem.with_extension("log"));
-        fs::write(&file, config.to_string()).map_err(|error| format!("{}: {error}", file.display()))?;
-        let errors = File::create(&log).map_err(|error| format!("{}: {error}", log.display()))?;
+        let index = NEXT.fetch_add(1, Ordering::Relaxed);
+        let base = std::env::temp_dir().join(format!("calicolb-calibrate-{}-{index}", std::process::id()));
+        let (config_file, log_file) = (base.with_extension("json"), base.with_extension("log"));
+        fs::write(&config_file, config.to_string())
+            .map_err(|error| format!("cannot write {}: {error}", config_file.display()))?;
+        let stderr = File::create(&log_file)
+            .map_err(|error| format!("cannot write {}: {error}", log_file.display()))?;
         let mut command = Command::new(program);
-        command.env("RELAY_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(errors);
-        for set in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_MGMT", "RELAY_PASSED_SOCKET"] {
-            command.env_remove(set);
+        command.env("RELAY_CONFIG", &config_file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(stderr);
+        for variable in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_MGMT", "RELAY_PASSED_SOCKET"]
+        {
+            command.env_remove(variable);
         }
-        let child = command.spawn().map_err(|error| format!("{}: {error}", program.display()))?;
-        Ok(Process { child, file, log, clients: None, peers: None })
+        let child =
+            command.spawn().map_err(|error| format!("cannot start {}: {error}", program.display()))?;
+        Ok(Process { child, config_file, log_file, clients: None, peers: None })
     }
 
     /// Looks into its log for where it listens; tells whether it serves. `Err`: it has ended.
-    pub fn look(&mut self) -> Result<bool, String> {
-        let text = fs::read_to_string(&self.log).unwrap_or_default();
-        let after = |mark: &str| {
-            let line = text.lines().find_map(|line| line.split_once(mark));
+    pub fn poll_log(&mut self) -> Result<bool, String> {
+        let text = fs::read_to_string(&self.log_file).unwrap_or_default();
+        let value_after = |prefix: &str| {
+            let line = text.lines().find_map(|line| line.split_once(prefix));
             line.and_then(|(_, rest)| rest.trim().parse().ok())
         };
-        self.peers = after("listens for schedulers on ");
-        self.clients = after("serves on ");
+        self.peers = value_after("listens for schedulers on ");
+        self.clients = value_after("serves on ");
         match self.child.try_wait() {
             Ok(None) => Ok(self.clients.is_some()),
-            Ok(Some(status)) => Err(format!("a scheduler ended with {status}: {text}")),
+            Ok(Some(status)) => Err(format!("scheduler process exited with {status}; its log: {text}")),
             Err(error) => Err(error.to_string()),
         }
     }
 
     /// The lines of its log.
     pub fn log(&self) -> Vec<String> {
-        fs::read_to_string(&self.log).unwrap_or_default().lines().map(str::to_owned).collect()
+        fs::read_to_string(&self.log_file).unwrap_or_default().lines().map(str::to_owned).collect()
     }
 
     /// What it has used so far.
@@ -83,18 +87,18 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = fs::remove_file(&self.file);
-        let _ = fs::remove_file(&self.log);
+        let _ = fs::remove_file(&self.config_file);
+        let _ = fs::remove_file(&self.log_file);
     }
 }
 
 /// What the kernel says of a process.
 pub fn usage(id: u32) -> Usage {
-    let read = |what: &str| fs::read_to_string(format!("/proc/{id}/{what}")).unwrap_or_default();
+    let read = |name: &str| fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
     let stat = read("stat");
     // Behind the name, which may hold spaces: user and system time are the 12th and 13th from there.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_ascii_whitespace().collect();
-    let ticks = |nr: usize| fields.get(nr).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+    let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
     let status = read("status");
     let memory = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name));
@@ -133,5 +137,5 @@
         Some(path) => path.to_owned(),
         None => crate::program::program()?,
     };
-    if path.exists() { Ok(path) } else { Err(format!("{} is not there", path.display())) }
+    if path.exists() { Ok(path) } else { Err(format!("program {} does not exist", path.display())) }
 }
--- a/crates/rig/src/calibrate/replay.rs
+++ b/crates/rig/src/calibrate/replay.rs
@@ -6,8 +6,8 @@
 use super::harness::Harness;
 use super::process::{Process, Usage, datagrams_dropped};
 use super::scenario;
-use super::submitters::{Outcome, Told};
-use super::worker_pool::Seen;
+use super::submitters::{AnswerKind, Outcome};
+use super::worker_pool::WorkerCounters;
 use calicolb_simulation::Plan;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -16,14 +16,14 @@
 use std::time::{Duration, Instant};
 
 /// So long after a start everything that belongs to it is over: the module spreads its first call over four seconds.
-const START: Duration = Duration::from_secs(7);
+const RESTART_SPAN: Duration = Duration::from_secs(7);
 /// What is still on its way at an end has come by this time.
-const REST: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// What came of a play by real processes. Counts of messages, processor time and starts are those of the seconds that
 /// count; a request counts where it came in.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Real {
+pub struct ReplayResult {
     /// Processes of the program.
     pub processes: u32,
     /// Workers.
@@ -55,9 +55,11 @@
     /// Attempts that reached workers, were turned away, and were given up.
     pub attempts: u64,
     /// See above.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected: u64,
     /// See above.
-    pub given_up: u64,
+    #[serde(rename = "given_up")]
+    pub cancelled: u64,
     /// Memory of a process at the end, and at its most, in KiB.
     pub resident_kib: Spread,
     /// See above.
@@ -79,10 +81,12 @@
     pub datagrams_unknown: u64,
     /// Over the whole play: datagrams that the kernel dropped at the relay's or a scheduler's socket.
     pub datagrams_dropped: u64,
-    /// Over the whole play: call-backs that nobody took.
-    pub news_dropped: u64,
+    /// Over the whole play: call-callback_queues that nobody took.
+    #[serde(rename = "news_dropped")]
+    pub callbacks_dropped: u64,
     /// Over the whole play: calls that discovery turned away.
-    pub calls_turned_away: u64,
+    #[serde(rename = "calls_turned_away")]
+    pub calls_rejected: u64,
     /// What one start adds in a fleet that is at rest, where a process was killed and started anew.
     pub restart: Option<Restart>,
 }
@@ -103,14 +107,14 @@
 struct Snapshot {
     counts: Counts,
     usages: Vec<Usage>,
-    seen: Seen,
+    counters: WorkerCounters,
 }
 
 fn snapshot(harness: &Harness, processes: &[Process]) -> Snapshot {
     Snapshot {
         counts: harness.counts().clone(),
         usages: usages(processes),
-        seen: harness.worker_pool().seen(),
+        counters: harness.worker_pool().counters(),
     }
 }
 
@@ -120,17 +124,17 @@
 /// # Errors
 ///
 /// The program does not start or serve, or a socket cannot be had.
-pub fn replay(program: &Path, plan: &Plan, anew: bool) -> Result<Real, String> {
+pub fn replay(program: &Path, plan: &Plan, with_restart: bool) -> Result<ReplayResult, String> {
     let outline = calicolb_simulation::workload(plan);
     let settings = scenario::settings(plan);
-    let (kinds, hosts) = scenario::workers(&outline, &settings);
+    let (specs, hosts) = scenario::workers(&outline, &settings);
     let ranks = plan.schedulers as usize;
     let mut harness =
-        Harness::new(kinds, hosts, scenario::worker_settings(&settings), Capacity::default(), ranks)?;
+        Harness::new(specs, hosts, scenario::worker_settings(&settings), Capacity::default(), ranks)?;
     let mut processes = start(program, &mut harness, &settings, 0..ranks, plan.seed)?;
     let (jobs, counting) = scenario::submissions(&outline, &settings);
     let aims: Vec<Duration> = jobs.iter().map(|job| job.aim).collect();
-    let last = jobs.iter().map(|job| job.at + job.patience).max().unwrap_or_default();
+    let last_timeout = jobs.iter().map(|job| job.offset + job.client_timeout).max().unwrap_or_default();
     let begun = Instant::now();
     harness.submit(begun, jobs);
     let micros = Duration::from_micros;
@@ -139,62 +143,65 @@
     harness.run_until(begun + micros(outline.measured_span.1))?;
     let (after, spent) = (snapshot(&harness, &processes), from.elapsed().as_secs_f64());
     // Until the last answer: none is later than its client's patience and some slack.
-    let left = (begun + last + Duration::from_secs(10)).saturating_duration_since(Instant::now());
-    harness.run_while(left, |harness| harness.outcomes().iter().any(Option::is_none))?;
+    let time_left =
+        (begun + last_timeout + Duration::from_secs(10)).saturating_duration_since(Instant::now());
+    harness.run_while(time_left, |harness| harness.outcomes().iter().any(Option::is_none))?;
     for process in &mut processes {
-        process.look()?;
+        process.poll_log()?;
     }
-    let mut real = Real {
+    let mut real = ReplayResult {
         processes: plan.schedulers,
         workers: plan.workers,
         tenants: plan.tenants,
         seconds: spent,
-        ..Real::default()
+        ..ReplayResult::default()
     };
-    real.tell_jobs(harness.outcomes(), &counting, &aims);
-    real.tell_use(&before, &after, spent);
-    let all = harness.worker_pool().seen();
-    (real.doubled, real.overlapping, real.running_peak) = (all.doubled, all.overlapping, all.running_peak);
-    if anew {
+    real.count_outcomes(harness.outcomes(), &counting, &aims);
+    real.record_usage(&before, &after, spent);
+    let totals = harness.worker_pool().counters();
+    (real.doubled, real.overlapping, real.running_peak) =
+        (totals.doubled, totals.overlapping, totals.running_peak);
+    if with_restart {
         real.restart = Some(restart(program, &mut harness, &settings, &mut processes, plan.seed)?);
     }
     let counts = harness.counts();
     real.datagram_longest = counts.datagram_longest;
     real.datagrams_unknown = counts.of(Flow::UnknownSent).messages;
     let (each, to_all) = harness.relay().addresses().map_err(|error| error.to_string())?;
-    let homes = processes.iter().filter_map(|process| process.peers);
+    let scheduler_addresses = processes.iter().filter_map(|process| process.peers);
     let ports: Vec<u16> =
-        each.into_iter().chain([to_all]).chain(homes).map(|at: SocketAddr| at.port()).collect();
+        each.into_iter().chain([to_all]).chain(scheduler_addresses).map(|at: SocketAddr| at.port()).collect();
     real.datagrams_dropped = datagrams_dropped(&ports);
-    real.news_dropped = harness.news_dropped;
-    real.calls_turned_away = harness.discovery().turned_away;
+    real.callbacks_dropped = harness.callbacks_dropped;
+    real.calls_rejected = harness.discovery().rejected;
     Ok(real)
 }
 
-impl Real {
-    fn tell_jobs(&mut self, outcomes: &[Option<Outcome>], counting: &[bool], aims: &[Duration]) {
-        for (nr, outcome) in outcomes.iter().enumerate() {
-            let told = outcome.map_or(Told::Nothing, |outcome| outcome.told);
-            self.lost += u64::from(told == Told::Nothing);
-            if !counting[nr] {
+impl ReplayResult {
+    fn count_outcomes(&mut self, outcomes: &[Option<Outcome>], counting: &[bool], aims: &[Duration]) {
+        for (index, outcome) in outcomes.iter().enumerate() {
+            let kind = outcome.map_or(AnswerKind::NoAnswer, |outcome| outcome.kind);
+            self.lost += u64::from(kind == AnswerKind::NoAnswer);
+            if !counting[index] {
                 continue;
             }
             self.jobs += 1;
-            self.served += u64::from(told == Told::Served);
-            self.refused += u64::from(told == Told::Refused);
-            self.failed += u64::from(told == Told::Failed);
-            let late = outcome.is_some_and(|outcome| told == Told::Served && outcome.time > aims[nr]);
+            self.served += u64::from(kind == AnswerKind::Served);
+            self.refused += u64::from(kind == AnswerKind::Refused);
+            self.failed += u64::from(kind == AnswerKind::Failed);
+            let late =
+                outcome.is_some_and(|outcome| kind == AnswerKind::Served && outcome.latency > aims[index]);
             self.late += u64::from(late);
         }
     }
 
-    fn tell_use(&mut self, before: &Snapshot, after: &Snapshot, spent: f64) {
+    fn record_usage(&mut self, before: &Snapshot, after: &Snapshot, spent: f64) {
         let pairs = || before.usages.iter().zip(&after.usages);
-        let (then, now) = (&before.seen, &after.seen);
+        let (then, now) = (&before.counters, &after.counters);
         self.started = now.started - then.started;
         self.attempts = now.attempts - then.attempts;
-        self.turned_away = now.turned_away - then.turned_away;
-        self.given_up = now.given_up - then.given_up;
+        self.rejected = now.rejected - then.rejected;
+        self.cancelled = now.cancelled - then.cancelled;
         self.resident_kib = Spread::of(after.usages.iter().map(|usage| usage.resident_kib as f64));
         self.resident_peak_kib = Spread::of(after.usages.iter().map(|usage| usage.resident_peak_kib as f64));
         self.cpu_ms_per_s = Spread::of(pairs().map(|(then, now)| (now.cpu_ms - then.cpu_ms) / spent));
@@ -216,34 +223,34 @@
     seed: u64,
 ) -> Result<Restart, String> {
     let rank = processes.len() - 1;
-    harness.run_until(Instant::now() + REST)?;
+    harness.run_until(Instant::now() + SETTLE_TIME)?;
     let begun = harness.counts().clone();
-    harness.run_until(Instant::now() + START)?;
-    let rest = harness.counts().since(&begun).by_function();
+    harness.run_until(Instant::now() + RESTART_SPAN)?;
+    let at_rest = harness.counts().since(&begun).by_function();
     drop(processes.pop());
     harness.set_address(rank, None, None);
-    harness.run_until(Instant::now() + REST)?;
+    harness.run_until(Instant::now() + SETTLE_TIME)?;
     let (before, from) = (harness.counts().clone(), Instant::now());
-    let anew = start(program, harness, settings, rank..rank + 1, seed ^ 1)?;
-    let used = usages(&anew);
-    processes.extend(anew);
-    harness.run_until(from + START)?;
+    let restarted = start(program, harness, settings, rank..rank + 1, seed ^ 1)?;
+    let used = usages(&restarted);
+    processes.extend(restarted);
+    harness.run_until(from + RESTART_SPAN)?;
     let counts = harness.counts().since(&before);
     let mut traffic = counts.by_function();
     for (name, sum) in &mut traffic {
-        let at_rest = rest.get(name).copied().unwrap_or_default();
-        sum.messages = sum.messages.saturating_sub(at_rest.messages);
-        sum.bytes = sum.bytes.saturating_sub(at_rest.bytes);
+        let idle = at_rest.get(name).copied().unwrap_or_default();
+        sum.messages = sum.messages.saturating_sub(idle.messages);
+        sum.bytes = sum.bytes.saturating_sub(idle.bytes);
     }
     // Its greeting goes out once; each of the others answers, and hears the greeting: that is their traffic, not its own.
-    let own = [
+    let own_flows = [
         Flow::WatchRequested,
         Flow::WatchOpened,
         Flow::WatchFullList,
         Flow::ListRequested,
         Flow::ListAnswered,
     ];
-    let bytes = counts.sum(&own).bytes + counts.of(Flow::HellosSent).bytes;
+    let bytes = counts.sum(&own_flows).bytes + counts.of(Flow::HellosSent).bytes;
     let used = used.first().copied().unwrap_or_default();
     Ok(Restart { traffic, bytes, resident_kib: used.resident_kib, on_cpu_ms: used.on_cpu_ms })
 }
--- a/crates/rig/src/calibrate/scenario.rs
+++ b/crates/rig/src/calibrate/scenario.rs
@@ -9,25 +9,25 @@
 use std::time::Duration;
 
 /// A worker closes a connection that has been idle for so long; the hollow fleet has the same.
-const CONN_IDLE_US: u64 = 10_000_000;
+const CONNECTION_IDLE_US: u64 = 10_000_000;
 
 /// What all schedulers are told, but for rank and zone.
 pub fn settings(plan: &Plan) -> Value {
     let mut settings = plan.settings_json();
-    settings["ceilings"]["conn_idle_us"] = json!(CONN_IDLE_US);
+    settings["ceilings"]["conn_idle_us"] = json!(CONNECTION_IDLE_US);
     settings
 }
 
 /// The workers, and their lines on the list; where each listens is filled in by the harness.
 pub fn workers(outline: &Workload, settings: &Value) -> (Vec<WorkerSpec>, Vec<Host>) {
     let class = |kind: usize| settings["kinds"][kind].as_str().unwrap_or_default().to_owned();
-    let kinds = outline.workers.iter().map(|worker| WorkerSpec {
+    let specs = outline.workers.iter().map(|worker| WorkerSpec {
         name: worker.name.clone(),
         slots: worker.slots,
         memory: 0.0,
         speed: worker.speed,
         phase: Duration::from_millis(u64::from(worker.cell) * 37 % 700),
-        born: None,
+        started_at: None,
     });
     let hosts = outline.workers.iter().map(|worker| Host {
         host: worker.name.clone(),
@@ -39,22 +39,22 @@
         share: 1.0,
         born_ms: 0,
     });
-    (kinds.collect(), hosts.collect())
+    (specs.collect(), hosts.collect())
 }
 
 /// What workers go by, as the settings say.
 pub fn worker_settings(settings: &Value) -> WorkerSettings {
     let micros = |value: &Value| Duration::from_micros(value.as_u64().unwrap_or(0));
     let fields = settings["report"]["fields"].as_array().cloned().unwrap_or_default();
-    let answers = settings["report"]["how"] == "answers";
+    let in_answers = settings["report"]["how"] == "answers";
     WorkerSettings {
-        cold: micros(&settings["rules"]["cold_us"]),
+        warm_up: micros(&settings["rules"]["cold_us"]),
         start_speed: settings["rules"]["start_capacity"].as_f64().unwrap_or(1.0),
-        tells_start: settings["extra"]["tells_start"] == true,
-        progress: micros(&settings["extra"]["progress_us"]),
-        report: fields
+        reports_start: settings["extra"]["tells_start"] == true,
+        progress_interval: micros(&settings["extra"]["progress_us"]),
+        report_fields: fields
             .iter()
-            .filter(|_| answers)
+            .filter(|_| in_answers)
             .filter_map(|field| field.as_str().map(str::to_owned))
             .collect(),
     }
@@ -62,7 +62,7 @@
 
 /// The requests as clients submit them, and which of them count.
 pub fn submissions(outline: &Workload, settings: &Value) -> (Vec<Submission>, Vec<bool>) {
-    let one = |(nr, request): (usize, &calicolb_simulation::WorkloadRequest)| {
+    let submission = |(index, request): (usize, &calicolb_simulation::WorkloadRequest)| {
         let tenant = request.tenant.and_then(|tenant| settings["orgs"][tenant]["name"].as_str());
         let mut headers = vec![
             ("Request-Class", request.class_name.to_owned()),
@@ -72,16 +72,16 @@
         ];
         headers.extend(tenant.map(|name| ("Tenant", name.to_owned())));
         Submission {
-            at: Duration::from_micros(request.sent_at),
+            offset: Duration::from_micros(request.sent_at),
             rank: request.rank as usize,
-            id: format!("r{nr:08x}"),
+            id: format!("r{index:08x}"),
             target: format!("/{}", request.class_name),
             headers,
             body: format!("work={:.0} slots={}", request.work, request.slots),
             aim: Duration::from_micros(request.aim),
-            patience: Duration::from_micros(request.client_timeout),
+            client_timeout: Duration::from_micros(request.client_timeout),
         }
     };
-    let jobs = outline.requests.iter().enumerate().map(one).collect();
+    let jobs = outline.requests.iter().enumerate().map(submission).collect();
     (jobs, outline.requests.iter().map(|request| request.measured).collect())
 }
--- a/crates/rig/src/calibrate/submitters.rs
+++ b/crates/rig/src/calibrate/submitters.rs
@@ -1,7 +1,7 @@
 //! Stand-in clients: who submits what to which scheduler, on which connection, and what came of it.
 
 use super::counts::Flow;
-use super::harness::{Due, Harness, Role};
+use super::harness::{Harness, Role, TimerEvent};
 use super::message::{self, Message};
 use super::worker_pool::result;
 use mio::net::TcpStream;
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 /// An answer may come so long after a client's patience before it counts as lost: the pages' slack and 50 ms, and what a
-/// busy machine may add.
-const SLACK: Duration = Duration::from_millis(1_000);
+/// awaiting_answer machine may add.
+const ANSWER_SLACK: Duration = Duration::from_millis(1_000);
 
 /// A job that a client submits.
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// When, from the beginning.
-    pub at: Duration,
+    pub offset: Duration,
     /// To the scheduler of this rank.
     pub rank: usize,
     /// The id of the request.
@@ -30,41 +30,41 @@
     /// An answer within this time is in time.
     pub aim: Duration,
     /// For so long the client waits.
-    pub patience: Duration,
+    pub client_timeout: Duration,
 }
 
 /// What came of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// Its kind.
-    pub told: Told,
+    pub kind: AnswerKind,
     /// From submission to answer.
-    pub time: Duration,
+    pub latency: Duration,
 }
 
-/// What a client was told.
+/// What a client was kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AnswerKind {
     /// The worker's result.
     Served,
     /// Come again.
     Refused,
     /// It failed.
     Failed,
-    /// Nothing in all its time, or the connection ended without an answer, or a result that no worker made.
-    Nothing,
+    /// Nothing in all its time, or the connection ended without an answer, or a result that no worker stream.
+    NoAnswer,
 }
 
 /// See the head of this file.
 pub struct Submitters {
     jobs: Vec<Submission>,
     outcomes: Vec<Option<Outcome>>,
-    begun: Vec<Option<Instant>>,
-    ranks: HashMap<String, usize>,
+    submitted_at: Vec<Option<Instant>>,
+    rank_by_id: HashMap<String, usize>,
     /// By rank: connections at rest.
-    idle: Vec<Vec<usize>>,
-    /// What is under way on a connection; whether that connection had been used before.
-    out: HashMap<usize, (usize, bool)>,
+    idle_connections: Vec<Vec<usize>>,
+    /// What is under way on a connection; whether that connection had been reused before.
+    in_flight: HashMap<usize, (usize, bool)>,
 }
 
 impl Submitters {
@@ -73,26 +73,26 @@
         Submitters {
             jobs: Vec::new(),
             outcomes: Vec::new(),
-            begun: Vec::new(),
-            ranks: HashMap::new(),
-            idle: vec![Vec::new(); schedulers],
-            out: HashMap::new(),
+            submitted_at: Vec::new(),
+            rank_by_id: HashMap::new(),
+            idle_connections: vec![Vec::new(); schedulers],
+            in_flight: HashMap::new(),
         }
     }
 
     /// Takes on these jobs; gives their numbers.
-    pub fn take(&mut self, jobs: Vec<Submission>) -> std::ops::Range<usize> {
+    pub fn add_jobs(&mut self, jobs: Vec<Submission>) -> std::ops::Range<usize> {
         let first = self.jobs.len();
-        self.ranks.extend(jobs.iter().map(|job| (job.id.clone(), job.rank)));
+        self.rank_by_id.extend(jobs.iter().map(|job| (job.id.clone(), job.rank)));
         self.jobs.extend(jobs);
         self.outcomes.resize(self.jobs.len(), None);
-        self.begun.resize(self.jobs.len(), None);
+        self.submitted_at.resize(self.jobs.len(), None);
         first..self.jobs.len()
     }
 
     /// A job by its number.
-    pub fn job(&self, nr: usize) -> &Submission {
-        &self.jobs[nr]
+    pub fn job(&self, index: usize) -> &Submission {
+        &self.jobs[index]
     }
 
     /// All jobs.
@@ -107,89 +107,93 @@
 
     /// The scheduler that a request was submitted to.
     pub fn rank_of(&self, id: &str) -> Option<usize> {
-        self.ranks.get(id).copied()
+        self.rank_by_id.get(id).copied()
     }
 }
 
 impl Harness {
     /// A client submits a job.
-    pub(super) fn begin_job(&mut self, now: Instant, nr: usize) {
-        self.submitters.begun[nr] = Some(now);
-        let patience = self.submitters.jobs[nr].patience;
-        self.set(now + patience + SLACK, Due::Expire(nr));
-        let rank = self.submitters.jobs[nr].rank;
-        match self.submitters.idle[rank].pop() {
-            Some(token) => self.write_job(nr, token, true),
-            None => self.write_anew(now, nr),
+    pub(super) fn submit_job(&mut self, now: Instant, index: usize) {
+        self.submitters.submitted_at[index] = Some(now);
+        let client_timeout = self.submitters.jobs[index].client_timeout;
+        self.set_timer(now + client_timeout + ANSWER_SLACK, TimerEvent::Expire(index));
+        let rank = self.submitters.jobs[index].rank;
+        match self.submitters.idle_connections[rank].pop() {
+            Some(token) => self.write_job(index, token, true),
+            None => self.write_on_new_connection(now, index),
         }
     }
 
-    fn write_anew(&mut self, now: Instant, nr: usize) {
-        let rank = self.submitters.jobs[nr].rank;
-        let made = self.homes[rank].and_then(|at| TcpStream::connect(at).ok());
-        match made.and_then(|stream| self.hold(stream, Role::Client(rank))) {
-            Some(token) => self.write_job(nr, token, false),
-            None => self.conclude(now, nr, Told::Nothing),
+    fn write_on_new_connection(&mut self, now: Instant, index: usize) {
+        let rank = self.submitters.jobs[index].rank;
+        let stream = self.scheduler_addresses[rank].and_then(|at| TcpStream::connect(at).ok());
+        match stream.and_then(|stream| self.add_connection(stream, Role::Client(rank))) {
+            Some(token) => self.write_job(index, token, false),
+            None => self.finish_job(now, index, AnswerKind::NoAnswer),
         }
     }
 
-    fn write_job(&mut self, nr: usize, token: usize, used: bool) {
-        let job = &self.submitters.jobs[nr];
+    fn write_job(&mut self, index: usize, token: usize, reused: bool) {
+        let job = &self.submitters.jobs[index];
         let mut headers = vec![("Host", "origin.svc".to_owned()), ("Request-Id", job.id.clone())];
         headers.extend(job.headers.iter().cloned());
         let bytes = message::write_request("POST", &job.target, &headers, &job.body);
-        self.submitters.out.insert(token, (nr, used));
+        self.submitters.in_flight.insert(token, (index, reused));
         self.counts.add(Flow::JobsSent, bytes.len());
-        self.put(token, &bytes);
+        self.send(token, &bytes);
     }
 
-    fn conclude(&mut self, now: Instant, nr: usize, told: Told) {
-        if self.submitters.outcomes[nr].is_none() {
-            let time = self.submitters.begun[nr].map_or(Duration::ZERO, |begun| now - begun);
-            self.submitters.outcomes[nr] = Some(Outcome { told, time });
+    fn finish_job(&mut self, now: Instant, index: usize, kind: AnswerKind) {
+        if self.submitters.outcomes[index].is_none() {
+            let latency =
+                self.submitters.submitted_at[index].map_or(Duration::ZERO, |submitted_at| now - submitted_at);
+            self.submitters.outcomes[index] = Some(Outcome { kind, latency });
         }
     }
 
     /// A scheduler has answered on this connection.
-    pub(super) fn job_answered(&mut self, now: Instant, token: usize, rank: usize, message: &Message) {
+    pub(super) fn on_job_answer(&mut self, now: Instant, token: usize, rank: usize, message: &Message) {
         self.counts.add(Flow::JobsAnswered, message.length);
-        let Some((nr, _)) = self.submitters.out.remove(&token) else { return self.close(token) };
-        let sound = message.body == result(&self.submitters.jobs[nr].id).as_bytes();
-        let told = match message.status {
-            200 if sound => Told::Served,
-            200 => Told::Nothing,
-            429 | 503 => Told::Refused,
-            _ => Told::Failed,
+        let Some((index, _)) = self.submitters.in_flight.remove(&token) else { return self.close(token) };
+        let is_expected_result = message.body == result(&self.submitters.jobs[index].id).as_bytes();
+        let kind = match message.status {
+            200 if is_expected_result => AnswerKind::Served,
+            200 => AnswerKind::NoAnswer,
+            429 | 503 => AnswerKind::Refused,
+            _ => AnswerKind::Failed,
         };
-        self.conclude(now, nr, told);
-        if message.last() {
+        self.finish_job(now, index, kind);
+        if message.closes_connection() {
             self.close(token);
         } else {
-            self.submitters.idle[rank].push(token);
+            self.submitters.idle_connections[rank].push(token);
         }
     }
 
     /// A client's connection has ended.
-    pub(super) fn client_broke(&mut self, token: usize, rank: usize) {
-        self.submitters.idle[rank].retain(|&idle| idle != token);
+    pub(super) fn on_client_closed(&mut self, token: usize, rank: usize) {
+        self.submitters.idle_connections[rank].retain(|&idle| idle != token);
         let now = Instant::now();
-        match self.submitters.out.remove(&token) {
+        match self.submitters.in_flight.remove(&token) {
             // A kept connection may end while a request crosses that: it is sent once more, on a new one.
-            Some((nr, true)) if self.submitters.outcomes[nr].is_none() => self.write_anew(now, nr),
-            Some((nr, _)) => self.conclude(now, nr, Told::Nothing),
+            Some((index, true)) if self.submitters.outcomes[index].is_none() => {
+                self.write_on_new_connection(now, index)
+            }
+            Some((index, _)) => self.finish_job(now, index, AnswerKind::NoAnswer),
             None => {}
         }
     }
 
     /// A client's patience has ended.
-    pub(super) fn expire_job(&mut self, now: Instant, nr: usize) {
-        if self.submitters.outcomes[nr].is_some() {
+    pub(super) fn expire_job(&mut self, now: Instant, index: usize) {
+        if self.submitters.outcomes[index].is_some() {
             return;
         }
-        self.conclude(now, nr, Told::Nothing);
-        let held = self.submitters.out.iter().find(|(_, (job, _))| *job == nr).map(|(&token, _)| token);
-        if let Some(token) = held {
-            self.submitters.out.remove(&token);
+        self.finish_job(now, index, AnswerKind::NoAnswer);
+        let connection =
+            self.submitters.in_flight.iter().find(|(_, (job, _))| *job == index).map(|(&token, _)| token);
+        if let Some(token) = connection {
+            self.submitters.in_flight.remove(&token);
             self.close(token);
         }
     }
--- a/crates/rig/src/calibrate/timers.rs
+++ b/crates/rig/src/calibrate/timers.rs
@@ -55,7 +55,7 @@
     }
 
     /// The next thing that is to be done by now.
-    pub fn due(&mut self, now: Instant) -> Option<D> {
+    pub fn pop_due(&mut self, now: Instant) -> Option<D> {
         if self.next()? > now {
             return None;
         }
--- a/crates/rig/tests/calibrate.rs
+++ b/crates/rig/tests/calibrate.rs
@@ -37,7 +37,7 @@
     assert_eq!((real.lost, real.doubled, real.overlapping), (0, 0, 0), "{real:?}");
     assert_eq!(real.served + real.refused + real.failed, real.jobs, "{real:?}");
     assert!(real.served * 10 >= real.jobs * 9, "{real:?}");
-    assert_eq!(real.news_dropped, 0, "{real:?}");
+    assert_eq!(real.callbacks_dropped, 0, "{real:?}");
 
     // Every datagram has one of the known shapes, is short, and is counted once on its way in and once a receiver.
     let sum = |flows: &[Flow]| real.counts.sum(flows);
@@ -60,5 +60,5 @@
     assert_eq!(restart.traffic["list"].messages, 1, "{real:?}");
     // One greeting to both others, and an answer from each: sent and passed on.
     assert_eq!(restart.traffic["greetings"].messages, 1 + 2 + 2 + 2, "{real:?}");
-    assert!(real.resident_kib.least > 1_000.0, "{real:?}");
+    assert!(real.resident_kib.min > 1_000.0, "{real:?}");
 }
--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/rig/tests/stand_ins.rs
@@ -4,7 +4,7 @@
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
 use calicolb_rig::calibrate::discovery::{Answer, Capacity, Discovery, Host};
 use calicolb_rig::calibrate::harness::{Change, Harness};
-use calicolb_rig::calibrate::relay::flows;
+use calicolb_rig::calibrate::relay::classify;
 use calicolb_rig::calibrate::worker_pool::{Effect, Job, Verdict, WorkerPool, WorkerSettings, WorkerSpec};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -35,14 +35,14 @@
         memory: 0.0,
         speed: 1.0,
         phase: Duration::ZERO,
-        born: None,
+        started_at: None,
     };
     let worker_settings = WorkerSettings {
-        cold: Duration::from_secs(1),
+        warm_up: Duration::from_secs(1),
         start_speed: 0.3,
-        tells_start: true,
-        progress: Duration::ZERO,
-        report: vec!["x0".to_owned()],
+        reports_start: true,
+        progress_interval: Duration::ZERO,
+        report_fields: vec!["x0".to_owned()],
     };
     let hosts = hosts(workers);
     let kinds = hosts.iter().map(kind).collect();
@@ -85,7 +85,7 @@
 #[test]
 fn discovery_gives_the_whole_list_and_a_watch_in_the_form_of_the_page() {
     let mut harness = harness(2, 1);
-    let at = harness.discovery_at();
+    let at = harness.discovery_address();
     let whole = with(&mut harness, move || {
         let mut stream = TcpStream::connect(at).expect("discovery listens");
         call(&mut stream, "GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n", "]}\n")
@@ -100,7 +100,10 @@
     assert_eq!(hosts.len(), 2);
     assert!(hosts.iter().all(|line| keys.iter().all(|key| line.get(key).is_some())), "{body}");
 
-    harness.change(Instant::now() + Duration::from_millis(300), Change { station: 1, health: "terminating" });
+    harness.schedule_change(
+        Instant::now() + Duration::from_millis(300),
+        Change { worker: 1, health: "terminating" },
+    );
     let begun = Instant::now();
     let (watch, spent) = with(&mut harness, move || {
         let mut stream = TcpStream::connect(at).expect("discovery listens");
@@ -150,18 +153,18 @@
     let mut discovery = Discovery::new(hosts(3), Capacity::default(), now);
     let mut gone = discovery.hosts()[0].clone();
     gone.health = "terminated";
-    let chunk = String::from_utf8(discovery.change(gone)).expect("text");
+    let chunk = String::from_utf8(discovery.apply_change(gone)).expect("text");
     assert!(chunk.contains("\"seq\":2,\"whole\":false") && chunk.contains("terminated"), "{chunk}");
     assert_eq!(discovery.hosts().len(), 2, "who has gone is not on the list");
-    let mut first = |from: u64| match discovery.call(now, &format!("/discovery/hosts?watch=1&from={from}")).1
-    {
-        Answer::Watch(text, whole) => {
-            let text = String::from_utf8(text).expect("text");
-            assert_eq!(whole, text.contains("\"whole\":true"));
-            text
-        }
-        other => panic!("{other:?}"),
-    };
+    let mut first =
+        |from: u64| match discovery.handle_call(now, &format!("/discovery/hosts?watch=1&from={from}")).1 {
+            Answer::Watch(text, whole) => {
+                let text = String::from_utf8(text).expect("text");
+                assert_eq!(whole, text.contains("\"whole\":true"));
+                text
+            }
+            other => panic!("{other:?}"),
+        };
     assert!(first(1).contains("\"whole\":false,\"hosts\":[{\"host\":\"s-00000000\""));
     assert!(first(2).contains("\"whole\":false,\"hosts\":[]"));
     assert!(first(0).contains("\"seq\":2,\"whole\":true"));
@@ -172,67 +175,74 @@
 fn discovery_answers_in_turn_and_turns_away_who_would_wait_too_long() {
     let now = Instant::now();
     let milli = Duration::from_millis;
-    let capacity = Capacity { call: milli(10), line: milli(1), patience: milli(100) };
+    let capacity = Capacity { per_call: milli(10), per_line: milli(1), max_wait: milli(100) };
     let mut discovery = Discovery::new(hosts(10), capacity, now);
     let mut at = Vec::new();
     let busy = (0..8).filter(|_| {
-        let (when, answer) = discovery.call(now, "/discovery/hosts");
+        let (when, answer) = discovery.handle_call(now, "/discovery/hosts");
         at.push(when - now);
         matches!(answer, Answer::Busy(_))
     });
     // Each takes 20 ms; the sixth would begin 100 ms from now, the seventh 120.
     assert_eq!(busy.count(), 2);
     assert_eq!(at[..6], [20, 40, 60, 80, 100, 120].map(milli));
-    assert_eq!(discovery.turned_away, 2);
+    assert_eq!(discovery.rejected, 2);
     // Later there is room again.
-    assert!(matches!(discovery.call(now + milli(200), "/discovery/hosts").1, Answer::List(_)));
+    assert!(matches!(discovery.handle_call(now + milli(200), "/discovery/hosts").1, Answer::List(_)));
 }
 
 #[test]
 fn a_worker_runs_what_fits_at_its_speed_and_reports_loads_of_some_time_ago() {
     let milli = Duration::from_millis;
-    let kind =
-        |born| WorkerSpec { name: "w".to_owned(), slots: 2, memory: 0.0, speed: 0.5, phase: milli(0), born };
+    let kind = |started_at| WorkerSpec {
+        name: "w".to_owned(),
+        slots: 2,
+        memory: 0.0,
+        speed: 0.5,
+        phase: milli(0),
+        started_at,
+    };
     let worker_settings = || WorkerSettings {
-        cold: milli(10_000),
+        warm_up: milli(10_000),
         start_speed: 0.25,
-        tells_start: true,
-        progress: Duration::ZERO,
-        report: vec!["x0".to_owned(), "queue".to_owned()],
+        reports_start: true,
+        progress_interval: Duration::ZERO,
+        report_fields: vec!["x0".to_owned(), "queue".to_owned()],
     };
     let mut worker_pool = WorkerPool::new(vec![kind(None)], worker_settings());
     let now = Instant::now();
     let job = |id: &str, slots| Job { id: id.to_owned(), work: milli(1_000), slots, memory: 0.0 };
     let wake = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
-            Effect::Wake(at, number) => Some((*at, *number)),
+            Effect::Timer(at, number) => Some((*at, *number)),
             Effect::Callback(..) => None,
         })
     };
-    let (verdict, effects) = worker_pool.arrive(now, 0, job("a", 2));
+    let (verdict, effects) = worker_pool.submit_attempt(now, 0, job("a", 2));
     assert_eq!(verdict, Verdict::Accepted);
     let (ends, number) = wake(&effects).expect("it has begun");
     assert_eq!(ends - now, milli(2_000), "half the speed is twice the time");
-    assert_eq!(wake(&worker_pool.arrive(now, 0, job("b", 1)).1), None, "no slot is free");
-    assert_eq!(worker_pool.arrive(now, 0, job("c", 3)).0, Verdict::Rejected, "it will never fit");
+    assert_eq!(wake(&worker_pool.submit_attempt(now, 0, job("b", 1)).1), None, "no slot is free");
+    assert_eq!(worker_pool.submit_attempt(now, 0, job("c", 3)).0, Verdict::Rejected, "it will never fit");
     // The load of this moment is not told yet; a second later it is.
     assert_eq!(worker_pool.report(now, 0), serde_json::json!({"x0": 2, "queue": 0}));
     assert_eq!(worker_pool.report(now + milli(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
-    let done = worker_pool.wake(ends, number);
+    let done = worker_pool.on_timer(ends, number);
     assert!(
         matches!(&done[0], Effect::Callback(0, id, body) if id == "a" && body.contains(r#""result":"done a""#))
     );
     assert!(wake(&done).is_some(), "the next one begins: {done:?}");
-    assert_eq!(worker_pool.seen().running_peak, 1);
+    assert_eq!(worker_pool.counters().running_peak, 1);
     // One that has just started is slower still.
     let mut cold = WorkerPool::new(vec![kind(Some(now))], worker_settings());
-    let (ends, _) = wake(&cold.arrive(now, 0, job("a", 1)).1).expect("it has begun");
+    let (ends, _) = wake(&cold.submit_attempt(now, 0, job("a", 1)).1).expect("it has begun");
     assert_eq!(ends - now, milli(8_000));
     // A queue of twice the slots is full.
     let mut full = WorkerPool::new(vec![kind(None)], worker_settings());
-    let verdicts: Vec<Verdict> = (0..7).map(|nr| full.arrive(now, 0, job(&nr.to_string(), 1)).0).collect();
+    let verdicts: Vec<Verdict> =
+        (0..7).map(|nr| full.submit_attempt(now, 0, job(&nr.to_string(), 1)).0).collect();
     assert_eq!(verdicts.iter().filter(|&&verdict| verdict == Verdict::Accepted).count(), 6);
-    assert_eq!(full.seen().turned_away, 1);
+    assert_eq!(full.counters().rejected, 1);
 }
 
 fn attempt(at: SocketAddr, id: &str) -> String {
@@ -249,8 +259,8 @@
     let at: Vec<SocketAddr> = harness.discovery().hosts().iter().map(|host| host.dial).collect();
     let (first, second) = (at[0], at[1]);
     let seen = |harness: &Harness| {
-        let seen = harness.worker_pool().seen();
-        (seen.attempts, seen.doubled, seen.overlapping, seen.given_up)
+        let seen = harness.worker_pool().counters();
+        (seen.attempts, seen.doubled, seen.overlapping, seen.cancelled)
     };
     assert!(with(&mut harness, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
     assert_eq!(seen(&harness), (1, 0, 0, 0));
@@ -291,7 +301,7 @@
             8..=11 => Flow::LoadsSent,
             _ => Flow::UnknownSent,
         };
-        assert_eq!(flows(&vec![1; length]).0, sent, "{length}");
+        assert_eq!(classify(&vec![1; length]).0, sent, "{length}");
     }
 }
 
@@ -321,12 +331,12 @@
     assert_eq!(heard, [(3, relays[0]), (9, relays[0])]);
     let of = |harness: &Harness, flow| harness.counts().of(flow);
     let traffic = |messages, bytes| Traffic { messages, bytes };
-    assert_eq!(harness.relay().unplaced(), 1);
+    assert_eq!(harness.relay().pending_count(), 1);
     assert_eq!(of(&harness, Flow::HellosSent), traffic(1, 3));
     assert_eq!(of(&harness, Flow::HellosPassed), traffic(1, 3), "one of the others is known");
     assert_eq!(of(&harness, Flow::LoadsSent), traffic(1, 9));
     harness.set_address(2, None, Some(home(2)));
-    assert_eq!(harness.relay().unplaced(), 0);
+    assert_eq!(harness.relay().pending_count(), 0);
     assert_eq!(of(&harness, Flow::FaultReportsPassed), traffic(1, 6));
     assert_eq!((harness.counts().relay_in, harness.counts().datagram_longest), (traffic(3, 18), 9));
 }
