--- a/crates/rig/src/calibrate/counts.rs
+++ b/crates/rig/src/calibrate/counts.rs
@@ -1,102 +1,103 @@
-//! What the stand-ins have seen on the wire, by flow and by control function.
+//! Counts messages and bytes that the stand-ins exchange with schedulers, by flow and by control function.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Messages, and the bytes of these: head and body of an HTTP message, payload of a datagram.
+/// A number of messages and their size. HTTP messages count head and body, datagrams their payload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Total size in bytes.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// The sum of both.
+    /// Adds up messages and bytes.
     pub fn plus(self, other: Traffic) -> Traffic {
         Traffic { messages: self.messages + other.messages, bytes: self.bytes + other.bytes }
     }
 }
 
-/// Messages of one kind that go one way.
+/// One kind of message in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Flow {
-    /// `GET /discovery/hosts`.
+    /// Request for the list: `GET /discovery/hosts`.
     #[serde(rename = "list_asked")]
     ListRequested,
-    /// The whole list, or that discovery is awaiting_answer, whatever was asked.
+    /// Answer with the full list, or any other answer of discovery that opens no watch (busy, unknown path).
     ListAnswered,
-    /// `GET /discovery/hosts?watch=1&from=N`.
+    /// Request for a watch: `GET /discovery/hosts?watch=1&from=N`.
     #[serde(rename = "watch_asked")]
     WatchRequested,
-    /// The head of a watch and the changes that it begins with.
+    /// Response head of a watch together with the changes since the requested version.
     WatchOpened,
     /// Changes on an open watch.
     WatchChanges,
-    /// The whole list on a watch, with the head if it begins with that.
+    /// Full list on a watch, including the response head if the watch opens with it.
     #[serde(rename = "watch_whole")]
     WatchFullList,
-    /// The empty line on a watch on which nothing changes.
+    /// Empty line that keeps a watch open while nothing changes.
     #[serde(rename = "watch_beats")]
     WatchKeepalives,
-    /// Loads that a scheduler has sent, and those that were passed on to another.
+    /// Load messages from a scheduler to the relay.
     #[serde(rename = "talk_sent")]
     LoadsSent,
-    /// See above.
+    /// Load messages from the relay to a scheduler.
     #[serde(rename = "talk_passed")]
     LoadsPassed,
-    /// The same of greetings.
+    /// Hello messages from a scheduler to the relay.
     #[serde(rename = "greetings_sent")]
     HellosSent,
-    /// See above.
+    /// Hello messages from the relay to a scheduler.
     #[serde(rename = "greetings_passed")]
     HellosPassed,
-    /// The same of troubles.
+    /// Fault reports from a scheduler to the relay.
     #[serde(rename = "troubles_sent")]
     FaultReportsSent,
-    /// See above.
+    /// Fault reports from the relay to a scheduler.
     #[serde(rename = "troubles_passed")]
     FaultReportsPassed,
-    /// The same of questions how fresh a list is, and of the answers. The hollow fleet has none of these.
+    /// Questions about the freshness of a list, and answers to them, from a scheduler to the relay. The hollow fleet
+    /// sends none.
     FreshnessSent,
-    /// See above.
+    /// Freshness questions and answers from the relay to a scheduler.
     FreshnessPassed,
-    /// Datagrams of no known shape.
+    /// Datagrams of no known shape from a scheduler to the relay.
     UnknownSent,
-    /// See above.
+    /// Datagrams of no known shape from the relay to a scheduler.
     UnknownPassed,
-    /// `GET /metrics/load` or `GET /alive`.
+    /// Probes of a worker: `GET /metrics/load` or `GET /alive`.
     #[serde(rename = "probes_asked")]
     ProbesRequested,
-    /// The answers to these.
+    /// Answers to probes.
     ProbesAnswered,
     /// Attempts that reached a worker.
     AttemptsSent,
-    /// What the worker answered at once.
+    /// Immediate answers of workers to attempts.
     AttemptsAnswered,
-    /// `DELETE /jobs/ID`.
+    /// Cancellations of an attempt: `DELETE /jobs/ID`.
     #[serde(rename = "give_ups_sent")]
     CancelsSent,
-    /// The answers to these.
+    /// Answers to cancellations.
     #[serde(rename = "give_ups_answered")]
     CancelsAnswered,
-    /// Call-callback_queues of workers.
+    /// Callbacks from workers to schedulers.
     #[serde(rename = "news_sent")]
     CallbacksSent,
-    /// The answers to these.
+    /// Answers to callbacks.
     #[serde(rename = "news_answered")]
     CallbacksAnswered,
     /// Jobs that clients submitted.
     JobsSent,
-    /// What clients were answered.
+    /// Answers to clients.
     JobsAnswered,
 }
 
-/// The control functions, as the hollow fleet counts them: key, and the flows that make it up.
+/// Control functions as the hollow fleet counts them: the function's key and the flows that it consists of.
 pub const FUNCTIONS: [(&str, &[Flow]); 6] = [
-    // As there: every call, and every whole list, however it comes.
+    // Like in the hollow fleet, `list` holds every request to discovery and every full list, also one on a watch.
     ("list", &[Flow::ListRequested, Flow::ListAnswered, Flow::WatchRequested, Flow::WatchFullList]),
     ("watch", &[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchKeepalives]),
     ("talk", &[Flow::LoadsSent, Flow::LoadsPassed]),
@@ -105,42 +106,42 @@
     ("probes", &[Flow::ProbesRequested, Flow::ProbesAnswered]),
 ];
 
-/// All that was counted.
+/// All traffic counted by the stand-ins.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// By flow.
+    /// Traffic by flow.
     pub flows: BTreeMap<Flow, Traffic>,
-    /// All datagrams that reached the relay, whatever their shape.
+    /// All datagrams that the relay received, of any shape.
     pub relay_in: Traffic,
-    /// All datagrams that the relay passed on.
+    /// All datagrams that the relay forwarded.
     pub relay_out: Traffic,
-    /// The longest datagram, in bytes.
+    /// Size of the longest datagram, in bytes.
     pub datagram_longest: usize,
 }
 
 impl Counts {
-    /// One message of this many bytes.
+    /// Counts one message of `bytes` bytes.
     pub fn add(&mut self, flow: Flow, bytes: usize) {
         let traffic = self.flows.entry(flow).or_default();
         *traffic = traffic.plus(Traffic { messages: 1, bytes: bytes as u64 });
     }
 
-    /// What was counted of a flow.
+    /// Returns the traffic of one flow.
     pub fn of(&self, flow: Flow) -> Traffic {
         self.flows.get(&flow).copied().unwrap_or_default()
     }
 
-    /// What was counted of these flows.
+    /// Returns the total traffic of several flows.
     pub fn sum(&self, flows: &[Flow]) -> Traffic {
         flows.iter().fold(Traffic::default(), |sum, &flow| sum.plus(self.of(flow)))
     }
 
-    /// The control functions by name, in and out together.
+    /// Returns the traffic of each control function, both directions together.
     pub fn by_function(&self) -> BTreeMap<&'static str, Traffic> {
         FUNCTIONS.iter().map(|(name, flows)| (*name, self.sum(flows))).collect()
     }
 
-    /// What was counted since `before`; the longest datagram is that of all the time.
+    /// Returns the traffic counted since `before`. The longest datagram is taken over the whole run.
     pub fn since(&self, before: &Counts) -> Counts {
         let less = |now: Traffic, then: Traffic| Traffic {
             messages: now.messages.saturating_sub(then.messages),
--- a/crates/rig/src/calibrate/discovery.rs
+++ b/crates/rig/src/calibrate/discovery.rs
@@ -1,4 +1,5 @@
-//! The stand-in for discovery, without its sockets: the list, its versions, and calls that are answered in turn.
+//! The discovery stand-in, without sockets: the list, its versions, and requests that are answered one after the
+//! other.
 
 use super::message::{chunk, write_response};
 use serde::Serialize;
@@ -7,40 +8,40 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Nothing changes on a watch: an empty line comes after this time.
+/// Interval after which an idle watch gets an empty line.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Changes that are remembered for watches that begin at an older version.
+/// Maximum number of changes kept for watches that start at an older version.
 const MAX_KEPT_CHANGES: usize = 4_096;
 
-/// A line of the list.
+/// A line of the list, with the keys of the discovery protocol.
 #[derive(Clone, Debug, Serialize)]
 pub struct Host {
-    /// Its name.
+    /// Name of the worker.
     pub host: String,
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// Zone.
     pub site: String,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub class: String,
-    /// Its cell.
+    /// Cell.
     pub block: u32,
     /// `in_service`, `terminating` or `terminated`.
     pub health: &'static str,
-    /// Its weight.
+    /// Weight.
     pub share: f64,
-    /// Its last start in Unix milliseconds; 0: long ago.
+    /// Last start in Unix milliseconds; 0 if it was long ago.
     pub born_ms: u64,
 }
 
-/// How much discovery can do: calls are answered one after the other.
+/// Service times of discovery, which answers requests one after the other.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Time that each call takes.
+    /// Time that each request takes.
     pub per_call: Duration,
-    /// Time that each line of a whole list takes on top.
+    /// Additional time for each line of a full list.
     pub per_line: Duration,
-    /// A call that would wait longer is turned away with 503.
+    /// Longest wait in the queue; a request that would wait longer is rejected with status 503.
     pub max_wait: Duration,
 }
 
@@ -51,53 +52,53 @@
     }
 }
 
-/// What a call gets, and when.
+/// The answer to a request, as bytes of the HTTP response.
 #[derive(Debug)]
 pub enum Answer {
-    /// The whole list.
+    /// The full list.
     List(Vec<u8>),
-    /// The head of a watch with the first object on it, and whether that is the whole list.
+    /// Response head and first object of a watch, and whether that object is the full list.
     Watch(Vec<u8>, bool),
-    /// Too many wait already.
+    /// Rejection because the wait would exceed [`Capacity::max_wait`].
     Busy(Vec<u8>),
-    /// No such call.
+    /// The path is not known.
     NotFound(Vec<u8>),
 }
 
-/// See the head of this file.
+/// State of the discovery service.
 pub struct Discovery {
     seq: u64,
     hosts: Vec<Host>,
     changes: VecDeque<(u64, Host)>,
     capacity: Capacity,
     free_at: Instant,
-    /// Calls that were turned away.
+    /// Number of rejected requests.
     pub rejected: u64,
 }
 
 impl Discovery {
-    /// A service with this list, at version 1.
+    /// Creates a service with this list, at version 1.
     pub fn new(hosts: Vec<Host>, capacity: Capacity, now: Instant) -> Discovery {
         Discovery { seq: 1, hosts, changes: VecDeque::new(), capacity, free_at: now, rejected: 0 }
     }
 
-    /// The whole list, as `known` of a scheduler's configuration has it too.
+    /// Returns the full list, in the form of `known` in a scheduler's configuration.
     pub fn list(&self) -> serde_json::Value {
         json!({"seq": self.seq, "whole": true, "hosts": self.hosts})
     }
 
-    /// The lines that are on the list now.
+    /// Returns the current lines of the list.
     pub fn hosts(&self) -> &[Host] {
         &self.hosts
     }
 
     fn object(&self, whole: bool, hosts: &[&Host]) -> String {
-        // Keys in the order of the page, each object on one line.
+        // Keys in the order of the protocol, each object on one line.
         let hosts = serde_json::to_string(hosts).unwrap_or_else(|_| "[]".to_owned());
         format!("{{\"seq\":{},\"whole\":{whole},\"hosts\":{hosts}}}\n", self.seq)
     }
 
-    /// A call for this target came in; gives what it gets, and when.
+    /// Handles a request for `target`; returns the answer and the time at which it is sent.
     pub fn handle_call(&mut self, now: Instant, target: &str) -> (Instant, Answer) {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if path != "/discovery/hosts" {
@@ -139,7 +140,7 @@
         (self.free_at, Answer::Watch([head.as_bytes(), &chunk(&object)].concat(), kept_from.is_none()))
     }
 
-    /// A line changes; gives the chunk for every watch that is open.
+    /// Changes a line; returns the chunk for every open watch.
     pub fn apply_change(&mut self, host: Host) -> Vec<u8> {
         self.seq += 1;
         self.hosts.retain(|known| known.host != host.host);
@@ -154,13 +155,13 @@
         chunk(&text)
     }
 
-    /// The whole list once more, under a new version, as a chunk for a watch.
+    /// Returns the full list under a new version, as a chunk for a watch.
     pub fn republish(&mut self) -> Vec<u8> {
         self.seq += 1;
         chunk(&self.object(true, &self.hosts.iter().collect::<Vec<_>>()))
     }
 
-    /// The empty line of a watch on which nothing changes, as a chunk.
+    /// Returns the empty line for an idle watch, as a chunk.
     pub fn keepalive() -> Vec<u8> {
         chunk("\n")
     }
--- a/crates/rig/src/calibrate/fleet.rs
+++ b/crates/rig/src/calibrate/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program among the stand-ins: their configuration, their start, and their ends.
+//! Configures and starts several processes of the program among the stand-ins.
 
 use super::harness::Harness;
 use super::process::{Process, Usage};
@@ -7,18 +7,18 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A scheduler serves by this time after its start, on a awaiting_answer machine too.
+/// Time limit for a scheduler to serve after its start, generous enough for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Every scheduler watches the list by this time: the module spreads its first calls over four seconds.
+/// Time limit for every scheduler to watch the list; a scheduler spreads its first calls over four seconds.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Descriptors of a process, as on the days of the pages.
+/// Descriptor limit of a process.
 const MAX_SOCKETS: u32 = 1_024;
 
-/// What one process is told, on the platform's form.
+/// Returns the configuration of the scheduler of this rank, in the platform's format.
 ///
 /// # Errors
 ///
-/// The relay's addresses cannot be had.
+/// The relay's addresses cannot be read.
 pub fn configuration(harness: &Harness, settings: &Value, rank: usize, seed: u64) -> Result<Value, String> {
     let (peers, all) = harness.relay().addresses().map_err(|error| error.to_string())?;
     let mut settings = settings.clone();
@@ -39,11 +39,11 @@
     }))
 }
 
-/// Starts the processes of these ranks together, and waits until each serves and watches the list.
+/// Starts the processes of these ranks together and waits until each serves and watches the list.
 ///
 /// # Errors
 ///
-/// A process ends, or does not serve or watch in time.
+/// A process exits, or does not serve or watch within its time limit.
 pub fn start(
     program: &Path,
     harness: &mut Harness,
@@ -86,26 +86,26 @@
     Ok(processes)
 }
 
-/// What each process uses now.
+/// Returns the current resource usage of each process.
 pub fn usages(processes: &[Process]) -> Vec<Usage> {
     processes.iter().map(Process::usage).collect()
 }
 
-/// The least, the mean and the most of a figure over the processes.
+/// Minimum, mean and maximum of a value over the processes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Spread {
     #[serde(rename = "least")]
-    /// The least.
+    /// Minimum.
     pub min: f64,
-    /// The mean.
+    /// Mean.
     pub mean: f64,
     #[serde(rename = "most")]
-    /// The most.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Spread {
-    /// Of these values.
+    /// Computes the spread of `values`; all zero if there are none.
     pub fn of(values: impl Iterator<Item = f64>) -> Spread {
         let values: Vec<f64> = values.collect();
         if values.is_empty() {
--- a/crates/rig/src/calibrate/message.rs
+++ b/crates/rig/src/calibrate/message.rs
@@ -1,40 +1,41 @@
-//! HTTP/1.1 messages as the stand-ins read and write them: heads by `httparse`, bodies by their length.
+//! HTTP/1.1 messages as the stand-ins read and write them. `httparse` parses heads; the body length comes from
+//! `Content-Length`.
 
 use std::fmt::Write;
 
-/// The largest message that a stand-in takes, in bytes.
+/// Largest message that a stand-in accepts, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// Bytes that are no message of HTTP/1.1, or one beyond [`MAX_MESSAGE_BYTES`].
+/// The bytes are not an HTTP/1.1 message, or the message exceeds [`MAX_MESSAGE_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// A whole message.
+/// A complete HTTP message.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Method and target of a request; empty in a response.
+    /// Method of a request; empty in a response.
     pub method: String,
-    /// See `method`.
+    /// Target of a request; empty in a response.
     pub target: String,
-    /// The status of a response; 0 in a request.
+    /// Status of a response; 0 in a request.
     pub status: u16,
-    /// The headers, in their order.
+    /// Headers in their order on the wire.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
-    /// Bytes of head_length and body.
+    /// Length of head and body, in bytes.
     pub length: usize,
 }
 
 impl Message {
-    /// The value of a header, whatever the case of its name.
+    /// Returns the value of a header; the name's case is ignored.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The other side closes the connection after it.
+    /// Returns whether the peer closes the connection after this message.
     pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
@@ -45,7 +46,7 @@
     headers.iter().map(|header| (header.name.to_owned(), text(header.value))).collect()
 }
 
-/// Completes a message by the body that its head_length tells of.
+/// Adds the body whose length the head announces; `None` while part of it is missing.
 fn complete_body(
     mut message: Message,
     head_length: usize,
@@ -61,7 +62,7 @@
     Ok(Some(message))
 }
 
-/// Reads a request from the beginning of these bytes; `None` while it is not whole.
+/// Parses the request at the start of `bytes`; `None` while it is incomplete.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
     let mut raw = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut raw);
@@ -82,7 +83,7 @@
     }
 }
 
-/// Reads a response; `None` while it is not whole.
+/// Parses the response at the start of `bytes`; `None` while it is incomplete.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
     let mut raw = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut raw);
@@ -103,7 +104,7 @@
     }
 }
 
-/// Writes a request with a body of known length.
+/// Formats a request with a `Content-Length` header.
 pub fn write_request(method: &str, target: &str, headers: &[(&str, String)], body: &str) -> Vec<u8> {
     let mut text = format!("{method} {target} HTTP/1.1\r\n");
     for (name, value) in headers {
@@ -113,13 +114,13 @@
     text.into_bytes()
 }
 
-/// Writes a response with a body of known length.
+/// Formats a response with a `Content-Length` header.
 pub fn write_response(status: u16, reason: &str, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} {reason}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
         .into_bytes()
 }
 
-/// Frames one chunk of a chunked answer.
+/// Formats one chunk of a chunked response.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
--- a/crates/rig/src/calibrate/process.rs
+++ b/crates/rig/src/calibrate/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: how they are started on the platform's form, and what the kernel says they use.
+//! Starts processes of the program in platform mode and reads their resource usage from the kernel.
 
 use serde::Serialize;
 use serde_json::Value;
@@ -8,34 +8,35 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What a process has used so far.
+/// Resources that a process has used since its start.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Usage {
-    /// User and system time, in steps of the kernel's clock (10 ms as a rule), in milliseconds.
+    /// User and system time in milliseconds, in steps of the kernel's clock tick (usually 10 ms).
     pub cpu_ms: f64,
-    /// Of that, system time.
+    /// System time in milliseconds, part of `cpu_ms`.
     pub system_ms: f64,
-    /// The time that its threads spent on a processor, by the scheduler's own clock, in milliseconds.
+    /// Time that the threads of the process spent on a processor, by the kernel scheduler's own clock, in
+    /// milliseconds.
     pub on_cpu_ms: f64,
-    /// Memory now and at the most, in KiB.
+    /// Resident memory, in KiB.
     pub resident_kib: u64,
-    /// See above.
+    /// Peak resident memory, in KiB.
     pub resident_peak_kib: u64,
 }
 
-/// A process of the program; killed and cleared away when dropped.
+/// A running process of the program. Dropping it kills the process and removes its files.
 pub struct Process {
     child: Child,
     config_file: PathBuf,
     log_file: PathBuf,
-    /// Where clients connect, and workers with their call-callback_queues.
+    /// Address for clients and for callbacks of workers; `None` until the process logs it.
     pub clients: Option<SocketAddr>,
-    /// Where datagrams of other schedulers arrive.
+    /// Address for datagrams of other schedulers; `None` until the process logs it.
     pub peers: Option<SocketAddr>,
 }
 
 impl Process {
-    /// Starts the program with this configuration; where it listens shows later (see [`Process::poll_log`]).
+    /// Starts the program with this configuration. Its addresses are known after [`Process::poll_log`] finds them.
     pub fn start(program: &Path, config: &Value) -> Result<Process, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let index = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -56,7 +57,11 @@
         Ok(Process { child, config_file, log_file, clients: None, peers: None })
     }
 
-    /// Looks into its log for where it listens; tells whether it serves. `Err`: it has ended.
+    /// Reads the listening addresses from the log and returns whether the process serves clients.
+    ///
+    /// # Errors
+    ///
+    /// The process has exited.
     pub fn poll_log(&mut self) -> Result<bool, String> {
         let text = fs::read_to_string(&self.log_file).unwrap_or_default();
         let value_after = |prefix: &str| {
@@ -72,12 +77,12 @@
         }
     }
 
-    /// The lines of its log.
+    /// Returns the lines of the process's log.
     pub fn log(&self) -> Vec<String> {
         fs::read_to_string(&self.log_file).unwrap_or_default().lines().map(str::to_owned).collect()
     }
 
-    /// What it has used so far.
+    /// Returns the resources used so far.
     pub fn usage(&self) -> Usage {
         usage(self.child.id())
     }
@@ -92,11 +97,12 @@
     }
 }
 
-/// What the kernel says of a process.
+/// Reads the resource usage of the process `id` from `/proc`.
 pub fn usage(id: u32) -> Usage {
     let read = |name: &str| fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
     let stat = read("stat");
-    // Behind the name, which may hold spaces: user and system time are the 12th and 13th from there.
+    // The process name may hold spaces, so fields are counted after its closing parenthesis: user time is field 11 and
+    // system time field 12, counted from 0.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_ascii_whitespace().collect();
     let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
     let status = read("status");
@@ -119,7 +125,8 @@
     }
 }
 
-/// Datagrams that the kernel dropped at these ports since their sockets were opened: nobody read them in time.
+/// Returns the number of datagrams that the kernel dropped at the sockets on `ports` since they were opened, because
+/// their receive buffers were full.
 pub fn datagrams_dropped(ports: &[u16]) -> u64 {
     let text = fs::read_to_string("/proc/net/udp").unwrap_or_default();
     let line = |line: &str| {
@@ -131,7 +138,7 @@
     text.lines().skip(1).filter_map(line).sum()
 }
 
-/// The program, unless another was named: beside this one, or one folder above for tests.
+/// Returns the path of the program: `named`, or the one beside the running executable (one folder above it for tests).
 pub fn program(named: Option<&Path>) -> Result<PathBuf, String> {
     let path = match named {
         Some(path) => path.to_owned(),
--- a/crates/rig/src/calibrate/relay.rs
+++ b/crates/rig/src/calibrate/relay.rs
@@ -1,5 +1,6 @@
-//! The relay between schedulers: each sends its datagrams to an address of the relay, which counts them and passes them
-//! on from the address that stands for the sender, so that the receiver knows it by its place in `peers`.
+//! The datagram relay between schedulers. Each scheduler sends its datagrams to an address of the relay. The relay
+//! counts them and forwards them from the address that represents the sender, so that the receiver identifies the
+//! sender by its position in `peers`.
 
 use super::counts::{Counts, Flow, Traffic};
 use calicolb_freshness::witness::Message;
@@ -8,12 +9,12 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Datagrams of schedulers whose own address isn't known yet: so many are kept, the rest are lost.
+/// Maximum number of datagrams kept while the sender's own address is unknown; later ones are dropped.
 const MAX_PENDING_DATAGRAMS: usize = 65_536;
-/// Longer than the longest datagram that a scheduler may send, so that a longer one is seen.
+/// Larger than the longest datagram that a scheduler may send, so that a datagram over the limit is detected.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// What a datagram is, by its shape.
+/// Returns the flows (sent, forwarded) of a datagram by its length and shape.
 pub fn classify(body: &[u8]) -> (Flow, Flow) {
     match body.len() {
         3 => (Flow::HellosSent, Flow::HellosPassed),
@@ -24,19 +25,19 @@
     }
 }
 
-/// See the head of this file.
+/// Sockets and state of the relay.
 pub struct Relay {
-    /// By rank: where the others reach it, and what it is heard from; the last one reaches all.
+    /// By rank: the socket that represents the scheduler to the others. The last socket broadcasts to all schedulers.
     sockets: Vec<UdpSocket>,
-    /// By rank: where the scheduler itself listens, once that is known.
+    /// By rank: the scheduler's own address, once it is known.
     scheduler_addresses: Vec<Option<SocketAddr>>,
     pending: Vec<(SocketAddr, usize, Vec<u8>)>,
-    /// Of these tokens, from this one on, the sockets have one each.
+    /// Token of the first socket; the sockets have consecutive tokens.
     first_token: usize,
 }
 
 impl Relay {
-    /// A relay between so many schedulers; its sockets get the tokens from `first_token` on.
+    /// Opens a relay between `schedulers` schedulers. Its sockets get the tokens from `first_token` on.
     pub fn new(registry: &Registry, first_token: usize, schedulers: usize) -> io::Result<Relay> {
         let mut sockets = Vec::with_capacity(schedulers + 1);
         for rank in 0..=schedulers {
@@ -47,19 +48,19 @@
         Ok(Relay { sockets, scheduler_addresses: vec![None; schedulers], pending: Vec::new(), first_token })
     }
 
-    /// The addresses by rank, as each scheduler's `peers` name them, and the one that reaches all.
+    /// Returns the addresses by rank, as in each scheduler's `peers`, and the broadcast address.
     pub fn addresses(&self) -> io::Result<(Vec<SocketAddr>, SocketAddr)> {
         let mut each = self.sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
         let all = each.pop().ok_or(ErrorKind::NotFound)?;
         Ok((each, all))
     }
 
-    /// The rank, or one beyond the last for all, that a token stands for.
+    /// Returns the rank of a token's socket; the number of schedulers stands for the broadcast socket.
     pub fn rank(&self, token: usize) -> Option<usize> {
         token.checked_sub(self.first_token).filter(|&rank| rank < self.sockets.len())
     }
 
-    /// A scheduler listens here from now on; `None`: it has gone.
+    /// Sets the address of a scheduler, or `None` after it has stopped, and forwards pending datagrams.
     pub fn set_address(&mut self, rank: usize, at: Option<SocketAddr>, counts: &mut Counts) {
         self.scheduler_addresses[rank] = at;
         for (from, to, body) in std::mem::take(&mut self.pending) {
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Takes what has come for this rank.
+    /// Receives and forwards all datagrams that wait at the socket of rank `to`.
     pub fn receive(&mut self, to: usize, counts: &mut Counts) {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         loop {
             match self.sockets[to].recv_from(&mut buffer) {
                 Ok((length, from)) => self.forward(from, to, buffer[..length].to_vec(), counts),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // An earlier datagram met a closed port.
+                // The error of an earlier datagram that was sent to a closed port.
                 Err(_) => {}
             }
         }
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Sends a datagram to the scheduler of one rank as if that of another had: only what is passed on is counted.
+    /// Sends a datagram to the scheduler `to` with the address of the scheduler `from`. Only the forwarded datagram is
+    /// counted.
     pub fn send_as(&mut self, from: usize, to: usize, body: &[u8], counts: &mut Counts) {
         let Some(address) = self.scheduler_addresses[to] else { return };
         if self.sockets[from].send_to(body, address).is_ok() {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Datagrams that came while the sender's address was not known yet, and still isn't.
+    /// Returns the number of datagrams whose sender's address is still unknown.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
--- a/crates/rig/src/calibrate/scenario.rs
+++ b/crates/rig/src/calibrate/scenario.rs
@@ -1,4 +1,4 @@
-//! A plan of the hollow fleet as real processes and stand-ins play it: the same settings, workers and requests.
+//! Translates a plan of the hollow fleet into settings, workers and requests for real processes and stand-ins.
 
 use super::discovery::Host;
 use super::submitters::Submission;
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A worker closes a connection that has been idle for so long; the hollow fleet has the same.
+/// Time after which a worker closes an idle connection, in microseconds; the same as in the hollow fleet.
 const CONNECTION_IDLE_US: u64 = 10_000_000;
 
-/// What all schedulers are told, but for rank and zone.
+/// Returns the settings common to all schedulers; rank and zone are added for each.
 pub fn settings(plan: &Plan) -> Value {
     let mut settings = plan.settings_json();
     settings["ceilings"]["conn_idle_us"] = json!(CONNECTION_IDLE_US);
     settings
 }
 
-/// The workers, and their lines on the list; where each listens is filled in by the harness.
+/// Returns the workers and their lines on the list. The harness fills in the address of each.
 pub fn workers(outline: &Workload, settings: &Value) -> (Vec<WorkerSpec>, Vec<Host>) {
     let class = |kind: usize| settings["kinds"][kind].as_str().unwrap_or_default().to_owned();
     let specs = outline.workers.iter().map(|worker| WorkerSpec {
@@ -42,7 +42,7 @@
     (specs.collect(), hosts.collect())
 }
 
-/// What workers go by, as the settings say.
+/// Returns the behavior of the workers as the settings define it.
 pub fn worker_settings(settings: &Value) -> WorkerSettings {
     let micros = |value: &Value| Duration::from_micros(value.as_u64().unwrap_or(0));
     let fields = settings["report"]["fields"].as_array().cloned().unwrap_or_default();
@@ -60,7 +60,7 @@
     }
 }
 
-/// The requests as clients submit them, and which of them count.
+/// Returns the requests as clients submit them, and for each whether it is sent in the measured span.
 pub fn submissions(outline: &Workload, settings: &Value) -> (Vec<Submission>, Vec<bool>) {
     let submission = |(index, request): (usize, &calicolb_simulation::WorkloadRequest)| {
         let tenant = request.tenant.and_then(|tenant| settings["orgs"][tenant]["name"].as_str());
--- a/crates/rig/src/calibrate/timers.rs
+++ b/crates/rig/src/calibrate/timers.rs
@@ -1,4 +1,4 @@
-//! What is to be done when: the soonest first, and of the same time the one that was set first.
+//! A timer queue: the earliest timer first, and timers for the same time in the order in which they were set.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -30,7 +30,7 @@
     }
 }
 
-/// See the head of this file.
+/// Pending timers, each with the value that it returns when it is due.
 pub struct Timers<D> {
     heap: BinaryHeap<Reverse<Timer<D>>>,
     number: u64,
@@ -43,18 +43,18 @@
 }
 
 impl<D> Timers<D> {
-    /// This is to be done at that time.
+    /// Sets a timer for the time `at`.
     pub fn set(&mut self, at: Instant, due: D) {
         self.number += 1;
         self.heap.push(Reverse(Timer { at, number: self.number, due }));
     }
 
-    /// When the next thing is to be done.
+    /// Returns the time of the earliest timer.
     pub fn next(&self) -> Option<Instant> {
         self.heap.peek().map(|Reverse(timer)| timer.at)
     }
 
-    /// The next thing that is to be done by now.
+    /// Removes and returns the earliest timer if it is due at `now`.
     pub fn pop_due(&mut self, now: Instant) -> Option<D> {
         if self.next()? > now {
             return None;
