--- a/crates/rig/src/calibrate/command.rs
+++ b/crates/rig/src/calibrate/command.rs
@@ -1,4 +1,5 @@
-//! The command: one size played by real processes and by the hollow fleet, or one process measured by itself.
+//! The `calibrate` command: plays one fleet size with real processes and with the hollow fleet, or measures a single
+//! process.
 
 use super::compare::{Comparison, SeedVariation, compare, seed_variation};
 use super::process::program;
@@ -10,21 +11,21 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Processes that one machine plays at most.
+/// Maximum number of processes, limited by what one machine can run.
 const MAX_PROCESSES: u32 = 60;
-/// Accelerators by worker, at the size of the letter.
+/// Accelerators for each worker, as in the default plan.
 const ACCELERATORS_PER_WORKER: f64 = 760.0 / 690.0;
 
-/// What is calibrated.
+/// Options of the `calibrate` command.
 #[derive(Clone, Debug, Args)]
 pub struct Calibrate {
-    /// Processes of the program: 60 at most.
+    /// Processes of the program, at most 60.
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u32).range(1..=i64::from(MAX_PROCESSES)))]
     pub processes: u32,
     /// Workers.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub workers: u32,
-    /// Accelerators; as many a worker as at the letter's size, unless this says another.
+    /// Accelerators; by default as many for each worker as in the default plan.
     #[arg(long)]
     pub accelerators: Option<u32>,
     /// Tenants.
@@ -39,37 +40,37 @@
     /// Requests a second.
     #[arg(long, default_value_t = 20.0)]
     pub starts: f64,
-    /// Jobs that run at once; as many a worker as at the letter's size, unless this says another.
+    /// Jobs that run at the same time; by default as many for each worker as in the default plan.
     #[arg(long)]
     pub running: Option<f64>,
-    /// Seconds that count.
+    /// Length of the measured span, in seconds.
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// Seconds before these.
+    /// Length of the warm-up before it, in seconds.
     #[arg(long, default_value_t = 15)]
     pub warm_up: u64,
-    /// The seed of every draw.
+    /// Seed of the first play.
     #[arg(long, default_value_t = 7)]
     pub seed: u64,
-    /// Plays of so many seeds, from that one on, are held against each other together: chance tells less in many.
-    /// With 0 no process is started: only the hollow fleet is played.
+    /// Number of seeds, counted up from the first; their plays are compared together, which reduces the effect of
+    /// chance. With 0 no process is started and only the hollow fleet is played.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(..=100))]
     pub seeds: u64,
-    /// Plays of the hollow fleet with other seeds: what chance alone does to the counts.
+    /// Plays of the hollow fleet with further seeds, to measure how its counts vary between seeds.
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(..=1_000))]
     pub hollow_seeds: u64,
-    /// The program; the one beside this one, unless this says another.
+    /// Path of the program; by default the one beside this executable.
     #[arg(long)]
     pub program: Option<PathBuf>,
-    /// Plays nothing: measures one process by itself, among 690 workers, 299 other schedulers and 240 tenants.
+    /// Play nothing; measure a single process among 690 workers, 299 other schedulers and 240 tenants.
     #[arg(long)]
     pub alone: bool,
-    /// Prints one JSON object and nothing else.
+    /// Print one JSON object and nothing else.
     #[arg(long)]
     pub json: bool,
 }
 
-/// A seed, played by both.
+/// Plays of one seed by real processes and by the hollow fleet.
 #[derive(Debug, Serialize)]
 struct SeedResult {
     seed: u64,
@@ -77,7 +78,7 @@
     hollow: Summary,
 }
 
-/// What came of it.
+/// JSON output of a calibration.
 #[derive(Debug, Serialize)]
 struct CalibrationReport {
     machine: Machine,
@@ -87,11 +88,12 @@
     chance: Vec<SeedVariation>,
 }
 
-/// What else the machine did: processor time is dearer on a busy one.
+/// Load of the machine during the run; processor time costs more on a busy machine.
 #[derive(Debug, Serialize)]
 struct Machine {
     cores: usize,
-    /// Processes that ran or waited to, mean of a minute, before and after.
+    /// Mean number of running or waiting processes over a minute, before the run. `load_after` is the same after the
+    /// run.
     load_before: f64,
     load_after: f64,
 }
@@ -108,7 +110,7 @@
     }
 }
 
-/// One process, measured by itself.
+/// JSON output of the measurement of a single process.
 #[derive(Debug, Serialize)]
 struct SingleProcessReport {
     machine: Machine,
@@ -119,7 +121,8 @@
 ///
 /// # Errors
 ///
-/// The program isn't there, or does not start or serve; or a rule was broken in the play of real processes.
+/// The program is missing, or does not start or serve; or a play of real processes lost a request or doubled an
+/// attempt.
 pub fn run(args: &Calibrate) -> Result<(), String> {
     let program = program(args.program.as_deref())?;
     let load_before = load_average();
@@ -133,7 +136,7 @@
     let mut plays = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
         let plan = Plan { seed, ..plan(args) };
-        // What a start costs is the same for each.
+        // The cost of a restart does not depend on the seed, so only the first play measures it.
         let real = replay(&program, &plan, seed == args.seed)?;
         plays.push(SeedResult { seed, real, hollow: calicolb_simulation::simulate(&plan) });
     }
--- a/crates/rig/src/calibrate/compare.rs
+++ b/crates/rig/src/calibrate/compare.rs
@@ -1,4 +1,5 @@
-//! The hollow fleet held against real processes: by function, messages and bytes, and processor time on control.
+//! Compares the hollow fleet with real processes: messages and bytes by control function, and processor time on
+//! control.
 
 use super::counts::{FUNCTIONS, Flow, Traffic};
 use super::replay::ReplayResult;
@@ -6,50 +7,49 @@
 use calicolb_simulation::{Plan, Summary};
 use serde::Serialize;
 
-/// Counts of messages and bytes are alike within this part of the real figure, ...
+/// Tolerance for counts of messages and bytes, as a fraction of the real value.
 pub const COUNT_TOLERANCE: f64 = 0.1;
-/// ... and processor time within this costs.
+/// Tolerance for processor time, as a fraction of the real value.
 pub const CPU_TOLERANCE: f64 = 0.3;
 
-/// One function.
+/// Comparison of one control function.
 #[derive(Clone, Debug, Serialize)]
 pub struct FunctionComparison {
-    /// Its name.
+    /// Key of the function.
     pub function: &'static str,
-    /// What real processes exchanged.
+    /// Traffic of the real processes.
     pub real: Traffic,
-    /// What the hollow fleet exchanged.
+    /// Traffic of the hollow fleet.
     pub hollow: Traffic,
-    /// Hollow by real; `None`: there were none.
+    /// Hollow messages divided by real messages; `None` if there were no real ones.
     pub messages_ratio: Option<f64>,
-    /// See above.
+    /// Hollow bytes divided by real bytes; `None` if there were no real ones.
     pub bytes_ratio: Option<f64>,
-    /// Both are within [`COUNT_TOLERANCE`], or both fleets real_counts none.
+    /// Whether both ratios are within [`COUNT_TOLERANCE`], or neither fleet had any messages.
     pub alike: bool,
 }
 
-/// What chance alone does to a function's messages in one play of this size.
+/// Variation of a function's message count between seeds, for plays of this size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct SeedVariation {
-    /// The function.
+    /// Key of the function.
     pub function: &'static str,
-    /// Plays of the hollow fleet, each of its own seed.
+    /// Plays of the hollow fleet, each with its own seed.
     pub plays: u64,
-    /// Messages in a play: mean, and standard deviation from play to play.
+    /// Mean number of messages in a play.
     pub mean: f64,
-    /// See above.
+    /// Standard deviation of the number of messages between plays.
     pub deviation: f64,
-    /// Messages in a play of real processes, mean of those that there were.
+    /// Mean number of messages in a play of real processes; `None` without such plays.
     pub real_mean: Option<f64>,
-    /// How far that is from the mean of the hollow plays, in standard errors of so many real plays: within 2 as a rule if
-    /// the two are alike.
+    /// Distance of `real_mean` from `mean` in standard errors; usually within 2 if the two fleets behave alike.
     pub standard_errors: Option<f64>,
 }
 
-/// Plays the hollow fleet with this many seeds beyond the plan's, and tells how its counts vary; `real`: plays of real
+/// Plays the hollow fleet with `plays` further seeds and returns how its counts vary; `real` holds plays of real
 /// processes of the same size.
 pub fn seed_variation(plan: &Plan, plays: u64, real: &[&ReplayResult]) -> Vec<SeedVariation> {
-    // Seeds that no real play real_counts.
+    // Seeds that no real play used.
     let summaries: Vec<Summary> = (0..plays)
         .map(|index| calicolb_simulation::simulate(&Plan { seed: plan.seed + 1_000 + index, ..plan.clone() }))
         .collect();
@@ -71,36 +71,36 @@
     FUNCTIONS.iter().map(|(function, _)| variation(function)).collect()
 }
 
-/// Processor time on control, in milliseconds a second, mean of all schedulers.
+/// Processor time on control, in milliseconds a second, mean over all schedulers.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct CpuComparison {
-    /// ReplayResult: what an idle process uses, and each message heard at what it costs one by itself.
+    /// Real processes: the idle use plus the received messages, each at its cost for a process measured alone.
     pub real_control: f64,
-    /// Of that: the idle process, and what is heard or probed.
+    /// Part of `real_control`: the idle process.
     pub real_idle: f64,
-    /// See above.
+    /// Part of `real_control`: messages received and probes.
     #[serde(rename = "real_heard")]
     pub real_received: f64,
-    /// Hollow: the module's time on control events.
+    /// Hollow fleet: the decision module's time on control events.
     pub hollow_control: f64,
-    /// Hollow by real.
+    /// Hollow divided by real; `None` if the real value is zero.
     pub ratio: Option<f64>,
-    /// It is within [`CPU_TOLERANCE`].
+    /// Whether the ratio is within [`CPU_TOLERANCE`].
     pub alike: bool,
-    /// ReplayResult: all that the process does, jobs included.
+    /// Real processes: their whole processor time, jobs included.
     pub real_all: f64,
 }
 
-/// All of it.
+/// Result of the comparison.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// By function.
+    /// Comparison by control function.
     pub functions: Vec<FunctionComparison>,
-    /// Processor time.
+    /// Processor time on control.
     pub cpu: CpuComparison,
-    /// Jobs and starts: hollow by real.
+    /// Hollow jobs divided by real jobs.
     pub jobs_ratio: Option<f64>,
-    /// See above.
+    /// Hollow job starts divided by real job starts.
     pub started_ratio: Option<f64>,
 }
 
@@ -112,8 +112,8 @@
     ratio.is_some_and(|ratio| (ratio - 1.0).abs() <= tolerance)
 }
 
-/// Holds plays of the same plans against each other, all together; `one`: what messages cost one process by itself, at the
-/// same size.
+/// Compares real and hollow plays of the same plans, summed over all plays; `costs` holds the cost of each message for
+/// a process measured alone, at the same size.
 pub fn compare(plays: &[(&ReplayResult, &Summary)], costs: &ProcessCosts) -> Comparison {
     let sum = |of: &dyn Fn(&(&ReplayResult, &Summary)) -> f64| plays.iter().map(of).sum::<f64>();
     let row = |function: &'static str| {
--- a/crates/rig/src/calibrate/harness.rs
+++ b/crates/rig/src/calibrate/harness.rs
@@ -1,4 +1,4 @@
-//! The sockets of the stand-ins: one thread and one poll for discovery, all workers, all clients and the relay.
+//! The sockets of the stand-ins. One thread with one poll serves discovery, all workers, all clients and the relay.
 
 use super::counts::{Counts, Flow};
 use super::discovery::{Answer, Capacity, Discovery, Host, KEEPALIVE_INTERVAL};
@@ -14,19 +14,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Connections that all stand-ins together may hold.
+/// Maximum number of connections of all stand-ins together.
 const MAX_CONNECTIONS: usize = 16_000;
 
-/// What a connection is for.
+/// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Role {
-    /// From a scheduler to discovery; on an open watch, when it was last written to.
+    /// From a scheduler to discovery; for an open watch, the time of the last write.
     Discovery(Option<Instant>),
-    /// From a scheduler to this worker.
+    /// From a scheduler to the worker with this index.
     Worker(usize),
-    /// From this worker to this scheduler, with call-callback_queues.
+    /// From a worker to a scheduler, for callbacks: index of the worker, rank of the scheduler.
     Callback(usize, usize),
-    /// From a client to this scheduler.
+    /// From a client to the scheduler of this rank.
     Client(usize),
 }
 
@@ -37,33 +37,34 @@
     pub(super) role: Role,
 }
 
-/// What is to be done at a time.
+/// An event that a timer triggers.
 pub(super) enum TimerEvent {
-    /// A watch may need its empty line.
+    /// An idle watch may need an empty line.
     Keepalive(usize),
-    /// Discovery answers a call.
+    /// Discovery sends an answer.
     DiscoveryAnswer(usize, Answer),
-    /// A worker's job goes on or ends.
+    /// A job makes progress or ends.
     WorkerTimer(u64),
     /// A client submits a job.
     Submit(usize),
-    /// A client's patience ends.
+    /// A client's timeout ends.
     Expire(usize),
-    /// Call-callback_queues of this worker to this scheduler are tried again.
+    /// A worker tries its callbacks to a scheduler again.
     Callback(usize, usize),
     /// The list changes.
     Change(Change),
 }
 
-/// A change of the list, and of the worker that it is about.
+/// A change of a worker and of its line on the list.
 pub struct Change {
-    /// The worker.
+    /// Index of the worker.
     pub worker: usize,
-    /// Its new health: `in_service` under a new start, or `terminating`.
+    /// New health: `in_service` with a new start, or `terminating`.
     pub health: &'static str,
 }
 
-/// Call-callback_queues of a worker to a scheduler: one after the other, each until it is answered, ten times at most.
+/// Callbacks of one worker to one scheduler. They are sent one at a time, and each until it is answered, at most
+/// [`MAX_CALLBACK_ATTEMPTS`] times.
 #[derive(Default)]
 pub(super) struct CallbackQueue {
     token: Option<usize>,
@@ -71,10 +72,10 @@
     awaiting_answer: bool,
 }
 
-/// Calls of a call-callbacks at most.
+/// Maximum number of times that a callback is sent.
 const MAX_CALLBACK_ATTEMPTS: u32 = 10;
 
-/// See the head of this file.
+/// The stand-ins and their sockets.
 pub struct Harness {
     poll: Poll,
     next: usize,
@@ -87,15 +88,20 @@
     worker_pool: WorkerPool,
     callback_queues: HashMap<(usize, usize), CallbackQueue>,
     pub(super) submitters: Submitters,
-    /// By rank: where the scheduler takes clients and call-callback_queues.
+    /// By rank: address of the scheduler for clients and callbacks.
     pub(super) scheduler_addresses: Vec<Option<SocketAddr>>,
     pub(super) counts: Counts,
-    /// Call-callback_queues that were not answered in ten calls, or had nobody to go to.
+    /// Callbacks without an answer after [`MAX_CALLBACK_ATTEMPTS`] attempts, or about a request that no client
+    /// submitted.
     pub callbacks_dropped: u64,
 }
 
 impl Harness {
-    /// Opens the sockets. The addresses in `hosts` are filled in; one stands for the worker of the same place in `specs`.
+    /// Opens the sockets. Fills in the addresses of `hosts`; `hosts` and `specs` list the workers in the same order.
+    ///
+    /// # Errors
+    ///
+    /// A socket cannot be opened.
     pub fn new(
         specs: Vec<WorkerSpec>,
         mut hosts: Vec<Host>,
@@ -140,38 +146,38 @@
         })
     }
 
-    /// Where discovery is.
+    /// Returns the address of discovery.
     pub fn discovery_address(&self) -> SocketAddr {
         self.discovery_address
     }
 
-    /// Discovery, the workers, the relay, and what was counted.
+    /// Returns the discovery stand-in.
     pub fn discovery(&self) -> &Discovery {
         &self.discovery
     }
 
-    /// See above.
+    /// Returns the worker stand-ins.
     pub fn worker_pool(&self) -> &WorkerPool {
         &self.worker_pool
     }
 
-    /// See above.
+    /// Returns the datagram relay.
     pub fn relay(&self) -> &Relay {
         &self.relay
     }
 
-    /// See above.
+    /// Returns the traffic counters.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// A scheduler of this rank listens here from now on; `None`: it has gone.
+    /// Sets the addresses of the scheduler of this rank, or `None` after it has stopped.
     pub fn set_address(&mut self, rank: usize, clients: Option<SocketAddr>, peers: Option<SocketAddr>) {
         self.scheduler_addresses[rank] = clients;
         self.relay.set_address(rank, peers, &mut self.counts);
     }
 
-    /// Clients submit these jobs, each so long after `from`.
+    /// Schedules the submission of jobs, each at its offset from `from`.
     pub fn submit(&mut self, from: Instant, jobs: Vec<Submission>) {
         for index in self.submitters.add_jobs(jobs) {
             let at = from + self.submitters.job(index).offset;
@@ -179,28 +185,28 @@
         }
     }
 
-    /// What came of the jobs, in their order; `None`: nothing yet.
+    /// Returns the outcomes of the jobs, in their order; `None` while a job is open.
     pub fn outcomes(&self) -> &[Option<Outcome>] {
         self.submitters.outcomes()
     }
 
-    /// The list changes at this time.
+    /// Schedules a change of the list.
     pub fn schedule_change(&mut self, at: Instant, change: Change) {
         self.set_timer(at, TimerEvent::Change(change));
     }
 
-    /// Writes the whole list, under a new version, on every watch.
+    /// Sends the full list, under a new version, on every watch.
     pub fn send_full_list(&mut self) {
         let chunk = self.discovery.republish();
         self.broadcast(Flow::WatchFullList, &chunk);
     }
 
-    /// Sends a datagram to the scheduler of one rank as if that of another had.
+    /// Sends a datagram to the scheduler `to` as if the scheduler `from` had sent it.
     pub fn send_as(&mut self, from: usize, to: usize, body: &[u8]) {
         self.relay.send_as(from, to, body, &mut self.counts);
     }
 
-    /// Watches that are open.
+    /// Returns the number of open watches.
     pub fn watches(&self) -> usize {
         self.connections
             .values()
@@ -209,6 +215,10 @@
     }
 
     /// Serves until this time.
+    ///
+    /// # Errors
+    ///
+    /// The poll fails.
     pub fn run_until(&mut self, until: Instant) -> Result<(), String> {
         let mut events = Events::with_capacity(1_024);
         loop {
@@ -231,7 +241,11 @@
         }
     }
 
-    /// Serves until the condition holds; tells whether it did in time.
+    /// Serves while `condition` holds; returns `false` if it still holds after `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// The poll fails.
     pub fn run_while(
         &mut self,
         timeout: Duration,
@@ -289,7 +303,7 @@
         }
     }
 
-    /// Keeps a connection; `None` where there are too many.
+    /// Registers a connection; `None` if there are already [`MAX_CONNECTIONS`].
     pub(super) fn add_connection(&mut self, mut stream: TcpStream, role: Role) -> Option<usize> {
         if self.connections.len() >= MAX_CONNECTIONS {
             return None;
@@ -303,7 +317,7 @@
         Some(token)
     }
 
-    /// Writes to a connection.
+    /// Queues bytes on a connection and writes what the socket takes.
     pub(super) fn send(&mut self, token: usize, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.output.extend_from_slice(bytes);
@@ -311,14 +325,14 @@
         }
     }
 
-    /// Writes what waits; tells whether the connection goes on.
+    /// Writes queued bytes; returns whether the connection is still open.
     fn flush(&mut self, token: usize) -> bool {
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         while !connection.output.is_empty() {
             match connection.stream.write(&connection.output) {
                 Ok(count) => drop(connection.output.drain(..count)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // Not up yet, or full.
+                // The connection is still being opened, or its send buffer is full.
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     break;
                 }
@@ -385,7 +399,7 @@
         }
     }
 
-    /// Lets go of a connection.
+    /// Closes a connection.
     pub(super) fn close(&mut self, token: usize) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let _ = self.poll.registry().deregister(&mut connection.stream);
@@ -397,5 +411,5 @@
     }
 }
 
-// What the parts of the harness do with what comes.
+// Handlers for discovery requests, worker requests and callbacks.
 mod handlers;
--- a/crates/rig/src/calibrate/harness/handlers.rs
+++ b/crates/rig/src/calibrate/harness/handlers.rs
@@ -1,11 +1,11 @@
-//! Discovery, workers and their call-callback_queues, as the harness serves them.
+//! Handlers of the harness for discovery, workers and their callbacks.
 
 use super::*;
 use crate::calibrate::worker_pool::{Job, Verdict};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 impl Harness {
-    /// A scheduler asks discovery.
+    /// Handles a request to discovery.
     pub(super) fn on_discovery_request(&mut self, now: Instant, token: usize, message: &Message) {
         let watch = message.target.contains("watch=1");
         let flow = if watch { Flow::WatchRequested } else { Flow::ListRequested };
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A watch on which nothing was written for a while gets its empty line.
+    /// Sends an empty line on a watch that was idle for [`KEEPALIVE_INTERVAL`].
     pub(super) fn send_keepalive(&mut self, now: Instant, token: usize) {
         let Some(Connection { role: Role::Discovery(Some(last)), .. }) = self.connections.get_mut(&token)
         else {
@@ -49,7 +49,7 @@
         self.send(token, &bytes);
     }
 
-    /// Writes a chunk on every watch.
+    /// Sends a chunk on every open watch.
     pub(super) fn broadcast(&mut self, flow: Flow, chunk: &[u8]) {
         let now = Instant::now();
         let mut open = Vec::new();
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The list changes, and the worker with it.
+    /// Applies a change to the list and to the worker.
     pub(super) fn apply_change(&mut self, now: Instant, change: Change) {
         let name = self.worker_pool.name(change.worker).to_owned();
         let Some(mut host) = self.discovery.hosts().iter().find(|host| host.host == name).cloned() else {
@@ -82,7 +82,7 @@
         self.broadcast(Flow::WatchChanges, &chunk);
     }
 
-    /// A scheduler asks a worker for something.
+    /// Handles a request to a worker: a probe, a cancellation or an attempt.
     pub(super) fn on_worker_request(&mut self, now: Instant, token: usize, worker: usize, message: &Message) {
         match (message.method.as_str(), message.target.as_str()) {
             ("GET", "/metrics/load" | "/alive") => {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Does what follows from a worker's step.
+    /// Carries out the effects of a worker's step.
     pub(super) fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Writes the next call-callbacks, if none is on its way.
+    /// Sends the next callback, unless one awaits its answer.
     pub(super) fn send_callback(&mut self, worker: usize, rank: usize) {
         let Some(callbacks) =
             self.callback_queues.get_mut(&(worker, rank)).filter(|callbacks| !callbacks.awaiting_answer)
@@ -190,7 +190,7 @@
         self.send_callback(worker, rank);
     }
 
-    /// The connection of call-callback_queues has ended: what was on its way is called again.
+    /// Handles the end of a callback connection; the callback without an answer is sent again.
     pub(super) fn on_callback_closed(&mut self, token: usize, worker: usize, rank: usize) {
         let Some(callbacks) =
             self.callback_queues.get_mut(&(worker, rank)).filter(|callbacks| callbacks.token == Some(token))
@@ -204,10 +204,10 @@
     }
 }
 
-/// A call-callbacks that could not be stream is stream again after this time.
+/// Delay before a failed callback is sent again.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An attempt, from what the client wrote into the body: `work=MICROSECONDS slots=N memory=UNITS`.
+/// Parses an attempt; the client has written `work=MICROSECONDS slots=N memory=UNITS` into the body.
 fn parse_attempt(message: &Message) -> Option<Job> {
     let id = message.header("request-id")?.to_owned();
     let text = String::from_utf8_lossy(&message.body).into_owned();
--- a/crates/rig/src/calibrate/mod.rs
+++ b/crates/rig/src/calibrate/mod.rs
@@ -1,22 +1,22 @@
-//! ReplayResult processes of the program among stand-ins, and what these saw on the wire: the hollow fleet is held against it.
+//! Runs real processes of the program among stand-ins, measures their traffic, and compares the hollow fleet with them.
 //!
-//! | part | what it is |
+//! | module | content |
 //! | --- | --- |
-//! | `message` | HTTP messages, read and written |
+//! | `message` | HTTP messages: parsing and formatting |
 //! | `counts` | messages and bytes, by flow and by control function |
 //! | `discovery` | the list and its watches, without sockets |
-//! | `worker_pool` | the workers and what they saw, without sockets |
-//! | `relay` | the datagrams between schedulers |
-//! | `submitters` | the clients |
-//! | `harness` | the sockets of all of these, on one thread |
-//! | `timers` | what is to be done when |
-//! | `process` | the program, and what the kernel says it uses |
-//! | `fleet` | several processes: configuration, start |
-//! | `scenario` | a plan of the hollow fleet, as settings, workers and requests |
-//! | `replay` | the plan played by processes |
-//! | `compare` | the hollow fleet held against it |
+//! | `worker_pool` | the stand-in workers and their counters, without sockets |
+//! | `relay` | the datagram relay between schedulers |
+//! | `submitters` | the stand-in clients |
+//! | `harness` | the sockets of all stand-ins, on one thread |
+//! | `timers` | the timer queue |
+//! | `process` | a process of the program and its resource usage |
+//! | `fleet` | configuration and start of several processes |
+//! | `scenario` | a plan of the hollow fleet as settings, workers and requests |
+//! | `replay` | the replay of a plan by real processes |
+//! | `compare` | the comparison of the hollow fleet with the replay |
 //! | `command` | the command line |
-//! | `single_process` | one process at the letter's size, and what each message costs it |
+//! | `single_process` | one process at the size of the default plan, and its cost for each control message |
 
 pub mod command;
 pub mod compare;
--- a/crates/rig/src/calibrate/replay.rs
+++ b/crates/rig/src/calibrate/replay.rs
@@ -1,4 +1,4 @@
-//! A plan of the hollow fleet, played by real processes of the program, and what was measured of them.
+//! Replays a plan of the hollow fleet with real processes of the program and measures them.
 
 use super::counts::{Counts, Flow, Traffic};
 use super::discovery::Capacity;
@@ -15,13 +15,13 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// So long after a start everything that belongs to it is over: the module spreads its first call over four seconds.
+/// Time after which the traffic of a start is over; a scheduler spreads its first calls over four seconds.
 const RESTART_SPAN: Duration = Duration::from_secs(7);
-/// What is still on its way at an end has come by this time.
+/// Time for messages in flight to arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// What came of a play by real processes. Counts of messages, processor time and starts are those of the seconds that
-/// count; a request counts where it came in.
+/// Measurements of a replay by real processes. Message counts, processor time and starts are those of the measured
+/// span; a request counts if it arrives in that span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ReplayResult {
     /// Processes of the program.
@@ -30,77 +30,78 @@
     pub workers: u32,
     /// Tenants.
     pub tenants: u32,
-    /// Seconds that count.
+    /// Length of the measured span, in seconds.
     pub seconds: f64,
     /// Requests.
     pub jobs: u64,
     /// Jobs that workers started.
     pub started: u64,
-    /// Most jobs that ran at once, before the seconds that count too.
+    /// Largest number of jobs that ran at the same time, warm-up included.
     pub running_peak: usize,
-    /// Requests that were answered with a worker's result.
+    /// Requests answered with a worker's result.
     pub served: u64,
-    /// Of these, those that were answered after their aim.
+    /// Served requests that were answered after their soft deadline.
     pub late: u64,
     /// Requests that were refused.
     pub refused: u64,
-    /// Requests that were answered as failed.
+    /// Requests answered with a failure.
     pub failed: u64,
-    /// Requests, whether they count or not, that got no answer, or one that no worker made.
+    /// Requests of the whole run without an answer, or with a result that no worker made.
     pub lost: u64,
-    /// Over the whole play: attempts that came to a worker at which the first one still was.
+    /// Attempts of the whole run that arrived at a worker where an earlier attempt of the same request was still open.
     pub doubled: u64,
-    /// Over the whole play: attempts that came while another one of the request was at another worker.
+    /// Attempts of the whole run that arrived while an attempt of the same request was open at another worker.
     pub overlapping: u64,
-    /// Attempts that reached workers, were turned away, and were given up.
+    /// Attempts that reached workers.
     pub attempts: u64,
-    /// See above.
+    /// Attempts that workers rejected.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// See above.
+    /// Attempts that were cancelled.
     #[serde(rename = "given_up")]
     pub cancelled: u64,
-    /// Memory of a process at the end, and at its most, in KiB.
+    /// Resident memory of a process at the end, in KiB.
     pub resident_kib: Spread,
-    /// See above.
+    /// Peak resident memory of a process, in KiB.
     pub resident_peak_kib: Spread,
-    /// Processor time of a process in milliseconds a second, by user and system time (steps of the kernel's clock) and by
-    /// the threads' own clock. Everything is in it: clients, workers, control.
+    /// Processor time of a process in milliseconds a second, by user and system time in kernel ticks. It includes the
+    /// work for clients, workers and control.
     pub cpu_ms_per_s: Spread,
-    /// See above.
+    /// Processor time of a process in milliseconds a second, by the threads' own clock.
     pub on_cpu_ms_per_s: Spread,
-    /// Processor time of all processes for a job, by the threads' own clock, in microseconds.
+    /// Processor time of all processes for each job, by the threads' own clock, in microseconds.
     pub cpu_us_per_job: f64,
-    /// Control messages by function, as the hollow fleet counts them: in and out of all schedulers.
+    /// Control messages by function as the hollow fleet counts them, in and out of all schedulers.
     pub traffic: BTreeMap<&'static str, Traffic>,
     /// All messages by flow.
     pub counts: Counts,
-    /// Over the whole play: the longest datagram, in bytes, and those that fit no shape.
+    /// Size of the longest datagram of the whole run, in bytes.
     pub datagram_longest: usize,
-    /// See above.
+    /// Datagrams of the whole run that have no known shape.
     pub datagrams_unknown: u64,
-    /// Over the whole play: datagrams that the kernel dropped at the relay's or a scheduler's socket.
+    /// Datagrams of the whole run that the kernel dropped at a socket of the relay or of a scheduler.
     pub datagrams_dropped: u64,
-    /// Over the whole play: call-callback_queues that nobody took.
+    /// Callbacks of the whole run that no scheduler accepted.
     #[serde(rename = "news_dropped")]
     pub callbacks_dropped: u64,
-    /// Over the whole play: calls that discovery turned away.
+    /// Requests of the whole run that discovery rejected.
     #[serde(rename = "calls_turned_away")]
     pub calls_rejected: u64,
-    /// What one start adds in a fleet that is at rest, where a process was killed and started anew.
+    /// Cost of one start, measured by restarting one process of an otherwise idle fleet; `None` if this was not
+    /// measured.
     pub restart: Option<Restart>,
 }
 
-/// What one start costs.
+/// Cost of one start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Restart {
-    /// Control messages by function, less what the fleet exchanges at rest in the same time.
+    /// Control messages by function, less those of the idle fleet in the same time.
     pub traffic: BTreeMap<&'static str, Traffic>,
-    /// Of these, the bytes of the process that starts: its watch and its greeting to all, without the answers to that.
+    /// Bytes of the starting process itself: its watch and its hello to all, without the answers to the hello.
     pub bytes: u64,
-    /// Its memory when it watches the list, in KiB.
+    /// Its resident memory once it watches the list, in KiB.
     pub resident_kib: u64,
-    /// Its processor time up to then, in milliseconds.
+    /// Its processor time up to that moment, in milliseconds.
     pub on_cpu_ms: f64,
 }
 
@@ -118,12 +119,12 @@
     }
 }
 
-/// Plays the plan by processes of this program. It takes the plan's warm-up and seconds, and as long after these as the
-/// last requests run; and where `anew` is set, some seconds more, in which one process is started anew.
+/// Replays the plan with processes of this program. It lasts for the plan's warm-up and measured span and until the
+/// last request has ended; with `with_restart`, also for the restart of one process.
 ///
 /// # Errors
 ///
-/// The program does not start or serve, or a socket cannot be had.
+/// The program does not start or serve, or a socket cannot be opened.
 pub fn replay(program: &Path, plan: &Plan, with_restart: bool) -> Result<ReplayResult, String> {
     let outline = calicolb_simulation::workload(plan);
     let settings = scenario::settings(plan);
@@ -142,7 +143,7 @@
     let (before, from) = (snapshot(&harness, &processes), Instant::now());
     harness.run_until(begun + micros(outline.measured_span.1))?;
     let (after, spent) = (snapshot(&harness, &processes), from.elapsed().as_secs_f64());
-    // Until the last answer: none is later than its client's patience and some slack.
+    // Waits for the last answer, at most 10 s beyond the last client timeout.
     let time_left =
         (begun + last_timeout + Duration::from_secs(10)).saturating_duration_since(Instant::now());
     harness.run_while(time_left, |harness| harness.outcomes().iter().any(Option::is_none))?;
@@ -214,7 +215,7 @@
     }
 }
 
-/// Kills the last process and starts it anew; what that adds to what the fleet exchanges at rest.
+/// Restarts the last process and measures the traffic beyond that of the idle fleet.
 fn restart(
     program: &Path,
     harness: &mut Harness,
@@ -242,7 +243,8 @@
         sum.messages = sum.messages.saturating_sub(idle.messages);
         sum.bytes = sum.bytes.saturating_sub(idle.bytes);
     }
-    // Its greeting goes out once; each of the others answers, and hears the greeting: that is their traffic, not its own.
+    // The starting process sends its hello once. The forwarded hellos and the answers are traffic of the other
+    // schedulers and are left out.
     let own_flows = [
         Flow::WatchRequested,
         Flow::WatchOpened,
--- a/crates/rig/src/calibrate/single_process.rs
+++ b/crates/rig/src/calibrate/single_process.rs
@@ -1,5 +1,6 @@
-//! One process of the program, measured by itself at the letter's size: what it holds, and what each control message costs it.
-//! The other schedulers are the relay's addresses; what they say is said for them.
+//! Measures one process of the program at the size of the default plan: its memory, and the processor time for each
+//! kind of control message. The relay's addresses stand for the other schedulers, and the harness sends their
+//! messages.
 
 use super::counts::{Counts, Flow, Traffic};
 use super::discovery::Capacity;
@@ -19,7 +20,7 @@
 /// Messages of each kind that are sent to the process.
 const MESSAGES_PER_KIND: u32 = 2_000;
 
-/// What is measured.
+/// Size of the fleet and durations of the measurement.
 #[derive(Clone, Debug)]
 pub struct MeasurementPlan {
     plan: Plan,
@@ -28,8 +29,9 @@
 }
 
 impl MeasurementPlan {
-    /// A process of a fleet of this size. It is watched for `idle` while nothing happens, and the messages of each kind
-    /// come over `span`: the kernel's steps are to be small beside what they cost.
+    /// Plans the measurement of a process in a fleet of this size. The idle process is watched for `idle`, and the
+    /// messages of each kind are spread over `span`, which should be long enough that a kernel clock tick is small
+    /// beside their cost.
     pub fn of(plan: &Plan, idle: Duration, span: Duration) -> MeasurementPlan {
         MeasurementPlan { plan: plan.clone(), idle, span }
     }
@@ -38,9 +40,9 @@
 /// Memory of a process, in KiB.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Memory {
-    /// Now.
+    /// Resident memory.
     pub resident_kib: u64,
-    /// At the most.
+    /// Peak resident memory.
     pub resident_peak_kib: u64,
 }
 
@@ -50,77 +52,77 @@
     }
 }
 
-/// Processor time of a process over a span, less what it uses idle.
+/// Processor time of a process for messages of one kind, less its idle use.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Messages that were sent to it.
+    /// Number of messages.
     pub messages: u64,
-    /// Bytes of one.
+    /// Mean size of a message, in bytes.
     pub bytes: f64,
-    /// Microseconds of processor time for one, by the kernel's own clock of the threads.
+    /// Processor time for each message by the threads' own clock, in microseconds.
     pub cpu_us: f64,
-    /// The same by user and system time, in the kernel's steps.
+    /// Processor time for each message by user and system time in kernel ticks, in microseconds.
     pub cpu_us_by_ticks: f64,
-    /// Of that, system time.
+    /// System time for each message, part of `cpu_us_by_ticks`.
     pub system_us_by_ticks: f64,
 }
 
-/// What was measured.
+/// Result of the measurement.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ProcessCosts {
-    /// Lines of the list, schedulers, tenants.
+    /// Lines of the list.
     pub workers: u32,
-    /// See above.
+    /// Schedulers of the fleet.
     pub schedulers: u32,
-    /// See above.
+    /// Tenants.
     pub tenants: u32,
-    /// The idle process.
+    /// Memory of the idle process.
     pub idle: Memory,
-    /// Its processor time, in milliseconds a second, by the threads' clock and in the kernel's steps.
+    /// Processor time of the idle process by the threads' clock, in milliseconds a second.
     pub idle_cpu_ms_per_s: f64,
-    /// See above.
+    /// Processor time of the idle process in kernel ticks, in milliseconds a second.
     pub idle_cpu_ms_per_s_by_ticks: f64,
-    /// The idle process with one tenant instead of all.
+    /// Memory of the idle process with one tenant.
     pub idle_one_tenant: Memory,
-    /// The idle process with a list of one worker, and one other scheduler.
+    /// Memory of the idle process with one worker, one tenant and one other scheduler.
     pub idle_one_worker: Memory,
-    /// Bytes of a start, by what they are for: in and out of the scheduler that starts.
+    /// Traffic of the watch at the start, in both directions.
     pub start_watch: Traffic,
-    /// See above.
+    /// Hello messages that the starting process sends.
     #[serde(rename = "start_greeting")]
     pub start_hello: Traffic,
-    /// Answers to the greeting, one from each other scheduler.
+    /// Answers to the hello, one from each other scheduler.
     #[serde(rename = "start_greeting_answers")]
     pub start_hello_answers: Traffic,
-    /// Processor time of a start, up to the watch, in milliseconds.
+    /// Processor time of a start up to the watch, in milliseconds.
     pub start_cpu_ms: f64,
-    /// A line of the list changes.
+    /// Cost of a changed line of the list.
     pub list_change: Cost,
-    /// The whole list comes.
+    /// Cost of a full list.
     #[serde(rename = "whole_list")]
     pub full_list: Cost,
-    /// A load of another scheduler comes by itself, about a worker of the list.
+    /// Cost of a single load message of another scheduler about a worker of the list.
     #[serde(rename = "talk_heard")]
     pub load_received: Cost,
-    /// The same of loads that come [`BURST_SIZE`] at a time: what waking up for each costs is shared.
+    /// Cost of load messages that arrive [`BURST_SIZE`] at a time and so share the cost of a wake-up.
     #[serde(rename = "talk_heard_in_bursts")]
     pub loads_received_in_bursts: Cost,
-    /// A trouble comes.
+    /// Cost of a fault report.
     #[serde(rename = "trouble_heard")]
     pub fault_report_received: Cost,
-    /// A greeting comes that asks to be answered.
+    /// Cost of a hello that asks for an answer.
     #[serde(rename = "greeting_heard")]
     pub hello_received: Cost,
-    /// The process probes a worker, on a new connection, many at once.
+    /// Cost of a probe of a worker on a new connection, with many probes at the same time.
     pub probe: Cost,
-    /// After all of this.
+    /// Memory after all measurements.
     pub after: Memory,
 }
 
 struct Setup {
     harness: Harness,
     processes: Vec<Process>,
-    /// Counts of the start.
+    /// Traffic up to the end of the start.
     start: Counts,
 }
 
@@ -140,7 +142,7 @@
         plan.schedulers as usize,
     )?;
     let processes = start(program, &mut harness, settings, 0..1, plan.seed)?;
-    // The others answer its greeting.
+    // The other schedulers answer the hello of the process.
     let zones = plan.zones.max(1) as usize;
     for rank in 1..plan.schedulers as usize {
         harness.send_as(rank, 0, &[1, (rank % zones) as u8, 0]);
@@ -151,7 +153,8 @@
 }
 
 impl Setup {
-    /// Watches the process for so long while nothing happens; gives what it uses in a second, in milliseconds.
+    /// Watches the idle process for `span`; returns its processor time in milliseconds a second, by the threads' clock
+    /// and in ticks.
     fn idle_cpu(&mut self, span: Duration) -> Result<(f64, f64), String> {
         let (before, begun) = (self.processes[0].usage(), Instant::now());
         self.harness.run_until(begun + span)?;
@@ -159,7 +162,8 @@
         Ok(((after.on_cpu_ms - before.on_cpu_ms) / spent, (after.cpu_ms - before.cpu_ms) / spent))
     }
 
-    /// Sends so many messages evenly over a span, the `nr`th by `send`, and gives what each costs.
+    /// Sends messages evenly over the measurement's span, in bursts of `burst`, and returns the cost of each. `send`
+    /// sends the message with the given index.
     fn cost(
         &mut self,
         measurement: &MeasurementPlan,
@@ -173,7 +177,7 @@
             self.harness.run_until(begun + measurement.span * (index - index % burst) / MESSAGES_PER_KIND)?;
             send(&mut self.harness, index);
         }
-        // What is still on its way is dealt with.
+        // Lets messages in flight be processed.
         self.harness.run_until(Instant::now() + Duration::from_millis(300))?;
         let (after, spent) = (self.processes[0].usage(), begun.elapsed().as_secs_f64());
         let counted_after = self.harness.counts().of(flow);
@@ -190,8 +194,8 @@
     }
 }
 
-/// What a probe costs, with the connection that it needs: a process alone probes every worker as it starts, where reports
-/// come by probes only.
+/// Measures the cost of a probe with its connection. A single process that gets reports only by probes probes every
+/// worker as it starts; the same start without probes is subtracted.
 fn probe_cost(program: &Path, plan: &Plan) -> Result<Cost, String> {
     let single = Plan { schedulers: 1, ..plan.clone() };
     let measure_start = |source: &str| -> Result<(Usage, Traffic), String> {
@@ -233,7 +237,7 @@
     let memory = Memory::of(setup.processes[0].usage());
     let count = plan.workers as usize;
     let list_change = setup.cost(measurement, idle, (Flow::WatchChanges, 1), |harness, index| {
-        // Each line in turn is taken out of service, and in the next round put callbacks.
+        // Each line in turn is taken out of service, and in the next round put back.
         let (round, worker) = (index as usize / count, index as usize % count);
         let health = if round.is_multiple_of(2) { "terminating" } else { "in_service" };
         harness.schedule_change(Instant::now(), Change { worker, health });
--- a/crates/rig/src/calibrate/submitters.rs
+++ b/crates/rig/src/calibrate/submitters.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: who submits what to which scheduler, on which connection, and what came of it.
+//! The stand-in clients: the jobs that they submit, their connections, and the outcome of each job.
 
 use super::counts::Flow;
 use super::harness::{Harness, Role, TimerEvent};
@@ -8,67 +8,68 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// An answer may come so long after a client's patience before it counts as lost: the pages' slack and 50 ms, and what a
-/// awaiting_answer machine may add.
+/// Time after the client timeout before a missing answer counts as lost: the specified slack, 50 ms, and a margin for
+/// a busy machine.
 const ANSWER_SLACK: Duration = Duration::from_millis(1_000);
 
 /// A job that a client submits.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// When, from the beginning.
+    /// Time of submission, from the start of the run.
     pub offset: Duration,
-    /// To the scheduler of this rank.
+    /// Rank of the scheduler that receives it.
     pub rank: usize,
-    /// The id of the request.
+    /// Id of the request.
     pub id: String,
     /// Path and query.
     pub target: String,
-    /// Headers beside the id.
+    /// Headers besides the id.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: String,
-    /// An answer within this time is in time.
+    /// Soft deadline: an answer within this time is on time.
     pub aim: Duration,
-    /// For so long the client waits.
+    /// Time that the client waits for an answer.
     pub client_timeout: Duration,
 }
 
-/// What came of a job.
+/// Outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Its kind.
+    /// Kind of answer.
     pub kind: AnswerKind,
-    /// From submission to answer.
+    /// Time from submission to answer.
     pub latency: Duration,
 }
 
-/// What a client was kind.
+/// Kind of answer that a client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     /// The worker's result.
     Served,
-    /// Come again.
+    /// Refusal: the client may try again later.
     Refused,
-    /// It failed.
+    /// Failure.
     Failed,
-    /// Nothing in all its time, or the connection ended without an answer, or a result that no worker stream.
+    /// No answer within the client timeout, a connection that ended without an answer, or a result that no worker
+    /// made.
     NoAnswer,
 }
 
-/// See the head of this file.
+/// The clients with their jobs and connections.
 pub struct Submitters {
     jobs: Vec<Submission>,
     outcomes: Vec<Option<Outcome>>,
     submitted_at: Vec<Option<Instant>>,
     rank_by_id: HashMap<String, usize>,
-    /// By rank: connections at rest.
+    /// By rank: idle connections.
     idle_connections: Vec<Vec<usize>>,
-    /// What is under way on a connection; whether that connection had been reused before.
+    /// By connection: the job in flight, and whether the connection had been used before.
     in_flight: HashMap<usize, (usize, bool)>,
 }
 
 impl Submitters {
-    /// Clients of so many schedulers.
+    /// Creates clients for `schedulers` schedulers.
     pub fn new(schedulers: usize) -> Submitters {
         Submitters {
             jobs: Vec::new(),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes on these jobs; gives their numbers.
+    /// Adds jobs; returns their indices.
     pub fn add_jobs(&mut self, jobs: Vec<Submission>) -> std::ops::Range<usize> {
         let first = self.jobs.len();
         self.rank_by_id.extend(jobs.iter().map(|job| (job.id.clone(), job.rank)));
@@ -90,29 +91,29 @@
         first..self.jobs.len()
     }
 
-    /// A job by its number.
+    /// Returns the job with this index.
     pub fn job(&self, index: usize) -> &Submission {
         &self.jobs[index]
     }
 
-    /// All jobs.
+    /// Returns all jobs.
     pub fn jobs(&self) -> &[Submission] {
         &self.jobs
     }
 
-    /// What came of them.
+    /// Returns the outcomes of the jobs, in their order.
     pub fn outcomes(&self) -> &[Option<Outcome>] {
         &self.outcomes
     }
 
-    /// The scheduler that a request was submitted to.
+    /// Returns the rank of the scheduler that a request was submitted to.
     pub fn rank_of(&self, id: &str) -> Option<usize> {
         self.rank_by_id.get(id).copied()
     }
 }
 
 impl Harness {
-    /// A client submits a job.
+    /// Submits a job.
     pub(super) fn submit_job(&mut self, now: Instant, index: usize) {
         self.submitters.submitted_at[index] = Some(now);
         let client_timeout = self.submitters.jobs[index].client_timeout;
@@ -151,7 +152,7 @@
         }
     }
 
-    /// A scheduler has answered on this connection.
+    /// Handles a scheduler's answer on this connection.
     pub(super) fn on_job_answer(&mut self, now: Instant, token: usize, rank: usize, message: &Message) {
         self.counts.add(Flow::JobsAnswered, message.length);
         let Some((index, _)) = self.submitters.in_flight.remove(&token) else { return self.close(token) };
@@ -170,12 +171,13 @@
         }
     }
 
-    /// A client's connection has ended.
+    /// Handles the end of a client's connection.
     pub(super) fn on_client_closed(&mut self, token: usize, rank: usize) {
         self.submitters.idle_connections[rank].retain(|&idle| idle != token);
         let now = Instant::now();
         match self.submitters.in_flight.remove(&token) {
-            // A kept connection may end while a request crosses that: it is sent once more, on a new one.
+            // The scheduler may close an idle connection while a request is on its way: the job is sent once more, on
+            // a new connection.
             Some((index, true)) if self.submitters.outcomes[index].is_none() => {
                 self.write_on_new_connection(now, index)
             }
@@ -184,7 +186,7 @@
         }
     }
 
-    /// A client's patience has ended.
+    /// Ends a job whose client timeout has passed.
     pub(super) fn expire_job(&mut self, now: Instant, index: usize) {
         if self.submitters.outcomes[index].is_some() {
             return;
--- a/crates/rig/src/calibrate/worker_pool.rs
+++ b/crates/rig/src/calibrate/worker_pool.rs
@@ -1,56 +1,56 @@
-//! Stand-in workers, without their sockets: slots, a second resource, a queue, the ramp after a start, and what they tell.
-//! Every attempt is in the ledger from its last byte until it has ended or was given up.
+//! The stand-in workers, without sockets: slots, a second resource, a queue, the warm-up after a start, callbacks and
+//! load reports. Every attempt is recorded from its last byte until it has ended or was cancelled.
 
 use serde_json::{Map, json};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Jobs that may wait at a worker, as a multiple of its slots; fields are turned away unstarted.
+/// Maximum queue length of a worker, as a multiple of its slots; further attempts are rejected unstarted.
 const QUEUE_MULTIPLE: usize = 2;
 
-/// A report is made_at at this interval, and told from so long after that on: as real ones, and as the hollow fleet's, it is of
-/// some time ago.
+/// A worker makes a load report at this interval and sends it from `REPORT_DELAY` after that on. Reports therefore lag
+/// behind the load, as those of real workers and of the hollow fleet do.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
 const REPORT_DELAY: Duration = Duration::from_millis(200);
 
-/// What one stand-in worker is.
+/// Properties of one stand-in worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
-    /// Its name on the list.
+    /// Name on the list.
     pub name: String,
-    /// Jobs of one slot that it worker_by_run at once.
+    /// Number of one-slot jobs that it runs at the same time.
     pub slots: u32,
     /// Units of the second resource.
     pub memory: f64,
-    /// Its speed when it is warm.
+    /// Relative speed of the warm worker.
     pub speed: f64,
-    /// How far into its interval a report is made_at.
+    /// Offset of its load reports within the report interval.
     pub phase: Duration,
-    /// When it was started; `None`: long ago.
+    /// Time of its start; `None` if it was long ago.
     pub started_at: Option<Instant>,
 }
 
-/// What all of them go by.
+/// Settings common to all stand-in workers.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// For so long after its start a worker is cold.
+    /// Duration of the warm-up after a start.
     pub warm_up: Duration,
-    /// Its speed at its start; it grows to 1 in a line.
+    /// Relative speed at the start; it grows linearly to 1 during the warm-up.
     pub start_speed: f64,
-    /// They tell of starts.
+    /// Whether workers send a callback when a job starts.
     pub reports_start: bool,
-    /// They tell of progress so often; zero: never.
+    /// Interval of progress callbacks; zero turns them off.
     pub progress_interval: Duration,
-    /// The fields of load reports.
+    /// Fields of load reports.
     pub report_fields: Vec<String>,
 }
 
-/// An attempt as it arrives.
+/// An attempt that arrives at a worker.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The id of its request.
+    /// Id of its request.
     pub id: String,
-    /// Its work at speed 1.
+    /// Run time at speed 1.
     pub work: Duration,
     /// Slots that it takes.
     pub slots: u32,
@@ -58,21 +58,21 @@
     pub memory: f64,
 }
 
-/// What follows.
+/// An action that the caller has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// A call-callbacks of this worker, about this request, with this body.
+    /// Send a callback: index of the worker, id of the request, body.
     Callback(usize, String, String),
-    /// [`WorkerPool::timer_at`] is to be called at this time, with this number.
+    /// Call [`WorkerPool::on_timer`] at this time with this run number.
     Timer(Instant, u64),
 }
 
-/// What becomes of an attempt that arrives.
+/// Result of an attempt's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is taken.
+    /// The worker accepts the attempt.
     Accepted,
-    /// It is turned away unstarted.
+    /// The worker rejects the attempt unstarted.
     Rejected,
 }
 
@@ -88,11 +88,11 @@
     draining: bool,
     running: Vec<Run>,
     queue: VecDeque<Job>,
-    /// Its load of late, from when on.
+    /// Recent loads, each with the time from which it applied.
     loads: VecDeque<(Instant, Load)>,
 }
 
-/// Slots in use, units of the second resource in use, jobs that run, and jobs that wait.
+/// Slots in use, units of the second resource in use, running jobs and waiting jobs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     slots: u32,
@@ -113,39 +113,39 @@
 
     fn record_load(&mut self, now: Instant) {
         self.loads.push_back((now, self.load()));
-        // The last one that is older than any report that may yet be told is kept.
+        // Keeps the latest entry that is older than any report still to be sent.
         while self.loads.get(1).is_some_and(|next| now - next.0 >= REPORT_INTERVAL + REPORT_DELAY) {
             self.loads.pop_front();
         }
     }
 }
 
-/// What the workers saw.
+/// Counters of all workers together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerCounters {
     /// Attempts that arrived.
     pub attempts: u64,
     /// Jobs that were started.
     pub started: u64,
-    /// Attempts that came to a worker at which an earlier one of the same request had neither ended nor been given up.
+    /// Attempts that arrived at a worker where an earlier attempt of the same request was still open.
     pub doubled: u64,
-    /// Attempts that came while an earlier one of the same request was at another worker, neither ended nor given up.
+    /// Attempts that arrived while an earlier attempt of the same request was open at another worker.
     pub overlapping: u64,
-    /// Attempts that were turned away unstarted.
+    /// Attempts that were rejected unstarted.
     pub rejected: u64,
-    /// Attempts that were given up.
+    /// Attempts that were cancelled.
     pub cancelled: u64,
-    /// Most jobs that ran at once.
+    /// Largest number of jobs that ran at the same time.
     pub running_peak: usize,
 }
 
-/// See the head of this file.
+/// The stand-in workers and the open attempts of all requests.
 pub struct WorkerPool {
-    /// Reports are made_at at intervals from here on.
+    /// Start of the first report interval.
     epoch: Instant,
     worker_settings: WorkerSettings,
     workers: Vec<WorkerState>,
-    /// Where attempts of a request are that have neither ended nor been given up.
+    /// By request id: workers with an open attempt, one that has neither ended nor been cancelled.
     open_attempts: HashMap<String, Vec<usize>>,
     worker_by_run: HashMap<u64, usize>,
     last_run: u64,
@@ -153,7 +153,7 @@
 }
 
 impl WorkerPool {
-    /// These workers.
+    /// Creates the workers.
     pub fn new(specs: Vec<WorkerSpec>, worker_settings: WorkerSettings) -> WorkerPool {
         let worker = |spec| WorkerState {
             spec,
@@ -173,22 +173,22 @@
         }
     }
 
-    /// What they have counters.
+    /// Returns the counters of all workers together.
     pub fn counters(&self) -> WorkerCounters {
         self.counters
     }
 
-    /// The name of a worker.
+    /// Returns the name of a worker.
     pub fn name(&self, index: usize) -> &str {
         &self.workers[index].spec.name
     }
 
-    /// Jobs that run now.
+    /// Returns the number of running jobs.
     pub fn running(&self) -> usize {
         self.worker_by_run.len()
     }
 
-    /// An attempt has arrived whole.
+    /// Handles an attempt that has arrived completely.
     pub fn submit_attempt(&mut self, now: Instant, index: usize, job: Job) -> (Verdict, Vec<Effect>) {
         self.counters.attempts += 1;
         let open_attempts = self.open_attempts.entry(job.id.clone()).or_default();
@@ -211,7 +211,7 @@
         (Verdict::Accepted, self.start_jobs(now, index))
     }
 
-    /// Starts what fits, in order of arrival.
+    /// Starts queued jobs in order of arrival while they fit.
     fn start_jobs(&mut self, now: Instant, index: usize) -> Vec<Effect> {
         let mut effects = Vec::new();
         let worker = &mut self.workers[index];
@@ -252,9 +252,9 @@
         effects
     }
 
-    /// A time that was asked for has come.
+    /// Handles a timer requested by [`Effect::Timer`].
     pub fn on_timer(&mut self, now: Instant, number: u64) -> Vec<Effect> {
-        // One that was given up in between is gone.
+        // The job was cancelled before its timer.
         let Some(&index) = self.worker_by_run.get(&number) else { return Vec::new() };
         let progress = self.worker_settings.progress_interval;
         let worker = &mut self.workers[index];
@@ -287,7 +287,7 @@
         effects
     }
 
-    /// An attempt is given up; tells whether it was there.
+    /// Cancels the attempts of a request at a worker; returns whether there was one.
     pub fn cancel(&mut self, now: Instant, index: usize, id: &str) -> (bool, Vec<Effect>) {
         let worker = &mut self.workers[index];
         let queued_before = worker.queue.len();
@@ -305,7 +305,7 @@
         (found, self.start_jobs(now, index))
     }
 
-    /// The worker takes nothing new from now on, or is another process that has just started.
+    /// Sets whether the worker rejects new attempts; `started_at` is set if its process was replaced.
     pub fn set_draining(&mut self, index: usize, draining: bool, started_at: Option<Instant>) {
         self.workers[index].draining = draining;
         if started_at.is_some() {
@@ -322,7 +322,7 @@
         }
     }
 
-    /// The load report of a worker, with the fields that the settings name.
+    /// Returns the load report of a worker, with the fields that the settings name.
     pub fn report(&self, now: Instant, index: usize) -> serde_json::Value {
         let worker = &self.workers[index];
         let age = now.saturating_duration_since(self.epoch + REPORT_DELAY + worker.spec.phase);
@@ -346,7 +346,7 @@
     }
 }
 
-/// What a worker makes of a request; nobody else can.
+/// Returns the result that a worker sends for a request. Only a worker creates it, so a client can check an answer.
 pub fn result(id: &str) -> String {
     format!("done {id}")
 }
