--- a/crates/rig/src/calibrate/fleet.rs
+++ b/crates/rig/src/calibrate/fleet.rs
@@ -11,7 +11,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time limit for every scheduler to watch the list; a scheduler spreads its first calls over four seconds.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Descriptor limit of a process.
+/// Descriptor limit of a process, as in the reference deployment.
 const MAX_SOCKETS: u32 = 1_024;
 
 /// Returns the configuration of the scheduler of this rank, in the platform's format.
--- a/crates/rig/src/calibrate/harness.rs
+++ b/crates/rig/src/calibrate/harness.rs
@@ -78,7 +78,7 @@
 /// The stand-ins and their sockets.
 pub struct Harness {
     poll: Poll,
-    next: usize,
+    next_token: usize,
     pub(super) connections: HashMap<usize, Connection>,
     listeners: HashMap<usize, (TcpListener, Role)>,
     timers: Timers<TimerEvent>,
@@ -112,25 +112,27 @@
         let error_text = |error: std::io::Error| error.to_string();
         let poll = Poll::new().map_err(error_text)?;
         let mut listeners = HashMap::new();
-        let mut next = 0;
+        let mut next_token = 0;
         let mut listen = |role| -> Result<SocketAddr, String> {
             let mut listener =
                 TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(error_text)?;
-            let at = listener.local_addr().map_err(error_text)?;
-            poll.registry().register(&mut listener, Token(next), Interest::READABLE).map_err(error_text)?;
-            listeners.insert(next, (listener, role));
-            next += 1;
-            Ok(at)
+            let address = listener.local_addr().map_err(error_text)?;
+            poll.registry()
+                .register(&mut listener, Token(next_token), Interest::READABLE)
+                .map_err(error_text)?;
+            listeners.insert(next_token, (listener, role));
+            next_token += 1;
+            Ok(address)
         };
         let discovery_address = listen(Role::Discovery(None))?;
         for (index, host) in hosts.iter_mut().enumerate() {
             host.dial = listen(Role::Worker(index))?;
         }
-        let relay = Relay::new(poll.registry(), next, schedulers).map_err(error_text)?;
+        let relay = Relay::new(poll.registry(), next_token, schedulers).map_err(error_text)?;
         let now = Instant::now();
         Ok(Harness {
             poll,
-            next: next + schedulers + 1,
+            next_token: next_token + schedulers + 1,
             connections: HashMap::new(),
             listeners,
             timers: Timers::default(),
@@ -308,8 +310,8 @@
         if self.connections.len() >= MAX_CONNECTIONS {
             return None;
         }
-        let token = self.next;
-        self.next += 1;
+        let token = self.next_token;
+        self.next_token += 1;
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(token), interest).ok()?;
--- a/crates/rig/src/calibrate/replay.rs
+++ b/crates/rig/src/calibrate/replay.rs
@@ -133,19 +133,19 @@
     let mut harness =
         Harness::new(specs, hosts, scenario::worker_settings(&settings), Capacity::default(), ranks)?;
     let mut processes = start(program, &mut harness, &settings, 0..ranks, plan.seed)?;
-    let (jobs, counting) = scenario::submissions(&outline, &settings);
+    let (jobs, is_measured) = scenario::submissions(&outline, &settings);
     let aims: Vec<Duration> = jobs.iter().map(|job| job.aim).collect();
     let last_timeout = jobs.iter().map(|job| job.offset + job.client_timeout).max().unwrap_or_default();
-    let begun = Instant::now();
-    harness.submit(begun, jobs);
+    let started = Instant::now();
+    harness.submit(started, jobs);
     let micros = Duration::from_micros;
-    harness.run_until(begun + micros(outline.measured_span.0))?;
-    let (before, from) = (snapshot(&harness, &processes), Instant::now());
-    harness.run_until(begun + micros(outline.measured_span.1))?;
-    let (after, spent) = (snapshot(&harness, &processes), from.elapsed().as_secs_f64());
+    harness.run_until(started + micros(outline.measured_span.0))?;
+    let (before, span_start) = (snapshot(&harness, &processes), Instant::now());
+    harness.run_until(started + micros(outline.measured_span.1))?;
+    let (after, elapsed_s) = (snapshot(&harness, &processes), span_start.elapsed().as_secs_f64());
     // Waits for the last answer, at most 10 s beyond the last client timeout.
     let time_left =
-        (begun + last_timeout + Duration::from_secs(10)).saturating_duration_since(Instant::now());
+        (started + last_timeout + Duration::from_secs(10)).saturating_duration_since(Instant::now());
     harness.run_while(time_left, |harness| harness.outcomes().iter().any(Option::is_none))?;
     for process in &mut processes {
         process.poll_log()?;
@@ -154,11 +154,11 @@
         processes: plan.schedulers,
         workers: plan.workers,
         tenants: plan.tenants,
-        seconds: spent,
+        seconds: elapsed_s,
         ..ReplayResult::default()
     };
-    real.count_outcomes(harness.outcomes(), &counting, &aims);
-    real.record_usage(&before, &after, spent);
+    real.count_outcomes(harness.outcomes(), &is_measured, &aims);
+    real.record_usage(&before, &after, elapsed_s);
     let totals = harness.worker_pool().counters();
     (real.doubled, real.overlapping, real.running_peak) =
         (totals.doubled, totals.overlapping, totals.running_peak);
@@ -168,10 +168,14 @@
     let counts = harness.counts();
     real.datagram_longest = counts.datagram_longest;
     real.datagrams_unknown = counts.of(Flow::UnknownSent).messages;
-    let (each, to_all) = harness.relay().addresses().map_err(|error| error.to_string())?;
+    let (by_rank, broadcast) = harness.relay().addresses().map_err(|error| error.to_string())?;
     let scheduler_addresses = processes.iter().filter_map(|process| process.peers);
-    let ports: Vec<u16> =
-        each.into_iter().chain([to_all]).chain(scheduler_addresses).map(|at: SocketAddr| at.port()).collect();
+    let ports: Vec<u16> = by_rank
+        .into_iter()
+        .chain([broadcast])
+        .chain(scheduler_addresses)
+        .map(|at: SocketAddr| at.port())
+        .collect();
     real.datagrams_dropped = datagrams_dropped(&ports);
     real.callbacks_dropped = harness.callbacks_dropped;
     real.calls_rejected = harness.discovery().rejected;
@@ -179,11 +183,11 @@
 }
 
 impl ReplayResult {
-    fn count_outcomes(&mut self, outcomes: &[Option<Outcome>], counting: &[bool], aims: &[Duration]) {
+    fn count_outcomes(&mut self, outcomes: &[Option<Outcome>], is_measured: &[bool], aims: &[Duration]) {
         for (index, outcome) in outcomes.iter().enumerate() {
             let kind = outcome.map_or(AnswerKind::NoAnswer, |outcome| outcome.kind);
             self.lost += u64::from(kind == AnswerKind::NoAnswer);
-            if !counting[index] {
+            if !is_measured[index] {
                 continue;
             }
             self.jobs += 1;
@@ -196,7 +200,7 @@
         }
     }
 
-    fn record_usage(&mut self, before: &Snapshot, after: &Snapshot, spent: f64) {
+    fn record_usage(&mut self, before: &Snapshot, after: &Snapshot, elapsed_s: f64) {
         let pairs = || before.usages.iter().zip(&after.usages);
         let (then, now) = (&before.counters, &after.counters);
         self.started = now.started - then.started;
@@ -205,9 +209,9 @@
         self.cancelled = now.cancelled - then.cancelled;
         self.resident_kib = Spread::of(after.usages.iter().map(|usage| usage.resident_kib as f64));
         self.resident_peak_kib = Spread::of(after.usages.iter().map(|usage| usage.resident_peak_kib as f64));
-        self.cpu_ms_per_s = Spread::of(pairs().map(|(then, now)| (now.cpu_ms - then.cpu_ms) / spent));
+        self.cpu_ms_per_s = Spread::of(pairs().map(|(then, now)| (now.cpu_ms - then.cpu_ms) / elapsed_s));
         self.on_cpu_ms_per_s =
-            Spread::of(pairs().map(|(then, now)| (now.on_cpu_ms - then.on_cpu_ms) / spent));
+            Spread::of(pairs().map(|(then, now)| (now.on_cpu_ms - then.on_cpu_ms) / elapsed_s));
         let cpu: f64 = pairs().map(|(then, now)| now.on_cpu_ms - then.on_cpu_ms).sum();
         self.cpu_us_per_job = cpu * 1e3 / self.jobs.max(1) as f64;
         self.counts = after.counts.since(&before.counts);
@@ -225,17 +229,17 @@
 ) -> Result<Restart, String> {
     let rank = processes.len() - 1;
     harness.run_until(Instant::now() + SETTLE_TIME)?;
-    let begun = harness.counts().clone();
+    let counts_before = harness.counts().clone();
     harness.run_until(Instant::now() + RESTART_SPAN)?;
-    let at_rest = harness.counts().since(&begun).by_function();
+    let at_rest = harness.counts().since(&counts_before).by_function();
     drop(processes.pop());
     harness.set_address(rank, None, None);
     harness.run_until(Instant::now() + SETTLE_TIME)?;
-    let (before, from) = (harness.counts().clone(), Instant::now());
+    let (before, restart_time) = (harness.counts().clone(), Instant::now());
     let restarted = start(program, harness, settings, rank..rank + 1, seed ^ 1)?;
     let used = usages(&restarted);
     processes.extend(restarted);
-    harness.run_until(from + RESTART_SPAN)?;
+    harness.run_until(restart_time + RESTART_SPAN)?;
     let counts = harness.counts().since(&before);
     let mut traffic = counts.by_function();
     for (name, sum) in &mut traffic {
--- a/crates/rig/src/calibrate/single_process.rs
+++ b/crates/rig/src/calibrate/single_process.rs
@@ -156,10 +156,10 @@
     /// Watches the idle process for `span`; returns its processor time in milliseconds a second, by the threads' clock
     /// and in ticks.
     fn idle_cpu(&mut self, span: Duration) -> Result<(f64, f64), String> {
-        let (before, begun) = (self.processes[0].usage(), Instant::now());
-        self.harness.run_until(begun + span)?;
-        let (after, spent) = (self.processes[0].usage(), begun.elapsed().as_secs_f64());
-        Ok(((after.on_cpu_ms - before.on_cpu_ms) / spent, (after.cpu_ms - before.cpu_ms) / spent))
+        let (before, started) = (self.processes[0].usage(), Instant::now());
+        self.harness.run_until(started + span)?;
+        let (after, elapsed_s) = (self.processes[0].usage(), started.elapsed().as_secs_f64());
+        Ok(((after.on_cpu_ms - before.on_cpu_ms) / elapsed_s, (after.cpu_ms - before.cpu_ms) / elapsed_s))
     }
 
     /// Sends messages evenly over the measurement's span, in bursts of `burst`, and returns the cost of each. `send`
@@ -172,18 +172,19 @@
         mut send: impl FnMut(&mut Harness, u32),
     ) -> Result<Cost, String> {
         let counted_before = self.harness.counts().of(flow);
-        let (before, begun) = (self.processes[0].usage(), Instant::now());
+        let (before, started) = (self.processes[0].usage(), Instant::now());
         for index in 0..MESSAGES_PER_KIND {
-            self.harness.run_until(begun + measurement.span * (index - index % burst) / MESSAGES_PER_KIND)?;
+            self.harness
+                .run_until(started + measurement.span * (index - index % burst) / MESSAGES_PER_KIND)?;
             send(&mut self.harness, index);
         }
         // Lets messages in flight be processed.
         self.harness.run_until(Instant::now() + Duration::from_millis(300))?;
-        let (after, spent) = (self.processes[0].usage(), begun.elapsed().as_secs_f64());
+        let (after, elapsed_s) = (self.processes[0].usage(), started.elapsed().as_secs_f64());
         let counted_after = self.harness.counts().of(flow);
         let (messages, bytes) =
             (counted_after.messages - counted_before.messages, counted_after.bytes - counted_before.bytes);
-        let per_message = |ms: f64, idle: f64| (ms - idle * spent) * 1e3 / messages.max(1) as f64;
+        let per_message = |ms: f64, idle: f64| (ms - idle * elapsed_s) * 1e3 / messages.max(1) as f64;
         Ok(Cost {
             messages,
             bytes: bytes as f64 / messages.max(1) as f64,
@@ -204,14 +205,14 @@
         let setup = setup(program, &single, &settings)?;
         Ok((setup.processes[0].usage(), setup.harness.counts().of(Flow::ProbesRequested)))
     };
-    let ((with, probed), (without, _)) = (measure_start("probe")?, measure_start("answers")?);
+    let ((with_probes, probed), (without_probes, _)) = (measure_start("probe")?, measure_start("answers")?);
     let per_message = |cpu_ms: f64| cpu_ms * 1e3 / probed.messages.max(1) as f64;
     Ok(Cost {
         messages: probed.messages,
         bytes: probed.bytes as f64 / probed.messages.max(1) as f64,
-        cpu_us: per_message(with.on_cpu_ms - without.on_cpu_ms),
-        cpu_us_by_ticks: per_message(with.cpu_ms - without.cpu_ms),
-        system_us_by_ticks: per_message(with.system_ms - without.system_ms),
+        cpu_us: per_message(with_probes.on_cpu_ms - without_probes.on_cpu_ms),
+        cpu_us_by_ticks: per_message(with_probes.cpu_ms - without_probes.cpu_ms),
+        system_us_by_ticks: per_message(with_probes.system_ms - without_probes.system_ms),
     })
 }
 
