--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/rig/tests/stand_ins.rs
@@ -2,10 +2,10 @@
 //! attempts are counted, and datagrams are counted by length and relayed from the address that stands for their sender.
 
 use calicolb_rig::calibrate::counts::{Flow, Traffic};
-use calicolb_rig::calibrate::crew::{Crew, Effect, Job, Kind, Verdict, Ways};
 use calicolb_rig::calibrate::discovery::{Answer, Capacity, Discovery, Host};
-use calicolb_rig::calibrate::relay::flows;
-use calicolb_rig::calibrate::stage::{Change, Stage};
+use calicolb_rig::calibrate::harness::{Change, Harness};
+use calicolb_rig::calibrate::relay::classify;
+use calicolb_rig::calibrate::worker_pool::{Effect, Job, Verdict, WorkerPool, WorkerSettings, WorkerSpec};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::sync::mpsc::{Receiver, channel};
@@ -31,35 +31,35 @@
 }
 
 /// Creates a stage with `workers` workers of two slots and `schedulers` schedulers.
-fn stage(workers: usize, schedulers: usize) -> Stage {
-    let kind = |host: &Host| Kind {
+fn harness(workers: usize, schedulers: usize) -> Harness {
+    let kind = |host: &Host| WorkerSpec {
         name: host.host.clone(),
         slots: 2,
         memory: 0.0,
         speed: 1.0,
         phase: Duration::ZERO,
-        born: None,
+        started_at: None,
     };
-    let ways = Ways {
-        cold: Duration::from_secs(1),
+    let worker_settings = WorkerSettings {
+        warm_up: Duration::from_secs(1),
         start_speed: 0.3,
-        tells_start: true,
-        progress: Duration::ZERO,
-        report: vec!["x0".to_owned()],
+        reports_start: true,
+        progress_interval: Duration::ZERO,
+        report_fields: vec!["x0".to_owned()],
     };
     let hosts = hosts(workers);
     let kinds = hosts.iter().map(kind).collect();
-    Stage::new(kinds, hosts, ways, Capacity::default(), schedulers)
+    Harness::new(kinds, hosts, worker_settings, Capacity::default(), schedulers)
         .expect("binding the ports of the stage failed")
 }
 
-/// Runs `peer` on a thread of its own, and the stage until `peer` returns; gives the result of `peer`.
-fn run_with<T: Send + 'static>(stage: &mut Stage, peer: impl FnOnce() -> T + Send + 'static) -> T {
+/// Runs `peer` on a thread of its own, and the harness until `peer` returns; gives the result of `peer`.
+fn run_with<T: Send + 'static>(harness: &mut Harness, peer: impl FnOnce() -> T + Send + 'static) -> T {
     let (sender, receiver): (_, Receiver<T>) = channel();
     thread::spawn(move || sender.send(peer()));
     let until = Instant::now() + PEER_TIMEOUT;
     loop {
-        stage.run_until(Instant::now() + Duration::from_millis(5)).expect("running the stage failed");
+        harness.run_until(Instant::now() + Duration::from_millis(5)).expect("running the harness failed");
         match receiver.try_recv() {
             Ok(found) => return found,
             Err(std::sync::mpsc::TryRecvError::Empty) if Instant::now() < until => {}
@@ -89,9 +89,9 @@
 
 #[test]
 fn discovery_list_and_watch_follow_the_protocol() {
-    let mut stage = stage(2, 1);
-    let at = stage.discovery_at();
-    let whole = run_with(&mut stage, move || {
+    let mut harness = harness(2, 1);
+    let at = harness.discovery_address();
+    let whole = run_with(&mut harness, move || {
         let mut stream = TcpStream::connect(at).expect("connecting to discovery failed");
         call(&mut stream, "GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n", "]}\n")
     });
@@ -105,9 +105,12 @@
     assert_eq!(hosts.len(), 2);
     assert!(hosts.iter().all(|line| keys.iter().all(|key| line.get(key).is_some())), "{body}");
 
-    stage.change(Instant::now() + Duration::from_millis(300), Change { station: 1, health: "terminating" });
+    harness.schedule_change(
+        Instant::now() + Duration::from_millis(300),
+        Change { worker: 1, health: "terminating" },
+    );
     let begun = Instant::now();
-    let (watch, spent) = run_with(&mut stage, move || {
+    let (watch, spent) = run_with(&mut harness, move || {
         let mut stream = TcpStream::connect(at).expect("connecting to discovery failed");
         let watch = "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\nHost: d\r\n\r\n";
         let mut received = call(&mut stream, watch, "\"hosts\":[]}\n\r\n");
@@ -135,11 +138,17 @@
     assert_eq!(objects[1]["hosts"][0]["health"], "terminating");
     // The empty line is sent 2 s after the last change (at 300 ms), not before.
     assert!(spent >= Duration::from_millis(2_300), "{spent:?}");
-    let counts = stage.counts();
-    let seen = [Flow::ListAsked, Flow::ListAnswered, Flow::WatchAsked, Flow::WatchOpened, Flow::WatchChanges];
+    let counts = harness.counts();
+    let seen = [
+        Flow::ListRequested,
+        Flow::ListAnswered,
+        Flow::WatchRequested,
+        Flow::WatchOpened,
+        Flow::WatchChanges,
+    ];
     assert_eq!(seen.map(|flow| counts.of(flow).messages), [1, 1, 1, 1, 1]);
     assert_eq!(counts.of(Flow::ListAnswered).bytes, whole.len() as u64);
-    let watch_traffic = counts.sum(&[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchBeats]);
+    let watch_traffic = counts.sum(&[Flow::WatchOpened, Flow::WatchChanges, Flow::WatchKeepalives]);
     assert_eq!(watch_traffic.bytes, watch.len() as u64, "{counts:?}");
 }
 
@@ -149,18 +158,18 @@
     let mut discovery = Discovery::new(hosts(3), Capacity::default(), now);
     let mut gone = discovery.hosts()[0].clone();
     gone.health = "terminated";
-    let chunk = String::from_utf8(discovery.change(gone)).expect("the answer is not UTF-8");
+    let chunk = String::from_utf8(discovery.apply_change(gone)).expect("the answer is not UTF-8");
     assert!(chunk.contains("\"seq\":2,\"whole\":false") && chunk.contains("terminated"), "{chunk}");
     assert_eq!(discovery.hosts().len(), 2, "a terminated host is still on the list");
-    let mut first = |from: u64| match discovery.call(now, &format!("/discovery/hosts?watch=1&from={from}")).1
-    {
-        Answer::Watch(text, whole) => {
-            let text = String::from_utf8(text).expect("the answer is not UTF-8");
-            assert_eq!(whole, text.contains("\"whole\":true"));
-            text
-        }
-        other => panic!("expected a watch, got {other:?}"),
-    };
+    let mut first =
+        |from: u64| match discovery.handle_call(now, &format!("/discovery/hosts?watch=1&from={from}")).1 {
+            Answer::Watch(text, whole) => {
+                let text = String::from_utf8(text).expect("the answer is not UTF-8");
+                assert_eq!(whole, text.contains("\"whole\":true"));
+                text
+            }
+            other => panic!("expected a watch, got {other:?}"),
+        };
     assert!(first(1).contains("\"whole\":false,\"hosts\":[{\"host\":\"s-00000000\""));
     assert!(first(2).contains("\"whole\":false,\"hosts\":[]"));
     assert!(first(0).contains("\"seq\":2,\"whole\":true"));
@@ -171,71 +180,77 @@
 fn discovery_answers_one_call_at_a_time_and_rejects_calls_that_would_wait_too_long() {
     let now = Instant::now();
     let ms = Duration::from_millis;
-    let capacity = Capacity { call: ms(10), line: ms(1), patience: ms(100) };
+    let capacity = Capacity { per_call: ms(10), per_line: ms(1), max_wait: ms(100) };
     let mut discovery = Discovery::new(hosts(10), capacity, now);
     let mut at = Vec::new();
     let busy = (0..8).filter(|_| {
-        let (when, answer) = discovery.call(now, "/discovery/hosts");
+        let (when, answer) = discovery.handle_call(now, "/discovery/hosts");
         at.push(when - now);
         matches!(answer, Answer::Busy(_))
     });
     // Each call takes 20 ms: the sixth starts after the allowed wait of 100 ms, the seventh would start after 120 ms.
     assert_eq!(busy.count(), 2);
     assert_eq!(at[..6], [20, 40, 60, 80, 100, 120].map(ms));
-    assert_eq!(discovery.turned_away, 2);
+    assert_eq!(discovery.rejected, 2);
     // A later call is answered again.
-    assert!(matches!(discovery.call(now + ms(200), "/discovery/hosts").1, Answer::List(_)));
+    assert!(matches!(discovery.handle_call(now + ms(200), "/discovery/hosts").1, Answer::List(_)));
 }
 
 #[test]
 fn worker_runs_jobs_that_fit_at_its_speed_and_reports_a_delayed_load() {
     let ms = Duration::from_millis;
-    let kind = |born| Kind { name: "w".to_owned(), slots: 2, memory: 0.0, speed: 0.5, phase: ms(0), born };
-    let ways = || Ways {
-        cold: ms(10_000),
+    let kind = |started_at| WorkerSpec {
+        name: "w".to_owned(),
+        slots: 2,
+        memory: 0.0,
+        speed: 0.5,
+        phase: ms(0),
+        started_at,
+    };
+    let worker_settings = || WorkerSettings {
+        warm_up: ms(10_000),
         start_speed: 0.25,
-        tells_start: true,
-        progress: Duration::ZERO,
-        report: vec!["x0".to_owned(), "queue".to_owned()],
+        reports_start: true,
+        progress_interval: Duration::ZERO,
+        report_fields: vec!["x0".to_owned(), "queue".to_owned()],
     };
-    let mut crew = Crew::new(vec![kind(None)], ways());
+    let mut worker_pool = WorkerPool::new(vec![kind(None)], worker_settings());
     let now = Instant::now();
     let job = |id: &str, slots| Job { id: id.to_owned(), work: ms(1_000), slots, memory: 0.0 };
     let wake = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
-            Effect::Wake(at, number) => Some((*at, *number)),
-            Effect::News(..) => None,
+            Effect::Timer(at, number) => Some((*at, *number)),
+            Effect::Callback(..) => None,
         })
     };
-    let (verdict, effects) = crew.arrive(now, 0, job("a", 2));
-    assert_eq!(verdict, Verdict::Taken);
+    let (verdict, effects) = worker_pool.submit_attempt(now, 0, job("a", 2));
+    assert_eq!(verdict, Verdict::Accepted);
     let (ends, number) = wake(&effects).expect("the job did not start");
     assert_eq!(ends - now, ms(2_000), "run time at half the speed");
-    assert_eq!(wake(&crew.arrive(now, 0, job("b", 1)).1), None, "a job started without a free slot");
-    assert_eq!(
-        crew.arrive(now, 0, job("c", 3)).0,
-        Verdict::Full,
+    assert_eq!(wake(&worker_pool.submit_attempt(now, 0, job("b", 1)).1), None, "a job started without a free slot");
+    assert_eq!(worker_pool.submit_attempt(now, 0, job("c", 3)).0,
+        Verdict::Rejected,
         "a job with more slots than the worker was not rejected"
     );
     // Reports are delayed: the load of this moment shows up in the report of one second later.
-    assert_eq!(crew.report(now, 0), serde_json::json!({"x0": 2, "queue": 0}));
-    assert_eq!(crew.report(now + ms(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
-    let done = crew.wake(ends, number);
+    assert_eq!(worker_pool.report(now, 0), serde_json::json!({"x0": 2, "queue": 0}));
+    assert_eq!(worker_pool.report(now + ms(1_000), 0), serde_json::json!({"x0": 0, "queue": 1}));
+    let done = worker_pool.on_timer(ends, number);
     assert!(
-        matches!(&done[0], Effect::News(0, id, body) if id == "a" && body.contains(r#""result":"done a""#))
+        matches!(&done[0], Effect::Callback(0, id, body) if id == "a" && body.contains(r#""result":"done a""#))
     );
     assert!(wake(&done).is_some(), "the queued job did not start: {done:?}");
-    assert_eq!(crew.seen().running_peak, 1);
+    assert_eq!(worker_pool.counters().running_peak, 1);
     // A cold worker runs at a quarter of its warm speed.
-    let mut cold = Crew::new(vec![kind(Some(now))], ways());
-    let (ends, _) = wake(&cold.arrive(now, 0, job("a", 1)).1).expect("the job did not start");
+    let mut cold = WorkerPool::new(vec![kind(Some(now))], worker_settings());
+    let (ends, _) = wake(&cold.submit_attempt(now, 0, job("a", 1)).1).expect("the job did not start");
     assert_eq!(ends - now, ms(8_000));
     // The worker accepts 2 running jobs and queues 4, twice its slots. The seventh is rejected.
-    let mut full = Crew::new(vec![kind(None)], ways());
+    let mut full = WorkerPool::new(vec![kind(None)], worker_settings());
     let verdicts: Vec<Verdict> =
-        (0..7).map(|index| full.arrive(now, 0, job(&index.to_string(), 1)).0).collect();
-    assert_eq!(verdicts.iter().filter(|&&verdict| verdict == Verdict::Taken).count(), 6);
-    assert_eq!(full.seen().turned_away, 1);
+        (0..7).map(|index| full.submit_attempt(now, 0, job(&index.to_string(), 1)).0).collect();
+    assert_eq!(verdicts.iter().filter(|&&verdict| verdict == Verdict::Accepted).count(), 6);
+    assert_eq!(full.counters().rejected, 1);
 }
 
 /// Sends an attempt of request `id` to the worker and returns the head of the answer.
@@ -249,60 +264,60 @@
 
 #[test]
 fn repeated_attempt_is_counted_as_doubled_unless_the_earlier_one_was_given_up() {
-    let mut stage = stage(2, 1);
-    let at: Vec<SocketAddr> = stage.discovery().hosts().iter().map(|host| host.dial).collect();
+    let mut harness = harness(2, 1);
+    let at: Vec<SocketAddr> = harness.discovery().hosts().iter().map(|host| host.dial).collect();
     let (first, second) = (at[0], at[1]);
-    let seen = |stage: &Stage| {
-        let seen = stage.crew().seen();
-        (seen.attempts, seen.doubled, seen.overlapping, seen.given_up)
+    let seen = |harness: &Harness| {
+        let seen = harness.worker_pool().counters();
+        (seen.attempts, seen.doubled, seen.overlapping, seen.cancelled)
     };
-    assert!(run_with(&mut stage, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
-    assert_eq!(seen(&stage), (1, 0, 0, 0));
+    assert!(run_with(&mut harness, move || attempt(first, "r1")).starts_with("HTTP/1.1 202 "));
+    assert_eq!(seen(&harness), (1, 0, 0, 0));
     // The same request again at the worker that runs it.
-    run_with(&mut stage, move || attempt(first, "r1"));
-    assert_eq!(seen(&stage), (2, 1, 0, 0));
+    run_with(&mut harness, move || attempt(first, "r1"));
+    assert_eq!(seen(&harness), (2, 1, 0, 0));
     // Another request at another worker changes neither count.
-    run_with(&mut stage, move || attempt(second, "r2"));
-    assert_eq!(seen(&stage), (3, 1, 0, 0));
+    run_with(&mut harness, move || attempt(second, "r2"));
+    assert_eq!(seen(&harness), (3, 1, 0, 0));
     // The same request at a second worker counts as overlapping.
-    run_with(&mut stage, move || attempt(first, "r2"));
-    assert_eq!(seen(&stage), (4, 1, 1, 0));
+    run_with(&mut harness, move || attempt(first, "r2"));
+    assert_eq!(seen(&harness), (4, 1, 1, 0));
     // The attempt at the second worker is given up.
-    run_with(&mut stage, move || {
+    run_with(&mut harness, move || {
         let mut stream = TcpStream::connect(second).expect("connecting to the worker failed");
         call(&mut stream, "DELETE /jobs/r2 HTTP/1.1\r\nHost: w\r\n\r\n", "\r\n\r\n")
     });
     // The first worker still runs it, so a repeat there counts as doubled.
-    run_with(&mut stage, move || attempt(first, "r2"));
-    assert_eq!(seen(&stage), (5, 2, 1, 1));
-    run_with(&mut stage, move || {
+    run_with(&mut harness, move || attempt(first, "r2"));
+    assert_eq!(seen(&harness), (5, 2, 1, 1));
+    run_with(&mut harness, move || {
         let mut stream = TcpStream::connect(first).expect("connecting to the worker failed");
         call(&mut stream, "DELETE /jobs/r2 HTTP/1.1\r\nHost: w\r\n\r\n", "\r\n\r\n")
     });
-    run_with(&mut stage, move || attempt(second, "r2"));
-    assert_eq!(seen(&stage), (6, 2, 1, 2));
-    let counts = stage.counts();
+    run_with(&mut harness, move || attempt(second, "r2"));
+    assert_eq!(seen(&harness), (6, 2, 1, 2));
+    let counts = harness.counts();
     assert_eq!(counts.of(Flow::AttemptsSent).messages, 6);
-    assert_eq!(counts.of(Flow::GiveUpsSent).messages, 2);
+    assert_eq!(counts.of(Flow::CancelsSent).messages, 2);
 }
 
 #[test]
 fn datagram_type_follows_from_its_length() {
     for length in 0..=256 {
         let sent = match length {
-            3 => Flow::GreetingsSent,
-            6 => Flow::TroublesSent,
-            8..=11 => Flow::TalkSent,
+            3 => Flow::HellosSent,
+            6 => Flow::FaultReportsSent,
+            8..=11 => Flow::LoadsSent,
             _ => Flow::UnknownSent,
         };
-        assert_eq!(flows(&vec![1; length]).0, sent, "{length}");
+        assert_eq!(classify(&vec![1; length]).0, sent, "{length}");
     }
 }
 
 #[test]
 fn datagrams_are_relayed_from_the_senders_relay_address_and_counted_by_type() {
-    let mut stage = stage(1, 3);
-    let (relays, all) = stage.relay().addresses().expect("reading the relay addresses failed");
+    let mut harness = harness(1, 3);
+    let (relays, all) = harness.relay().addresses().expect("reading the relay addresses failed");
     let sockets: Vec<UdpSocket> =
         (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("binding a UDP socket failed")).collect();
     let socket_address = |index: usize| sockets[index].local_addr().expect("reading a socket address failed");
@@ -312,12 +327,12 @@
     );
     to.set_read_timeout(Some(PEER_TIMEOUT)).expect("setting the read timeout failed");
     for index in 0..2 {
-        stage.home(index, None, Some(socket_address(index)));
+        harness.set_address(index, None, Some(socket_address(index)));
     }
     // The third scheduler is not registered yet: the relay keeps its datagram until it is.
     sockets[2].send_to(&[1; 6], relays[1]).expect("sending a datagram failed");
     let relay = relays[1];
-    let received = run_with(&mut stage, move || {
+    let received = run_with(&mut harness, move || {
         from.send_to(&[1, 0, 1], all).expect("sending a datagram failed");
         from.send_to(&[1; 9], relay).expect("sending a datagram failed");
         let mut space = [0; 64];
@@ -326,18 +341,18 @@
         received.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
     });
     assert_eq!(received, [(3, relays[0]), (9, relays[0])]);
-    let of = |stage: &Stage, flow| stage.counts().of(flow);
+    let of = |harness: &Harness, flow| harness.counts().of(flow);
     let traffic = |messages, bytes| Traffic { messages, bytes };
-    assert_eq!(stage.relay().unplaced(), 1);
-    assert_eq!(of(&stage, Flow::GreetingsSent), traffic(1, 3));
+    assert_eq!(harness.relay().pending_count(), 1);
+    assert_eq!(of(&harness, Flow::HellosSent), traffic(1, 3));
     assert_eq!(
-        of(&stage, Flow::GreetingsPassed),
+        of(&harness, Flow::HellosPassed),
         traffic(1, 3),
         "the broadcast goes to the one other registered scheduler"
     );
-    assert_eq!(of(&stage, Flow::TalkSent), traffic(1, 9));
-    stage.home(2, None, Some(socket_address(2)));
-    assert_eq!(stage.relay().unplaced(), 0);
-    assert_eq!(of(&stage, Flow::TroublesPassed), traffic(1, 6));
-    assert_eq!((stage.counts().relay_in, stage.counts().datagram_longest), (traffic(3, 18), 9));
+    assert_eq!(of(&harness, Flow::LoadsSent), traffic(1, 9));
+    harness.set_address(2, None, Some(socket_address(2)));
+    assert_eq!(harness.relay().pending_count(), 0);
+    assert_eq!(of(&harness, Flow::FaultReportsPassed), traffic(1, 6));
+    assert_eq!((harness.counts().relay_in, harness.counts().datagram_longest), (traffic(3, 18), 9));
 }
