--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/rig/tests/stand_ins.rs
@@ -227,8 +227,13 @@
     assert_eq!(verdict, Verdict::Accepted);
     let (ends, number) = wake(&effects).expect("the job did not start");
     assert_eq!(ends - now, ms(2_000), "run time at half the speed");
-    assert_eq!(wake(&worker_pool.submit_attempt(now, 0, job("b", 1)).1), None, "a job started without a free slot");
-    assert_eq!(worker_pool.submit_attempt(now, 0, job("c", 3)).0,
+    assert_eq!(
+        wake(&worker_pool.submit_attempt(now, 0, job("b", 1)).1),
+        None,
+        "a job started without a free slot"
+    );
+    assert_eq!(
+        worker_pool.submit_attempt(now, 0, job("c", 3)).0,
         Verdict::Rejected,
         "a job with more slots than the worker was not rejected"
     );
